--- /dev/null
+++ b/brain/trace_test.go
@@ -0,0 +1,358 @@
+package brain
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/gob"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math/rand"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// The decisions are pinned: the same events and seed give the same actions. The traces under testdata/traces were recorded with
+// the release of commit 5d1fee9 and hold a digest of all events and actions for every traceBlock steps. A change that is meant
+// to alter decisions records them anew, with -record-traces, and says so.
+
+var recordTraces = flag.Bool("record-traces", false, "write testdata/traces instead of comparing with it")
+
+const (
+	traceSteps = 4000
+	traceBlock = 50
+)
+
+// traceWorld drives one module with made-up events and answers its calls. All of it follows from the seed.
+type traceWorld struct {
+	random   *rand.Rand
+	module   *Brain
+	settings Settings
+	seed     uint64
+	now      time.Duration
+	next     MessageID
+	list     []Endpoint
+	calls    []traceCall
+	sent     map[MessageID]int
+	outages  []Outage
+	pending  map[MessageID]Message
+	digest   interface {
+		Write([]byte) (int, error)
+		Sum64() uint64
+	}
+}
+
+type traceCall struct {
+	send    Send
+	attempt int
+	sent    time.Duration
+	ends    time.Duration
+	outcome Outcome
+}
+
+func traceSettings(random *rand.Rand, senders int) Settings {
+	s := Settings{Senders: senders, Number: random.Intn(senders), Zone: random.Intn(3), Slots: 6 + random.Intn(20),
+		MostHeld: 40 + random.Intn(100), MaxAttempts: 3 + random.Intn(4), MayCancel: random.Intn(3) > 0, TellsHoldOff: random.Intn(2) == 0,
+		MaxHoldOff: 2 * time.Second, IdleConnections: 4 * time.Second, AsksForList: random.Intn(2) == 0, Step: 5 * ms,
+		SettleAfterDoubt: 300 * ms, FallMultiple: 2, StartCapacity: 0.2, OverloadFor: 2 * time.Second, Cold: 8 * time.Second,
+		WholeWeight: 0.6, ClassWeight: 0.3, OverShareWorth: 0.2, CrossZonePrice: 0.05, Halving: random.Intn(2) == 0,
+		RatedLimits: random.Intn(2) == 0, ZoneFees: []float64{0.01, 0.03, 0},
+		Kinds:   []Kind{{PerCall: 1}, {Apart: true, PerCall: 1}, {PerCall: 4}, {Apart: true, PerCall: 3}},
+		Tenants: []Tenant{{Share: 0.5, Allowance: 30}, {Share: 0.3, Allowance: 10}, {Share: 0.2, Allowance: 4}}}
+	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
+		for _, ordered := range []bool{false, true} {
+			s.Classes = append(s.Classes, Class{Aim: time.Duration(300+random.Intn(1500)) * ms, Deadline: time.Duration(3000+random.Intn(9000)) * ms,
+				Effect: effect, KeyInZone: random.Intn(3) == 0, KeyWindow: time.Duration(1500+random.Intn(3000)) * ms, Ordered: ordered,
+				Worth: 0.5 + random.Float64()*2, LateWorth: 0.3})
+		}
+	}
+	return s
+}
+
+func newTraceWorld(seed int64) *traceWorld {
+	random := rand.New(rand.NewSource(seed))
+	senders := []int{1, 3, 40, 300}[seed%4]
+	w := &traceWorld{random: random, settings: traceSettings(random, senders), seed: uint64(seed) * 77, now: time.Duration(seed) * time.Minute,
+		sent: map[MessageID]int{}, pending: map[MessageID]Message{}, digest: fnv.New64a()}
+	w.module = New(w.settings, w.seed)
+	for id := EndpointID(0); id < 14; id++ {
+		destination := DestinationID(id / 2)
+		w.list = append(w.list, Endpoint{ID: id, Destination: destination, Kind: int(destination) % len(w.settings.Kinds),
+			Zone: random.Intn(3), Ready: true, Rating: float64(random.Intn(40))})
+	}
+	return w
+}
+
+func (w *traceWorld) note(format string, values ...any) {
+	fmt.Fprintf(w.digest, format+"\n", values...)
+}
+
+// failing tells how a destination fares at a time: most have outages of some seconds, one after another.
+func (w *traceWorld) failing(destination DestinationID) bool {
+	phase := (w.now + time.Duration(destination)*7*time.Second) % (40 * time.Second)
+	return phase < 6*time.Second && destination%3 != 2
+}
+
+func (w *traceWorld) outcome(e EndpointID) (Outcome, time.Duration) {
+	latency := time.Duration(20+w.random.ExpFloat64()*80) * ms
+	roll := w.random.Intn(100)
+	if w.failing(w.list[e].Destination) {
+		switch {
+		case roll < 40:
+			return TimedOut, 0
+		case roll < 60:
+			return Refused, latency
+		case roll < 75:
+			return ConnectFailed, latency
+		case roll < 85:
+			return Broken, latency
+		case roll < 95:
+			return Errored, latency
+		}
+	}
+	switch {
+	case roll < 2:
+		return TimedOut, 0
+	case roll < 4:
+		return Broken, latency / 20
+	case roll < 6:
+		return Errored, latency
+	case roll < 9:
+		return Refused, latency
+	case roll < 10:
+		return NotSent, latency
+	case roll < 11:
+		return NotBegun, 0
+	}
+	return Served, latency
+}
+
+func (w *traceWorld) message() Message {
+	w.next++
+	m := Message{ID: w.next, Class: w.random.Intn(len(w.settings.Classes)), Tenant: w.random.Intn(len(w.settings.Tenants)+1) - 1,
+		Destination: DestinationID(w.random.Intn(8))}
+	m.Deadline = w.now + w.settings.Classes[m.Class].Deadline
+	if w.random.Intn(2) == 0 {
+		m.Key = uint64(1 + w.random.Intn(6))
+	}
+	switch w.random.Intn(12) {
+	case 0:
+		m.Resumed, m.Tried, m.MayRun, m.FirstRun, m.RanZone = true, 1, true, w.now-time.Second, 1
+	case 1:
+		m.Rules = &Rules{w.settings.Classes[w.random.Intn(len(w.settings.Classes))], 4}
+	case 2:
+		m.NotBefore, m.Resumed = w.now+200*ms, true
+	}
+	return m
+}
+
+func (w *traceWorld) events() []Event {
+	var events []Event
+	if w.now%time.Minute == 0 || w.random.Intn(300) == 0 {
+		w.list[w.random.Intn(len(w.list))].Rating = float64(w.random.Intn(40))
+		events = append(events, ListNews{Whole: true, Endpoints: append([]Endpoint(nil), w.list...)})
+	}
+	switch w.random.Intn(250) {
+	case 0:
+		i := w.random.Intn(len(w.list))
+		w.list[i].Ready = !w.list[i].Ready
+		events = append(events, ListNews{Endpoints: []Endpoint{w.list[i]}})
+	case 1:
+		events = append(events, ListNews{Failed: true})
+	case 2:
+		events = append(events, Storage{Failing: w.random.Intn(2) == 0})
+	case 3:
+		events = append(events, ListStale{Stale: w.random.Intn(2) == 0})
+	case 4:
+		events = append(events, WaitTold{Endpoint: EndpointID(w.random.Intn(15)), Wait: time.Duration(w.random.Intn(600)) * ms})
+	case 5:
+		w.settings.MaxAttempts = 3 + w.random.Intn(4)
+		w.settings.Slots = 6 + w.random.Intn(20)
+		events = append(events, NewSettings{w.settings})
+	case 6, 7, 8:
+		events = append(events, Storage{}, ListStale{})
+	case 9, 10:
+		events = append(events, Withdrawn{Message: MessageID(w.random.Intn(int(w.next) + 1))})
+	}
+	for n := w.random.Intn(3) * w.random.Intn(2); n > 0; n-- {
+		m := w.message()
+		w.pending[m.ID] = m
+		events = append(events, m)
+	}
+	var left []traceCall
+	for _, c := range w.calls {
+		if c.ends > w.now {
+			left = append(left, c)
+			continue
+		}
+		end := AttemptEnd{Message: c.send.Message, Attempt: c.attempt, Endpoint: c.send.Endpoint, Outcome: c.outcome,
+			Elapsed: w.now - c.sent, Over: c.outcome == Served}
+		if c.outcome == Refused && w.random.Intn(2) == 0 {
+			end.Wait = time.Duration(w.random.Intn(3500)) * ms
+		}
+		if w.random.Intn(4) == 0 {
+			end.Reported, end.Left, end.Limit = true, w.random.Float64(), float64(w.random.Intn(50))
+		}
+		if c.outcome == Broken {
+			end.Idle = time.Duration(w.random.Intn(3)) * time.Second
+		}
+		events = append(events, end)
+	}
+	w.calls = left
+	if w.random.Intn(3) == 0 {
+		events = append(events, Alarm{})
+	}
+	return events
+}
+
+func (w *traceWorld) carryOut(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Send:
+			w.note("send %d %d %d %d", a.Message, a.Endpoint, a.Timeout, a.Begin)
+			outcome, latency := w.outcome(a.Endpoint)
+			if outcome == TimedOut || latency > a.Timeout {
+				outcome, latency = TimedOut, a.Timeout
+			}
+			w.calls = append(w.calls, traceCall{a, w.sent[a.Message], w.now, w.now + latency, outcome})
+			w.sent[a.Message]++
+		case Refuse:
+			w.note("reject %d %d", a.Message, a.HoldOff)
+		case Fail:
+			w.note("fail %d", a.Message)
+		case Cancel:
+			w.note("cancel %d %d", a.Message, a.Attempt)
+			for i := range w.calls {
+				if c := &w.calls[i]; c.send.Message == a.Message && c.attempt == a.Attempt {
+					c.ends, c.outcome = w.now, Cancelled
+				}
+			}
+		case Withhold:
+			w.note("abort unsent %d", a.Endpoint)
+		case CloseIdle:
+			w.note("close idle %d", a.Endpoint)
+		case SetAlarm:
+			w.note("timer %d", a.At)
+		case WatchList:
+			w.note("watch")
+		case NoteOutages:
+			for _, o := range a.Outages {
+				w.note("outage %d %d %v %v %v %d %d %v", o.Destination, o.Endpoint, o.Apart, o.Over, o.Cold, o.Since, o.Began, o.Before)
+			}
+			w.outages = append(w.outages, a.Outages...)
+		case Log:
+			// Log lines are for people and may be reworded.
+		default:
+			w.note("unknown %T", a)
+		}
+	}
+}
+
+// restart replaces the module as a restart of the process does, or with handOver as an upgrade does.
+func (w *traceWorld) restart(t *testing.T, handOver bool) {
+	t.Helper()
+	before := w.module
+	w.module = New(w.settings, w.seed+uint64(w.now))
+	w.carryOut(w.module.Step(w.now, []Event{ListNews{Whole: true, Endpoints: append([]Endpoint(nil), w.list...)}}))
+	var out []traceCall
+	if handOver {
+		var wire bytes.Buffer
+		if err := gob.NewEncoder(&wire).Encode(before.Remember()); err != nil {
+			t.Fatal(err)
+		}
+		var m Memory
+		if err := gob.NewDecoder(&wire).Decode(&m); err != nil {
+			t.Fatal(err)
+		}
+		w.module.Recall(m)
+		out = w.calls
+	} else {
+		w.carryOut(w.module.Step(w.now, []Event{KnownOutages{w.outages}}))
+	}
+	resting := before.Resting()
+	attempts := w.sent
+	w.calls, w.sent = nil, map[MessageID]int{}
+	var events []Event
+	for id := MessageID(1); id <= w.next; id++ {
+		m, held := w.pending[id]
+		if !held || before.byID[id] == nil || before.byID[id].over {
+			delete(w.pending, id)
+			continue
+		}
+		m.Resumed, m.NotBefore = true, resting[id]
+		if made := attempts[id]; made > 0 {
+			m.Tried, m.MayRun = made, true
+			m.FirstRun = max(m.FirstRun, w.now-time.Second)
+		}
+		for i, c := range out {
+			if c.send.Message == id {
+				m.Out = &Out{Endpoint: c.send.Endpoint, Call: uint64(i), Sent: c.sent, Timeout: c.send.Timeout}
+				c.attempt = 0
+				m.Tried--
+				w.calls = append(w.calls, c)
+				w.sent[id] = 1
+				break
+			}
+		}
+		events = append(events, m)
+	}
+	w.carryOut(w.module.Step(w.now, events))
+}
+
+// run plays the world and returns the digest of each block of steps.
+func (w *traceWorld) run(t *testing.T) []string {
+	t.Helper()
+	var lines []string
+	for step := range traceSteps {
+		events := w.events()
+		w.carryOut(w.module.Step(w.now, events))
+		switch {
+		case step%1000 == 700:
+			w.restart(t, true)
+		case step%1000 == 950:
+			w.restart(t, false)
+		}
+		w.note("avoided %d", w.module.Avoided())
+		if step%traceBlock == traceBlock-1 {
+			lines = append(lines, fmt.Sprintf("%d %d %016x", step+1, w.next, w.digest.Sum64()))
+		}
+		w.now += time.Duration(1+w.random.Intn(40)) * ms
+	}
+	return lines
+}
+
+func TestDecisionsAreThoseRecorded(t *testing.T) {
+	for seed := int64(1); seed <= 12; seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			got := newTraceWorld(seed).run(t)
+			file := filepath.Join("testdata", "traces", fmt.Sprintf("seed-%d.txt", seed))
+			if *recordTraces {
+				var text bytes.Buffer
+				for _, line := range got {
+					fmt.Fprintln(&text, line)
+				}
+				if err := os.WriteFile(file, text.Bytes(), 0o600); err != nil {
+					t.Fatal(err)
+				}
+				return
+			}
+			f, err := os.Open(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer f.Close()
+			n := 0
+			for lines := bufio.NewScanner(f); lines.Scan(); n++ {
+				if n >= len(got) || lines.Text() != got[n] {
+					t.Fatalf("block %d: recorded %q, now %q", n, lines.Text(), got[min(n, len(got)-1)])
+				}
+			}
+			if n != len(got) {
+				t.Errorf("%d blocks are recorded, now %d", n, len(got))
+			}
+		})
+	}
+}
--- a/cmd/saffronyard/main_test.go
+++ b/cmd/saffronyard/main_test.go
@@ -109,6 +109,12 @@
 
 // launchLogging starts a sender's process whose log goes to a file.
 func launchLogging(t *testing.T, p *st.Platform, state, addr string, socket, log *os.File, env ...string) *process {
+	t.Helper()
+	return launchProgram(t, os.Args[0], p, state, addr, socket, log, env...)
+}
+
+// launchProgram starts a process of a given program.
+func launchProgram(t *testing.T, program string, p *st.Platform, state, addr string, socket, log *os.File, env ...string) *process {
 	t.Helper()
 	raw, err := json.Marshal(st.Config(p, state))
 	if err != nil {
@@ -118,7 +124,7 @@
 	if err := os.WriteFile(config, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := &process{exec.Command(os.Args[0]), addr, config}
+	c := &process{exec.Command(program), addr, config}
 	c.Env = append(os.Environ(), "SAFFRONYARD_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0", "EDGE_CONFIG="+config, "EDGE_LISTEN="+addr, "EDGE_STATE="+state)
 	c.Env = append(c.Env, env...)
 	if socket != nil {
--- /dev/null
+++ b/cmd/saffronyard/release_test.go
@@ -0,0 +1,163 @@
+package main
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	st "dockshift.example/dockshift/internal/sendertest"
+)
+
+// releaseCommit is the release in service. It hands over to this program in an upgrade, and takes over from it in a roll-back.
+const releaseCommit = "5d1fee9"
+
+// buildRelease builds the program of the release from the history and returns its path.
+func buildRelease(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	archive := filepath.Join(dir, "release.tar")
+	program := filepath.Join(dir, "release")
+	for _, command := range []*exec.Cmd{
+		exec.Command("git", "archive", "-o", archive, releaseCommit+":"),
+		exec.Command("tar", "-xf", archive, "-C", dir),
+		exec.Command("go", "build", "-o", program, "./cmd/saffronyard"),
+	} {
+		command.Dir = dir
+		if command.Args[0] == "git" {
+			command.Dir = filepath.Join("..", "..")
+		}
+		if out, err := command.CombinedOutput(); err != nil {
+			t.Fatalf("%v: %v: %s", command.Args, err, out)
+		}
+	}
+	return program
+}
+
+// adminReply is the reply to one call at the operators' address, empty while nobody answers there.
+func adminReply(admin, call string) string {
+	conn, err := net.Dial("tcp", admin)
+	if err != nil {
+		return ""
+	}
+	defer conn.Close()
+	io.WriteString(conn, call+"\n")
+	reply, _ := io.ReadAll(conn)
+	return string(reply)
+}
+
+// waitReply waits until a reply holds all texts.
+func waitReply(t *testing.T, admin, call string, texts ...string) {
+	t.Helper()
+	for end := time.Now().Add(st.Wait); ; time.Sleep(5 * time.Millisecond) {
+		reply := adminReply(admin, call)
+		missing := ""
+		for _, text := range texts {
+			if !strings.Contains(reply, text) {
+				missing = text
+			}
+		}
+		if missing == "" {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("%s gives %q, without %q", call, reply, missing)
+		}
+	}
+}
+
+// The release hands over to this program, and that to the release again. A call that is in flight at the time ends once and where
+// it is counted, a message that waits is delivered by the successor, and a request that still comes on a connection to the
+// predecessor is answered there.
+func TestReleaseHandsOverAndTakesOverAgain(t *testing.T) {
+	release := buildRelease(t)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	socket, err := l.(*net.TCPListener).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer socket.Close()
+	addr, state := l.Addr().String(), t.TempDir()
+	opened := make(chan struct{}, 1)
+	slow := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
+		<-opened
+		return st.Status(200)(c, conn)
+	})
+	quick := st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, slow.Addr, quick.Addr)
+
+	start := func(program string) (*process, string) {
+		admin := freeAddr(t)
+		c := launchProgram(t, program, p, state, addr, socket, os.Stderr, "EDGE_PASSED_SOCKET=3", "EDGE_ADMIN_ADDR="+admin)
+		waitReply(t, admin, "HEALTH", "ok\n")
+		return c, admin
+	}
+	before, beforeAdmin := start(release)
+	for stage, program := range []string{os.Args[0], release} {
+		name := []string{"upgrade", "roll-back"}[stage]
+		client := &http.Client{Transport: &http.Transport{}, Timeout: st.Wait}
+		handIn := func(id string, destination int) {
+			t.Helper()
+			resp, err := client.Do(st.Message(t, addr, id, "unsafe", destination, 15*time.Second, "body of "+id))
+			if err != nil {
+				t.Fatal(err)
+			}
+			io.Copy(io.Discard, resp.Body)
+			resp.Body.Close()
+			if resp.StatusCode != http.StatusAccepted {
+				t.Fatalf("%s is answered %s", id, resp.Status)
+			}
+		}
+		unlisted := 10 + stage // a destination that has no endpoint yet
+		handIn(name+" in flight", 0)
+		if c := slow.Next(t); c.ID != name+" in flight" {
+			t.Fatalf("the slow endpoint got %s", c.ID)
+		}
+		handIn(name+" waiting", unlisted)
+
+		after, afterAdmin := start(program)
+		waitReply(t, beforeAdmin, "HEALTH", "fail leaving\n")
+		waitReply(t, afterAdmin, "DUMP", "outstanding=2\n", "forwards=0\n")
+		handIn(name+" forwarded", 1) // on the connection to the predecessor
+		if c := quick.Next(t); c.ID != name+" forwarded" || c.Body != "body of "+name+" forwarded" {
+			t.Errorf("the quick endpoint got %+v", c)
+		}
+		opened <- struct{}{}
+		waitReply(t, afterAdmin, "DUMP", "outstanding=1\n", "succeeded.unsafe=2\n", "aborted.unsafe=0\n", "forwards=1\n")
+		p.Change(st.Target("late-"+name, quick.Addr, unlisted, "SERVING"))
+		if c := quick.Next(t); c.ID != name+" waiting" || c.Body != "body of "+name+" waiting" {
+			t.Errorf("the quick endpoint got %+v", c)
+		}
+		waitReply(t, afterAdmin, "DUMP", "outstanding=0\n", "succeeded.unsafe=3\n", "forwards=2\n")
+		client.CloseIdleConnections()
+		if err := before.Process.Signal(syscall.SIGTERM); err != nil {
+			t.Fatal(err)
+		}
+		if err := before.Wait(); err != nil {
+			t.Errorf("%s: the predecessor leaves with %v", name, err)
+		}
+		before, beforeAdmin = after, afterAdmin
+	}
+	for _, e := range []*st.Endpoint{slow, quick} {
+		select {
+		case c := <-e.Calls:
+			t.Errorf("%s is sent again", c.ID)
+		default:
+		}
+	}
+	select {
+	case n := <-p.Notices:
+		t.Errorf("a notice of %s: %s", n.Message, n.Outcome)
+	default:
+	}
+}
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -53,9 +53,9 @@
 	l := newLink(c)
 	l.send(packet{Hello: &hello{handVersion}})
 	dec := gob.NewDecoder(c)
-	var p packet
 	c.SetReadDeadline(time.Now().Add(handTime))
-	if err := dec.Decode(&p); err != nil || p.Estate == nil {
+	p, err := readPacket(dec)
+	if err != nil || p.Estate == nil {
 		l.close()
 		return nil, nil, nil, fmt.Errorf("the holder's snapshot: %w", errors.Join(err, errors.New("nothing came")))
 	}
@@ -133,9 +133,9 @@
 			return
 		}
 		dec := gob.NewDecoder(c)
-		var p packet
 		c.SetReadDeadline(time.Now().Add(handTime))
-		if err := dec.Decode(&p); err != nil || p.Hello == nil || p.Hello.Version != handVersion {
+		p, err := readPacket(dec)
+		if err != nil || p.Hello == nil || p.Hello.Version != handVersion {
 			s.log.Warn("a newcomer that is not understood", "err", err)
 			c.Close()
 			continue
--- a/internal/sender/link.go
+++ b/internal/sender/link.go
@@ -93,7 +93,7 @@
 					continue
 				}
 				c.SetWriteDeadline(time.Now().Add(handTime))
-				if enc.Encode(p) != nil {
+				if enc.Encode(freeze(p)) != nil {
 					l.close()
 					return
 				}
@@ -146,8 +146,8 @@
 // listen passes on what the other process says, and then that it is gone.
 func (l *link) listen(dec *gob.Decoder, post func(any)) {
 	for {
-		var p packet
-		if err := dec.Decode(&p); err != nil {
+		p, err := readPacket(dec)
+		if err != nil {
 			break
 		}
 		post(linkEvent{link: l, packet: p})
