--- a/cmd/saffronyard/main.go
+++ b/cmd/sender/main.go
@@ -1,11 +1,11 @@
-// Command saffronyard is the real sender: it reads its configuration, listens, and serves until SIGTERM. SIGHUP
+// Command sender is the real sender: it reads its configuration, listens, and serves until SIGTERM. SIGHUP
 // makes it read the configuration again.
 package main
 
 import (
 	"os"
 
-	"dockshift.example/dockshift/internal/sender"
+	"onyxdyke.example/onyxdyke/internal/sender"
 )
 
 func main() {
--- a/cmd/saffronyard/main_test.go
+++ b/cmd/sender/main_test.go
@@ -16,12 +16,12 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // TestMain is the sender itself when a test starts it as a process of its own.
 func TestMain(m *testing.M) {
-	if os.Getenv("SAFFRONYARD_TEST_CHILD") != "" {
+	if os.Getenv("SENDER_TEST_CHILD") != "" {
 		main()
 		return
 	}
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	c := &process{exec.Command(program), addr, config}
-	c.Env = append(os.Environ(), "SAFFRONYARD_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0", "EDGE_CONFIG="+config, "EDGE_LISTEN="+addr, "EDGE_STATE="+state)
+	c.Env = append(os.Environ(), "SENDER_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0", "EDGE_CONFIG="+config, "EDGE_LISTEN="+addr, "EDGE_STATE="+state)
 	c.Env = append(c.Env, env...)
 	if socket != nil {
 		c.ExtraFiles = []*os.File{socket}
@@ -426,7 +426,7 @@
 			t.Fatal(err)
 		}
 		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "SAFFRONYARD_TEST_CHILD=1", "EDGE_CONFIG="+file)
+		c.Env = append(os.Environ(), "SENDER_TEST_CHILD=1", "EDGE_CONFIG="+file)
 		out, err := c.CombinedOutput()
 		if err == nil || bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte(named)) {
 			t.Errorf("%s: %v: %s", settings, err, out)
--- a/cmd/saffronyard/release_test.go
+++ b/cmd/sender/release_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // releaseCommit is the release in service. It hands over to this program in an upgrade, and takes over from it in a roll-back.
--- a/cmd/wirehost/host.go
+++ b/cmd/simadapter/host.go
@@ -6,17 +6,17 @@
 	"math"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/settings"
-	"dockshift.example/dockshift/internal/wire"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/settings"
+	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
 // instance is one hosted sender.
 type instance struct {
 	number      uint16
-	brain       *brain.Brain
+	dispatcher  *dispatch.Dispatcher
 	left, limit int // places of the two report values, -1 if absent
-	events      []brain.Event
+	events      []dispatch.Event
 	classes     int
 	seen        bool // has events in this batch
 }
@@ -24,19 +24,19 @@
 type host struct {
 	instances map[uint16]*instance
 	order     []*instance // in order of first event in the batch
-	pages     map[uint32][]wire.Node
-	reply     wire.Reply
+	pages     map[uint32][]simprotocol.Node
+	reply     simprotocol.Reply
 }
 
 func newHost() *host {
-	return &host{instances: map[uint16]*instance{}, pages: map[uint32][]wire.Node{}}
+	return &host{instances: map[uint16]*instance{}, pages: map[uint32][]simprotocol.Node{}}
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // round handles one batch; it reports false when the input has ended.
 func (h *host) round(r io.Reader, w io.Writer) (bool, error) {
-	batch, err := wire.ReadBatch(r)
+	batch, err := simprotocol.ReadBatch(r)
 	if err == io.EOF {
 		return false, nil
 	}
@@ -61,12 +61,12 @@
 }
 
 // take books one record with its instance.
-func (h *host) take(e *wire.Event) error {
+func (h *host) take(e *simprotocol.Event) error {
 	switch e.Code {
-	case wire.CodeCatalog:
+	case simprotocol.CodeCatalog:
 		h.pages[e.Page] = e.Nodes
 		return nil
-	case wire.CodeHello:
+	case simprotocol.CodeHello:
 		in, err := newInstance(e)
 		if err != nil {
 			return err
@@ -80,7 +80,7 @@
 	if in == nil {
 		return fmt.Errorf("instance %d is not running", e.Instance)
 	}
-	if e.Code == wire.CodeExit {
+	if e.Code == simprotocol.CodeExit {
 		delete(h.instances, e.Instance)
 		return nil
 	}
@@ -99,62 +99,62 @@
 }
 
 // event translates one record; nil for those that the module has no use for.
-func (h *host) event(in *instance, e *wire.Event) (brain.Event, error) {
+func (h *host) event(in *instance, e *simprotocol.Event) (dispatch.Event, error) {
 	switch e.Code {
-	case wire.CodeDirectory:
+	case simprotocol.CodeDirectory:
 		if e.Scope > 3 {
 			return nil, fmt.Errorf("scope %d is unknown", e.Scope)
 		}
 		if e.Scope == 3 {
-			return brain.ListNews{Failed: true}, nil
+			return dispatch.EndpointListUpdate{Failed: true}, nil
 		}
 		nodes, ok := h.pages[e.Page]
 		if !ok {
 			return nil, fmt.Errorf("catalog %d was never sent", e.Page)
 		}
-		news := brain.ListNews{Whole: e.Scope != 0}
+		news := dispatch.EndpointListUpdate{Full: e.Scope != 0}
 		for _, n := range nodes {
-			news.Endpoints = append(news.Endpoints, brain.Endpoint{ID: brain.EndpointID(n.Endpoint),
-				Destination: brain.DestinationID(n.Cell), Kind: int(n.Kind), Zone: int(n.Zone),
+			news.Endpoints = append(news.Endpoints, dispatch.Endpoint{ID: dispatch.EndpointID(n.Endpoint),
+				Destination: dispatch.DestinationID(n.Cell), Kind: int(n.Kind), Zone: int(n.Zone),
 				Ready: n.Availability == 1, Rating: float64(n.Rating)})
 		}
 		return news, nil
-	case wire.CodeSubmit:
+	case simprotocol.CodeSubmit:
 		if int(e.Priority) >= in.classes {
 			return nil, fmt.Errorf("class %d is not among the settings", e.Priority)
 		}
 		if e.FarEnd < 0 || e.FarEnd > math.MaxUint16 {
 			return nil, fmt.Errorf("destination %g is out of bounds", e.FarEnd)
 		}
-		return brain.Message{ID: brain.MessageID(e.Call), Class: int(e.Priority), Tenant: int(e.Billing),
-			Destination: brain.DestinationID(e.FarEnd), Key: e.Object, Deadline: settings.Span(e.Expires)}, nil
-	case wire.CodeEnd:
+		return dispatch.Message{ID: dispatch.MessageID(e.Call), Class: int(e.Priority), Tenant: int(e.Billing),
+			Destination: dispatch.DestinationID(e.FarEnd), Key: e.Object, Deadline: settings.Span(e.Expires)}, nil
+	case simprotocol.CodeEnd:
 		outcome, ok := outcomes[e.Result]
 		if !ok {
 			return nil, fmt.Errorf("result %d is unknown", e.Result)
 		}
-		end := brain.AttemptEnd{Message: brain.MessageID(e.Call), Attempt: int(e.Try),
-			Endpoint: brain.EndpointID(e.Endpoint), Outcome: outcome, Elapsed: settings.Span(e.Elapsed), Over: e.NoMore}
-		if outcome == brain.Refused {
-			end.Wait = time.Duration(e.WaitMs) * time.Millisecond
+		end := dispatch.AttemptResult{Message: dispatch.MessageID(e.Call), Attempt: int(e.Try),
+			Endpoint: dispatch.EndpointID(e.Endpoint), Outcome: outcome, Elapsed: settings.Span(e.Elapsed), Final: e.NoMore}
+		if outcome == dispatch.Rejected {
+			end.RetryAfter = time.Duration(e.WaitMs) * time.Millisecond
 		}
 		if in.left >= 0 && in.left < len(e.Report) {
-			end.Reported, end.Left = true, float64(e.Report[in.left])
+			end.HasLoadReport, end.QuotaLeft = true, float64(e.Report[in.left])
 		}
 		if in.limit >= 0 && in.limit < len(e.Report) {
-			end.Limit = float64(e.Report[in.limit])
+			end.RateLimit = float64(e.Report[in.limit])
 		}
 		return end, nil
-	case wire.CodeGone:
-		return brain.Withdrawn{Message: brain.MessageID(e.Call)}, nil
-	case wire.CodeAlarm:
-		return brain.Alarm{}, nil
+	case simprotocol.CodeGone:
+		return dispatch.MessageCancelled{Message: dispatch.MessageID(e.Call)}, nil
+	case simprotocol.CodeAlarm:
+		return dispatch.TimerFired{}, nil
 	}
 	return nil, nil
 }
 
-var outcomes = map[uint8]brain.Outcome{10: brain.Served, 20: brain.Errored, 30: brain.Refused, 40: brain.TimedOut,
-	50: brain.ConnectFailed, 60: brain.Broken, 70: brain.Cancelled, 80: brain.NotSent}
+var outcomes = map[uint8]dispatch.Outcome{10: dispatch.Served, 20: dispatch.Errored, 30: dispatch.Rejected, 40: dispatch.TimedOut,
+	50: dispatch.ConnectFailed, 60: dispatch.ConnectionBroken, 70: dispatch.Cancelled, 80: dispatch.NotSent}
 
 // step runs the module and writes its actions; a panic in it becomes an internal_error.
 func (h *host) step(in *instance, now time.Duration) {
@@ -163,30 +163,30 @@
 			h.reply.InternalError(in.number, fmt.Sprint("panic in the decision module: ", p))
 		}
 	}()
-	for _, a := range in.brain.Step(now, in.events) {
+	for _, a := range in.dispatcher.Step(now, in.events) {
 		switch a := a.(type) {
-		case brain.Send:
+		case dispatch.Send:
 			h.reply.Send(in.number, uint64(a.Message), millis(a.Timeout), uint32(a.Endpoint))
-		case brain.Refuse:
-			h.reply.Decline(in.number, uint64(a.Message), millis(a.HoldOff))
-		case brain.Fail:
+		case dispatch.Reject:
+			h.reply.Decline(in.number, uint64(a.Message), millis(a.RetryAfter))
+		case dispatch.Fail:
 			h.reply.FinishError(in.number, uint64(a.Message))
-		case brain.Cancel:
+		case dispatch.Cancel:
 			h.reply.Cancel(in.number, uint64(a.Message), uint8(a.Attempt))
-		case brain.CloseIdle:
+		case dispatch.CloseIdle:
 			h.reply.Close(in.number, uint32(a.Endpoint))
-		case brain.SetAlarm:
+		case dispatch.SetTimer:
 			h.reply.WakeMe(in.number, millis(a.At), 0)
-		case brain.WatchList:
+		case dispatch.WatchEndpointList:
 			h.reply.StreamChanges(in.number)
-		case brain.Log:
+		case dispatch.Log:
 			h.reply.WriteLog(in.number, a.Line)
 		}
 	}
 }
 
-func newInstance(e *wire.Event) (*instance, error) {
-	env, err := wire.ParseEnv(e.Env)
+func newInstance(e *simprotocol.Event) (*instance, error) {
+	env, err := simprotocol.ParseEnv(e.Env)
 	if err != nil {
 		return nil, err
 	}
@@ -203,6 +203,6 @@
 	if err := env.Err(); err != nil {
 		return nil, err
 	}
-	in.brain = brain.New(s, e.Nonce)
+	in.dispatcher = dispatch.New(s, e.Nonce)
 	return in, nil
 }
--- a/cmd/wirehost/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -64,7 +64,7 @@
 
 // build makes the adapter once for a test.
 func build(t *testing.T) string {
-	bin := filepath.Join(t.TempDir(), "wirehost")
+	bin := filepath.Join(t.TempDir(), "simadapter")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
@@ -156,7 +156,7 @@
 	if _, err := h.round(in, &out); err != nil {
 		t.Fatal(err)
 	}
-	h.instances[0].brain = nil
+	h.instances[0].dispatcher = nil
 	out.Reset()
 	if _, err := h.round(bytes.NewReader(join(1001, submit(0, 1))), &out); err != nil {
 		t.Fatal(err)
--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts instances of the decision module on the simulator's wire: batches come on
+// Command simadapter hosts instances of the decision module on the simulator's wire: batches come on
 // standard input, replies go to standard output. It translates and decides nothing.
 package main
 
@@ -11,7 +11,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/pflag"
 
-	"dockshift.example/dockshift/internal/emulator"
+	"onyxdyke.example/onyxdyke/internal/emulator"
 )
 
 // senderVariable makes this program one of the senders.
--- a/internal/sender/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -1,4 +1,4 @@
-package sender
+package clock
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 )
 
 // machine is a clock as a process on a machine has it that has been up for so long, its wall clock at a time.
-func machine(boot string, uptime time.Duration, wall time.Time) *clock {
-	c := &clock{read: time.Now(), uptime: uptime, boot: boot}
+func machine(boot string, uptime time.Duration, wall time.Time) *Clock {
+	c := &Clock{readAt: time.Now(), uptime: uptime, bootID: boot}
 	c.offset.Store(wall.UnixNano() - int64(uptime))
 	return c
 }
@@ -34,8 +34,8 @@
 			t.Parallel()
 			first := machine(c.bootBefore, time.Hour, began)
 			second := machine(c.boot, c.uptime, began.Add(c.wall))
-			second.follow(*first.epoch())
-			if got := second.now() - first.now(); got < c.want-time.Second || got > c.want+time.Second {
+			second.Follow(*first.Epoch())
+			if got := second.Now() - first.Now(); got < c.want-time.Second || got > c.want+time.Second {
 				t.Errorf("it goes on %v later, want %v", got, c.want)
 			}
 		})
--- a/brain/brain.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // The course of a decision: Step takes in events, ends what cannot be served, and sends. Beside it
 // stand admission (state.go), oracle.go, health.go, worth.go, choice.go and outcomes.go. The interface
@@ -35,7 +35,7 @@
 
 // Step takes in all events of a batch, then decides once. The actions are to be carried out in order.
 // Time never goes back; a batch dated before the last is taken as of the last.
-func (b *Brain) Step(now time.Duration, events []Event) []Action {
+func (b *Dispatcher) Step(now time.Duration, events []Event) []Action {
 	now = max(now, b.now)
 	b.now, b.wake, b.acts, b.fresh = now, never, nil, 0
 	if b.started == -never {
@@ -48,39 +48,39 @@
 		switch e := e.(type) {
 		case Message:
 			b.admit(e)
-		case AttemptEnd:
+		case AttemptResult:
 			b.ended(e)
-		case Storage:
+		case StorageStatus:
 			b.halted = e.Failing
-		case ListStale:
+		case EndpointListStale:
 			b.listStale = e.Stale
-		case KnownOutages:
+		case OutagesRestored:
 			b.recallOutages(e.Outages)
-		case WaitTold:
+		case RetryAfterReceived:
 			if at := b.endpoints[e.Endpoint]; at != nil {
-				b.heedWait(b.dests[at.Destination], at.route, e.Wait)
+				b.heedWait(b.dests[at.Destination], at.route, e.RetryAfter)
 			}
-		case Alarm: // the clock may be coarser than ours: one that comes a little early is the one set
-			if b.alarm <= now+b.s.Step {
+		case TimerFired: // the clock may be coarser than ours: one that comes a little early is the one set
+			if b.alarm <= now+b.s.StepInterval {
 				b.alarm = never
 			}
-		case Withdrawn:
+		case MessageCancelled:
 			if m := b.byID[e.Message]; m != nil {
 				b.close(m)
 			}
-		case NewSettings:
+		case SettingsChanged:
 			b.retune(e.Settings)
-		case ListNews:
+		case EndpointListUpdate:
 			if !e.Failed {
 				b.news(e)
-			} else if b.s.AsksForList {
+			} else if b.s.PollsEndpointList {
 				b.askAt = b.now + askAgain
 			}
 		}
 	}
 	if b.askAt <= now {
 		b.askAt = never
-		b.acts = append(b.acts, WatchList{})
+		b.acts = append(b.acts, WatchEndpointList{})
 	}
 	b.wakeAt(b.askAt)
 	b.expire()
@@ -89,33 +89,34 @@
 	b.closeIdle()
 	b.noteOutages()
 	if b.wake < b.alarm {
-		b.alarm = max(b.wake, now+b.s.Step)
-		b.acts = append(b.acts, SetAlarm{b.alarm})
+		b.alarm = max(b.wake, now+b.s.StepInterval)
+		b.acts = append(b.acts, SetTimer{b.alarm})
 	}
 	return b.acts
 }
 
 // mayRepeat: no attempt may have run, or a repeat sent now surely does no harm.
-func (b *Brain) mayRepeat(m *message, at time.Duration) bool {
-	if !m.mayRun || m.class.Effect == Safe {
+func (b *Dispatcher) mayRepeat(m *message, at time.Duration) bool {
+	if !m.mayRun || m.class.Effect == Idempotent {
 		return true
 	}
-	return m.class.Effect == Keyed && at+holdUp+b.s.Step+m.route().quickest < m.firstRun+m.class.KeyWindow
+	arrival := at + holdUp + b.s.StepInterval + m.route().quickest
+	return m.class.Effect == IdempotentByKey && arrival < m.firstRun+m.class.IdempotencyWindow
 }
 
 // lastBegin is the latest time at which a call of m to r may begin: it takes as long as the quickest one
 // served there, and has to be over at m's deadline, or a repeat while m's key is remembered.
-func (b *Brain) lastBegin(m *message, r *route) time.Duration {
-	last := m.Deadline - max(r.quickest, b.s.Step)
-	if m.mayRun && m.class.Effect == Keyed {
-		last = min(last, m.firstRun+m.class.KeyWindow-holdUp-r.quickest-b.s.Step)
+func (b *Dispatcher) lastBegin(m *message, r *route) time.Duration {
+	last := m.Deadline - max(r.quickest, b.s.StepInterval)
+	if m.mayRun && m.class.Effect == IdempotentByKey {
+		last = min(last, m.firstRun+m.class.IdempotencyWindow-holdUp-r.quickest-b.s.StepInterval)
 	}
 	return last
 }
 
 // expire fails what cannot be served any more, in time: too little time left for the quickest call
 // served there, no attempt left, or a repeat that would not be lawful.
-func (b *Brain) expire() {
+func (b *Dispatcher) expire() {
 	for _, m := range append([]*message(nil), b.held...) {
 		if m.out > 0 {
 			continue
@@ -141,8 +142,8 @@
 // with the longest queue, of a tenant beyond its share first: its client can come back, and others would
 // be turned away unseen. One goes for each that has come: what was held before has been promised, also
 // where the room has become less since.
-func (b *Brain) makeRoom() {
-	most := holdFull * float64(b.s.MostHeld)
+func (b *Dispatcher) makeRoom() {
+	most := holdFull * float64(b.s.MaxPendingMessages)
 	for ; b.fresh > 0 && most > 0 && float64(len(b.held)) > most; b.fresh-- {
 		var victim *message
 		longest := 0.0
@@ -159,10 +160,10 @@
 			return
 		}
 		hold := time.Duration(0)
-		if b.s.TellsHoldOff {
-			hold = b.s.MaxHoldOff
+		if b.s.SendsRetryAfter {
+			hold = b.s.MaxRetryAfter
 		}
-		b.acts = append(b.acts, Refuse{victim.ID, hold})
+		b.acts = append(b.acts, Reject{victim.ID, hold})
 		b.close(victim)
 	}
 }
--- a/brain/brain_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"math"
@@ -14,21 +14,21 @@
 
 // settings is a plain deployment: one destination kind, classes safe, keyed, unsafe and ordered.
 func settings() Settings {
-	return Settings{Senders: 2, Slots: 10, MostHeld: 100, MaxAttempts: 6, MayCancel: true, Step: 5 * ms,
-		SettleAfterDoubt: 300 * ms, FallMultiple: 2, StartCapacity: 0.2,
-		OverloadFor: 2 * time.Second, Cold: 10 * time.Second, Kinds: []Kind{{PerCall: 1}, {Apart: true, PerCall: 3}},
+	return Settings{Senders: 2, MaxConcurrentCalls: 10, MaxPendingMessages: 100, MaxAttempts: 6, CanCancelAttempts: true, StepInterval: 5 * ms,
+		OrderedKeySettleTime: 300 * ms, CollapseLoadFactor: 2, SlowStartCapacity: 0.2,
+		OverloadWindow: 2 * time.Second, SlowStartDuration: 10 * time.Second, Kinds: []Kind{{MaxBatchSize: 1}, {PerEndpoint: true, MaxBatchSize: 3}},
 		Classes: []Class{
-			{Aim: 2 * time.Second, Deadline: 20 * time.Second, Effect: Safe, Worth: 1, LateWorth: 0.3},
-			{Aim: 2 * time.Second, Deadline: 20 * time.Second, Effect: Keyed, KeyWindow: 6 * time.Second, Worth: 1, LateWorth: 0.3},
-			{Aim: 2 * time.Second, Deadline: 20 * time.Second, Effect: Unsafe, Worth: 1, LateWorth: 0.3},
-			{Aim: 2 * time.Second, Deadline: 20 * time.Second, Effect: Safe, Ordered: true, Worth: 1, LateWorth: 0.3},
+			{LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second, Effect: Idempotent, PriorityWeight: 1, LateWeight: 0.3},
+			{LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second, Effect: IdempotentByKey, IdempotencyWindow: 6 * time.Second, PriorityWeight: 1, LateWeight: 0.3},
+			{LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second, Effect: NonIdempotent, PriorityWeight: 1, LateWeight: 0.3},
+			{LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second, Effect: Idempotent, Ordered: true, PriorityWeight: 1, LateWeight: 0.3},
 		}}
 }
 
-// rig drives one Brain by hand and keeps what it did.
+// rig drives one Dispatcher by hand and keeps what it did.
 type rig struct {
 	*testing.T
-	b       *Brain
+	b       *Dispatcher
 	now     time.Duration
 	next    MessageID
 	sends   []Send
@@ -42,7 +42,7 @@
 func newRig(t *testing.T, s Settings) *rig {
 	r := &rig{T: t, b: New(s, 7), now: time.Hour, sentAt: map[MessageID]time.Duration{}, tries: map[MessageID]int{},
 		failed: map[MessageID]bool{}, refused: map[MessageID]bool{}}
-	r.step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Destination: 1, Ready: true},
+	r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Destination: 1, Ready: true},
 		{ID: 3, Destination: 2, Kind: 1, Ready: true}, {ID: 4, Destination: 2, Kind: 1, Ready: true}}})
 	return r
 }
@@ -57,7 +57,7 @@
 			r.tries[a.Message]++
 		case Fail:
 			r.failed[a.Message] = true
-		case Refuse:
+		case Reject:
 			r.refused[a.Message] = true
 		case Cancel:
 			r.cancels++
@@ -72,9 +72,9 @@
 	return Message{ID: r.next, Class: class, Destination: dest, Key: key, Deadline: r.now + 20*time.Second}
 }
 
-func (r *rig) end(s Send, o Outcome) AttemptEnd {
-	return AttemptEnd{Message: s.Message, Attempt: r.tries[s.Message] - 1, Endpoint: s.Endpoint, Outcome: o,
-		Elapsed: r.now - r.sentAt[s.Message], Over: o == Served}
+func (r *rig) end(s Send, o Outcome) AttemptResult {
+	return AttemptResult{Message: s.Message, Attempt: r.tries[s.Message] - 1, Endpoint: s.Endpoint, Outcome: o,
+		Elapsed: r.now - r.sentAt[s.Message], Final: o == Served}
 }
 
 // serve runs n messages through a destination, one at a time, each served after lat.
@@ -93,7 +93,7 @@
 func TestOracleAgainstDirectComputation(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	for round := range 20 {
-		var o oracle
+		var o timeoutEstimator
 		var times, weights []float64
 		late, w := 0.0, 1.0
 		for range 60 + rnd.Intn(200) {
@@ -155,7 +155,7 @@
 }
 
 func TestOracleFirstTimeoutAndDoubling(t *testing.T) {
-	var o oracle
+	var o timeoutEstimator
 	if o.tau() != tauFirst {
 		t.Fatalf("before any sample τ = %v", o.tau())
 	}
@@ -186,9 +186,9 @@
 	r := newRig(t, settings())
 	s := r.step(r.message(0, 0, 0))
 	r.now += 100 * ms
-	r.step(r.end(s[0], Refused))
+	r.step(r.end(s[0], Rejected))
 	r.now += time.Second
-	s = r.step(Alarm{})
+	s = r.step(TimerFired{})
 	r.now += 100 * ms
 	r.step(r.end(s[0], Served))
 	if n := r.b.dests[0].shared.seen; n != 0 {
@@ -244,7 +244,7 @@
 	deadline := r.now + 20*time.Second
 	r.now = r.b.alarm
 	for !r.failed[a.ID] && r.now < deadline {
-		r.step(Alarm{})
+		r.step(TimerFired{})
 		r.now = max(r.b.alarm, r.now+ms)
 	}
 	if !r.failed[a.ID] {
@@ -266,7 +266,7 @@
 	for i := 0; i < 100 && !r.failed[a.ID]; i++ {
 		set := r.b.alarm
 		r.now = set - 64*time.Nanosecond
-		acts := r.b.Step(r.now, []Event{Alarm{}})
+		acts := r.b.Step(r.now, []Event{TimerFired{}})
 		for _, x := range acts {
 			if f, ok := x.(Fail); ok {
 				r.failed[f.Message] = true
@@ -294,9 +294,9 @@
 		{"keyed in its window", 1, Errored, time.Second, true},
 		{"keyed past its window", 1, Errored, 6 * time.Second, false},
 		{"unsafe after an error", 2, Errored, time.Second, false},
-		{"unsafe after a refusal", 2, Refused, time.Second, true},
+		{"unsafe after a refusal", 2, Rejected, time.Second, true},
 		{"unsafe without a connection", 2, ConnectFailed, time.Second, true},
-		{"unsafe after a broken connection", 2, Broken, time.Second, false},
+		{"unsafe after a broken connection", 2, ConnectionBroken, time.Second, false},
 	} {
 		r := newRig(t, settings())
 		m := r.message(c.class, 0, 0)
@@ -305,7 +305,7 @@
 		r.step(r.end(s[0], c.outcome))
 		for range 40 {
 			r.now += 50 * ms
-			r.step(Alarm{})
+			r.step(TimerFired{})
 		}
 		if again := r.tries[m.ID] > 1; again != c.again {
 			t.Errorf("%s: repeated %v", c.name, again)
@@ -319,10 +319,10 @@
 // Rule 3: nothing goes to an endpoint from the batch that names it draining.
 func TestDrains(t *testing.T) {
 	r := newRig(t, settings())
-	if s := r.step(ListNews{Endpoints: []Endpoint{{ID: 1}}}, r.message(0, 0, 0)); len(s) != 0 {
+	if s := r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}}, r.message(0, 0, 0)); len(s) != 0 {
 		t.Fatalf("sent to a draining endpoint: %+v", s)
 	}
-	if s := r.step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}}); len(s) != 1 {
+	if s := r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}}); len(s) != 1 {
 		t.Fatalf("not sent to the endpoint that is back: %+v", s)
 	}
 	if s := r.step(r.message(0, 1, 0)); len(s) != 0 {
@@ -356,7 +356,7 @@
 		if len(r.b.held) < 60 {
 			events = append(events, r.message(0, 0, 0))
 		}
-		open = r.step(append(events, Alarm{})...)
+		open = r.step(append(events, TimerFired{})...)
 		if up {
 			if returned == 0 {
 				returned = r.now
@@ -366,17 +366,17 @@
 			}
 		}
 	}
-	if route.state == well || len(at) < 5 {
+	if route.state == healthy || len(at) < 5 {
 		t.Fatalf("state %v, %d calls after the return", route.state, len(at))
 	}
 	for i := range at {
 		n, j := 0, i
-		for ; j < len(at) && at[j] < at[i]+s.OverloadFor; j++ {
+		for ; j < len(at) && at[j] < at[i]+s.OverloadWindow; j++ {
 			n++
 		}
-		share := s.StartCapacity + (1-s.StartCapacity)*(at[i]+s.OverloadFor-returned).Seconds()/s.Cold.Seconds()
-		if bears := s.FallMultiple * share * usual * s.OverloadFor.Seconds(); float64(n) > bears+1 {
-			t.Fatalf("%d calls in %v from %v after the return, %.1f bearable", n, s.OverloadFor, at[i]-returned, bears)
+		share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*(at[i]+s.OverloadWindow-returned).Seconds()/s.SlowStartDuration.Seconds()
+		if bears := s.CollapseLoadFactor * share * usual * s.OverloadWindow.Seconds(); float64(n) > bears+1 {
+			t.Fatalf("%d calls in %v from %v after the return, %.1f bearable", n, s.OverloadWindow, at[i]-returned, bears)
 		}
 	}
 }
@@ -392,8 +392,8 @@
 	if c := r.b.calls; c != 1 {
 		t.Fatalf("a shared call holds %d slots", c)
 	}
-	e1, e2 := r.end(s[0], Refused), r.end(s[1], Refused)
-	e1.Wait, e2.Wait = 300*ms, 400*ms
+	e1, e2 := r.end(s[0], Rejected), r.end(s[1], Rejected)
+	e1.RetryAfter, e2.RetryAfter = 300*ms, 400*ms
 	r.step(e1)
 	r.now += 10 * ms
 	r.step(e2)
@@ -417,22 +417,22 @@
 	if len(s) != 1 || s[0].Message != a.ID {
 		t.Fatalf("first %+v", s)
 	}
-	s2 := r.step(Withdrawn{a.ID})
+	s2 := r.step(MessageCancelled{a.ID})
 	if len(s2) != 0 {
 		t.Fatal("sent while the earlier attempt has no outcome")
 	}
 	r.now += 4 * time.Second
 	e := r.end(s[0], TimedOut)
-	e.Over = true
+	e.Final = true
 	if s := r.step(e); len(s) != 0 {
 		t.Fatal("the key did not rest after a time-out")
 	}
 	r.now += 299 * ms
-	if s := r.step(Alarm{}); len(s) != 0 {
+	if s := r.step(TimerFired{}); len(s) != 0 {
 		t.Fatal("the key rested too short")
 	}
 	r.now += 6 * ms
-	if s := r.step(Alarm{}); len(s) != 1 || s[0].Message != b.ID {
+	if s := r.step(TimerFired{}); len(s) != 1 || s[0].Message != b.ID {
 		t.Fatalf("then %+v", s)
 	}
 }
@@ -440,7 +440,7 @@
 // Hung destinations held all slots to the deadlines of messages that may not be repeated.
 func TestSilentCallsGiveTheirSlotsBack(t *testing.T) {
 	set := settings()
-	set.Slots = 4
+	set.MaxConcurrentCalls = 4
 	r := newRig(t, set)
 	r.serve(30, 0, 20*ms)
 	r.serve(30, 1, 20*ms)
@@ -460,7 +460,7 @@
 	m := r.message(0, 2, 0)
 	r.step(m)
 	r.now += 2 * tauFirst
-	r.step(Alarm{})
+	r.step(TimerFired{})
 	if r.cancels != 1 {
 		t.Fatalf("%d calls taken back for one message", r.cancels)
 	}
@@ -468,7 +468,7 @@
 
 func TestNearlyFullSenderRefuses(t *testing.T) {
 	set := settings()
-	set.MostHeld = 10
+	set.MaxPendingMessages = 10
 	r := newRig(t, set)
 	for range 12 {
 		r.step(r.message(2, 9, 0))
@@ -481,11 +481,11 @@
 // An endpoint that is listed for another destination than before heeds the waits of that one, and of no other.
 func TestAnEndpointThatChangesItsDestination(t *testing.T) {
 	r := newRig(t, settings())
-	e := r.end(r.step(r.message(0, 0, 0))[0], Refused) // destination 0 is told to wait, by endpoint 1
-	e.Wait = 700 * ms
+	e := r.end(r.step(r.message(0, 0, 0))[0], Rejected) // destination 0 is told to wait, by endpoint 1
+	e.RetryAfter = 700 * ms
 	r.step(e)
-	r.step(ListNews{Endpoints: []Endpoint{{ID: 1}}})
-	r.step(ListNews{Endpoints: []Endpoint{{ID: 1, Destination: 1, Ready: true}, {ID: 2, Destination: 0, Ready: true}}})
+	r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}})
+	r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Destination: 1, Ready: true}, {ID: 2, Destination: 0, Ready: true}}})
 	if sends := r.step(r.message(0, 0, 0)); len(sends) > 0 {
 		t.Errorf("sent in its destination's wait: %+v", sends)
 	}
@@ -499,7 +499,7 @@
 // push more than one of them out.
 func TestResumedMessagesAreNotHandedBackForWantOfRoom(t *testing.T) {
 	set := settings()
-	set.MostHeld = 10
+	set.MaxPendingMessages = 10
 	r := newRig(t, set)
 	var events []Event
 	for range 30 {
@@ -512,7 +512,7 @@
 		t.Errorf("%d are handed back", len(r.refused))
 	}
 	r.step(r.message(2, 9, 0))
-	r.step(Alarm{})
+	r.step(TimerFired{})
 	if len(r.refused) != 1 {
 		t.Errorf("%d are handed back for one that came", len(r.refused))
 	}
@@ -520,11 +520,11 @@
 
 func TestListIsAskedForAndAskedAgain(t *testing.T) {
 	set := settings()
-	set.AsksForList = true
+	set.PollsEndpointList = true
 	b := New(set, 1)
 	asks := func(now time.Duration, e ...Event) (n int) {
 		for _, a := range b.Step(now, e) {
-			if _, ok := a.(WatchList); ok {
+			if _, ok := a.(WatchEndpointList); ok {
 				n++
 			}
 		}
@@ -533,7 +533,7 @@
 	if asks(0) != 1 || asks(time.Second) != 0 {
 		t.Fatal("the list is watched once from the start")
 	}
-	if asks(2*time.Second, ListNews{Failed: true}) != 0 || asks(2*time.Second+askAgain) != 1 {
+	if asks(2*time.Second, EndpointListUpdate{Failed: true}) != 0 || asks(2*time.Second+askAgain) != 1 {
 		t.Fatal("a failed watch is asked for again")
 	}
 }
@@ -548,7 +548,7 @@
 		for i := range 6 {
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(i), Destination: DestinationID(i / 2), Kind: i / 4, Ready: true})
 		}
-		events := []Event{ListNews{Whole: true, Endpoints: endpoints}}
+		events := []Event{EndpointListUpdate{Full: true, Endpoints: endpoints}}
 		type out struct {
 			Send
 			try int
@@ -561,14 +561,14 @@
 			for len(open) > 0 && rnd.Intn(3) > 0 {
 				i := rnd.Intn(len(open))
 				o := Outcome(rnd.Intn(8))
-				events = append(events, AttemptEnd{Message: open[i].Message, Attempt: open[i].try, Endpoint: open[i].Endpoint,
-					Outcome: o, Elapsed: 50 * ms, Over: o == Served || over[open[i].Message]})
+				events = append(events, AttemptResult{Message: open[i].Message, Attempt: open[i].try, Endpoint: open[i].Endpoint,
+					Outcome: o, Elapsed: 50 * ms, Final: o == Served || over[open[i].Message]})
 				over[open[i].Message] = over[open[i].Message] || o == Served
 				open = append(open[:i], open[i+1:]...)
 			}
 			if rnd.Intn(50) == 0 {
-				events = append(events, Withdrawn{MessageID(rnd.Intn(int(id)) + 1)}, AttemptEnd{Message: 1 << 40},
-					ListNews{Endpoints: []Endpoint{{ID: EndpointID(rnd.Intn(8)), Destination: 1, Ready: rnd.Intn(2) == 0}}})
+				events = append(events, MessageCancelled{MessageID(rnd.Intn(int(id)) + 1)}, AttemptResult{Message: 1 << 40},
+					EndpointListUpdate{Endpoints: []Endpoint{{ID: EndpointID(rnd.Intn(8)), Destination: 1, Ready: rnd.Intn(2) == 0}}})
 			}
 			acts := b.Step(now, events)
 			events = nil
@@ -600,7 +600,8 @@
 // The files that decide stay small and their lines readable.
 func TestLineLimits(t *testing.T) {
 	const mostLines, mostCharacters = 400, 110
-	for _, file := range []string{"brain.go", "choice.go", "fleet.go", "health.go", "oracle.go", "outage.go", "outcomes.go", "worth.go"} {
+	for _, file := range []string{"dispatcher.go", "estimator.go", "fleet.go", "health.go", "outage.go", "priority.go", "results.go",
+		"selection.go"} {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
@@ -635,7 +636,7 @@
 // Calls lost here and there, on destinations that serve the others, held all slots to their deadlines.
 func TestLostCallsGiveTheirSlotsBack(t *testing.T) {
 	set := settings()
-	set.Slots = 4
+	set.MaxConcurrentCalls = 4
 	r := newRig(t, set)
 	r.serve(30, 0, 20*ms)
 	r.serve(30, 1, 20*ms)
@@ -656,7 +657,7 @@
 	r.step(m)
 	for range 8 {
 		r.now += 500 * ms
-		r.step(Alarm{})
+		r.step(TimerFired{})
 	}
 	if r.cancels != 1 {
 		t.Fatalf("%d calls taken back for one message", r.cancels)
@@ -680,7 +681,7 @@
 			ends = append(ends, r.end(x, o))
 		}
 		r.step(ends...)
-		if r.b.dests[0].shared.state == out {
+		if r.b.dests[0].shared.state == unavailable {
 			outs++
 		}
 	}
@@ -692,9 +693,9 @@
 // Where the list rates a destination but answers report no limit, the pace stayed at half of the rate.
 func TestPaceGrowsWhereNoLimitIsReported(t *testing.T) {
 	set := settings()
-	set.RatedLimits = true
+	set.RatingIsRateLimit = true
 	r := newRig(t, set)
-	r.step(ListNews{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}})
+	r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}})
 	route := r.b.dests[0].shared
 	before := route.pace
 	for range 20 {
@@ -702,7 +703,7 @@
 		r.now += 300 * ms
 		for _, x := range sends {
 			e := r.end(x, Served)
-			e.Reported = true
+			e.HasLoadReport = true
 			r.step(e)
 		}
 	}
@@ -715,16 +716,16 @@
 // waited for the end of its span. They are spaced at our even part, and take along what has come meanwhile.
 func TestSharedCallsKeepToOurPartOfTheLimit(t *testing.T) {
 	set := settings()
-	set.RatedLimits = true
-	set.Kinds[0].PerCall = 20
+	set.RatingIsRateLimit = true
+	set.Kinds[0].MaxBatchSize = 20
 	r := newRig(t, set)
-	r.step(ListNews{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}}) // 5 a second for each of two
+	r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}}) // 5 a second for each of two
 	handed, start := 0, r.now
 	var at []time.Duration
 	var open []Send
 	for r.now < start+20*time.Second {
 		r.now += 10 * ms
-		events := []Event{Alarm{}}
+		events := []Event{TimerFired{}}
 		var still []Send
 		for _, x := range open {
 			if r.now < r.sentAt[x.Message]+100*ms {
@@ -763,16 +764,16 @@
 // all others waited on. It is open as told: those that wait go, at the pace that a cold one bears.
 func TestToldOpeningNeedsNoProbe(t *testing.T) {
 	set := settings()
-	set.Kinds[0].PerCall = 20
+	set.Kinds[0].MaxBatchSize = 20
 	r := newRig(t, set)
 	r.serve(20, 0, 30*ms)
 	s := r.step(r.message(0, 0, 0))
-	shut := r.end(s[0], Refused)
-	shut.Wait = 5 * time.Second
+	shut := r.end(s[0], Rejected)
+	shut.RetryAfter = 5 * time.Second
 	r.step(shut)
-	opens := r.now + shut.Wait
+	opens := r.now + shut.RetryAfter
 	route := r.b.dests[0].shared
-	if route.state != out {
+	if route.state != unavailable {
 		t.Fatal("a destination shut for long is no outage")
 	}
 	for range 10 {
@@ -781,18 +782,18 @@
 	var sends []Send
 	for r.now < opens+100*ms && len(sends) == 0 {
 		r.now += 5 * ms
-		if sends = r.step(Alarm{}); len(sends) > 0 && r.now < opens {
+		if sends = r.step(TimerFired{}); len(sends) > 0 && r.now < opens {
 			t.Fatalf("sent %v before the wait was over", opens-r.now)
 		}
 	}
-	if len(sends) != 11 || route.state != cold {
+	if len(sends) != 11 || route.state != warmingUp {
 		t.Fatalf("%d sent at the opening, state %v", len(sends), route.state)
 	}
 	// One that fails all the same is an outage again after some, not at the first.
 	for _, x := range sends {
 		r.step(r.end(x, Errored))
 	}
-	if route.state != cold {
+	if route.state != warmingUp {
 		t.Errorf("state %v after one failure", route.state)
 	}
 }
@@ -807,8 +808,8 @@
 		fails, bad := route.fails, route.bad
 		s := r.step(r.message(class, 0, 0))
 		r.now += ms
-		e := r.end(s[0], Broken)
-		e.Idle = 100 * ms
+		e := r.end(s[0], ConnectionBroken)
+		e.ConnectionIdle = 100 * ms
 		if sends := r.step(e); (len(sends) == 1) != again || r.failed[s[0].Message] == again {
 			t.Errorf("class %d: sent %v, failed %v", class, sends, r.failed[s[0].Message])
 		}
@@ -818,8 +819,8 @@
 		// One that broke after the time of a call was the destination's.
 		s = r.step(r.message(0, 0, 0))
 		r.now += 100 * ms
-		e = r.end(s[0], Broken)
-		e.Idle = 100 * ms
+		e = r.end(s[0], ConnectionBroken)
+		e.ConnectionIdle = 100 * ms
 		if sends := r.step(e); len(sends) != 0 || route.fails <= fails {
 			t.Errorf("a late break is no failure: %v", sends)
 		}
@@ -849,9 +850,9 @@
 // A tenant that surged widened its own share, and the others' messages were refused with it.
 func TestSurgingTenantIsRefusedFirst(t *testing.T) {
 	set := settings()
-	set.MostHeld = 60
-	set.OverShareWorth = 0.05
-	set.Tenants = []Tenant{{Allowance: 10}, {Allowance: 10}, {Allowance: 10}}
+	set.MaxPendingMessages = 60
+	set.OverQuotaWeight = 0.05
+	set.Tenants = []Tenant{{QuotaRate: 10}, {QuotaRate: 10}, {QuotaRate: 10}}
 	r := newRig(t, set)
 	owner := map[MessageID]int{}
 	for i := range 400 {
@@ -874,22 +875,22 @@
 	}
 }
 
-// Brains share nothing: two that run in turn act as each does alone.
+// Dispatchers share nothing: two that run in turn act as each does alone.
 func TestBrainsShareNothing(t *testing.T) {
-	play := func(bs ...*Brain) (all [][]Action) {
+	play := func(bs ...*Dispatcher) (all [][]Action) {
 		all = make([][]Action, len(bs))
 		for i := range 200 {
 			now := time.Duration(i) * 50 * ms
 			for k, b := range bs {
 				var events []Event
 				if i == 0 {
-					events = append(events, ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}})
+					events = append(events, EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}})
 				}
 				events = append(events, Message{ID: MessageID(i), Class: i % 3, Deadline: now + 20*time.Second})
 				for _, m := range b.byID {
 					if n := len(m.attempts); n > 0 && m.out > 0 && i%2 == k%2 {
-						events = append(events, AttemptEnd{Message: m.ID, Attempt: n - 1, Outcome: Served,
-							Elapsed: 50 * ms, Over: true})
+						events = append(events, AttemptResult{Message: m.ID, Attempt: n - 1, Outcome: Served,
+							Elapsed: 50 * ms, Final: true})
 						break
 					}
 				}
@@ -898,9 +899,9 @@
 		}
 		return all
 	}
-	one := func() *Brain { s := settings(); s.Slots = 1; return New(s, 5) } // one call out: one event to choose
+	one := func() *Dispatcher { s := settings(); s.MaxConcurrentCalls = 1; return New(s, 5) } // one call out: one event to choose
 	if both, alone := play(one(), one()), play(one()); !reflect.DeepEqual(both[0], alone[0]) {
-		t.Fatal("a second brain changed what the first does")
+		t.Fatal("a second dispatcher changed what the first does")
 	}
 }
 
@@ -917,11 +918,11 @@
 	}
 	acts := r.b.Step(late, []Event{r.message(0, 1, 0), r.message(0, 2, 0)})
 	for i, a := range acts {
-		if _, ok := a.(SetAlarm); ok && i != len(acts)-1 {
+		if _, ok := a.(SetTimer); ok && i != len(acts)-1 {
 			t.Fatalf("the alarm is not last: %+v", acts)
 		}
 	}
-	if b := New(settings(), 1); len(b.Step(-time.Hour, []Event{Alarm{}})) != 0 {
+	if b := New(settings(), 1); len(b.Step(-time.Hour, []Event{TimerFired{}})) != 0 {
 		t.Fatal("a clock that starts below zero")
 	}
 }
@@ -931,18 +932,18 @@
 func TestAResumedMessageRestsOn(t *testing.T) {
 	r := newRig(t, settings())
 	m := r.message(0, 0, 0)
-	m.Tried, m.NotBefore = 1, r.now+400*ms
+	m.PriorAttempts, m.NotBefore = 1, r.now+400*ms
 	if sends := r.step(m); len(sends) > 0 {
 		t.Errorf("sent in its pause: %v", sends)
 	}
-	if rests := r.b.Resting()[m.ID]; rests != m.NotBefore {
+	if rests := r.b.BackoffUntil()[m.ID]; rests != m.NotBefore {
 		t.Errorf("it rests until %v, not %v", rests, m.NotBefore)
 	}
 	r.now += 400 * ms
-	if sends := r.step(Alarm{}); len(sends) != 1 {
+	if sends := r.step(TimerFired{}); len(sends) != 1 {
 		t.Errorf("after its pause: %v", sends)
 	}
-	if rests := r.b.Resting(); len(rests) > 0 {
+	if rests := r.b.BackoffUntil(); len(rests) > 0 {
 		t.Errorf("resting: %v", rests)
 	}
 }
@@ -954,16 +955,16 @@
 		sent  bool
 	}{
 		"never sent":             {2, Message{}, true},
-		"unsafe, never ran":      {2, Message{Tried: 2}, true},
-		"unsafe, may have run":   {2, Message{Tried: 1, MayRun: true, FirstRun: time.Hour - time.Second}, false},
-		"keyed, in its window":   {1, Message{Tried: 1, MayRun: true, FirstRun: time.Hour - time.Second}, true},
-		"keyed, past its window": {1, Message{Tried: 1, MayRun: true, FirstRun: time.Hour - 6*time.Second}, false},
-		"safe, long ago":         {0, Message{Tried: 1, MayRun: true, FirstRun: time.Hour - 15*time.Second}, true},
-		"no attempt left":        {0, Message{Tried: 6, MayRun: true, FirstRun: time.Hour - time.Second}, false},
+		"unsafe, never ran":      {2, Message{PriorAttempts: 2}, true},
+		"unsafe, may have run":   {2, Message{PriorAttempts: 1, MayHaveRun: true, FirstRunAt: time.Hour - time.Second}, false},
+		"keyed, in its window":   {1, Message{PriorAttempts: 1, MayHaveRun: true, FirstRunAt: time.Hour - time.Second}, true},
+		"keyed, past its window": {1, Message{PriorAttempts: 1, MayHaveRun: true, FirstRunAt: time.Hour - 6*time.Second}, false},
+		"safe, long ago":         {0, Message{PriorAttempts: 1, MayHaveRun: true, FirstRunAt: time.Hour - 15*time.Second}, true},
+		"no attempt left":        {0, Message{PriorAttempts: 6, MayHaveRun: true, FirstRunAt: time.Hour - time.Second}, false},
 	} {
 		r := newRig(t, settings())
 		m := r.message(c.class, 0, 0)
-		m.Tried, m.MayRun, m.FirstRun = c.m.Tried, c.m.MayRun, c.m.FirstRun
+		m.PriorAttempts, m.MayHaveRun, m.FirstRunAt = c.m.PriorAttempts, c.m.MayHaveRun, c.m.FirstRunAt
 		if sends := r.step(m); len(sends) == 1 != c.sent || r.failed[m.ID] == c.sent {
 			t.Errorf("%s: %d sends, failed %v", name, len(sends), r.failed[m.ID])
 		}
@@ -971,12 +972,12 @@
 	// Its window counts from the first send of all, also after further attempts.
 	r := newRig(t, settings())
 	m := r.message(1, 0, 0)
-	m.Tried, m.MayRun, m.FirstRun = 1, true, r.now-5*time.Second
+	m.PriorAttempts, m.MayHaveRun, m.FirstRunAt = 1, true, r.now-5*time.Second
 	s := r.step(m)[0]
 	r.now += 500 * ms
 	r.step(r.end(s, Errored))
 	r.now += 600 * ms
-	if sends := r.step(Alarm{}); len(sends) != 0 || !r.failed[m.ID] {
+	if sends := r.step(TimerFired{}); len(sends) != 0 || !r.failed[m.ID] {
 		t.Errorf("past its window: %d sends, failed %v", len(sends), r.failed[m.ID])
 	}
 }
@@ -987,20 +988,20 @@
 	for _, endpoints := range []int{1, 2} {
 		r := newRig(t, settings())
 		if endpoints == 2 {
-			r.step(ListNews{Endpoints: []Endpoint{{ID: 9, Ready: true}}})
+			r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 9, Ready: true}}})
 		}
 		hung := r.step(r.message(2, 0, 0))[0]
 		start := r.now
 		var next []Send
 		for next = r.step(r.message(1, 0, 0)); len(next) == 0 && r.now < start+10*time.Second; r.now += 20 * ms {
-			next = r.step(Alarm{})
+			next = r.step(TimerFired{})
 		}
 		switch {
 		case endpoints == 1 && len(next) > 0:
 			t.Errorf("%v goes beside a call that hangs at the only endpoint", next)
 		case endpoints == 2 && (len(next) != 1 || next[0].Endpoint == hung.Endpoint):
 			t.Errorf("%v goes out within 10 s of a call that hangs at endpoint %d", next, hung.Endpoint)
-		case endpoints == 2 && len(r.step(r.message(0, 0, 0), Alarm{})) > 0:
+		case endpoints == 2 && len(r.step(r.message(0, 0, 0), TimerFired{})) > 0:
 			t.Error("a further call goes out while the one beside is not overdue")
 		}
 	}
@@ -1011,16 +1012,16 @@
 func TestTheWorstServedClassCountsAsTheSettingsWeighIt(t *testing.T) {
 	share := func(classWeight float64) (low, high float64) {
 		s := settings()
-		s.RatedLimits, s.WholeWeight, s.ClassWeight = true, 0.8, classWeight
+		s.RatingIsRateLimit, s.TotalWeight, s.WorstClassWeight = true, 0.8, classWeight
 		s.Classes[1] = s.Classes[0]
-		s.Classes[1].Worth = 3
+		s.Classes[1].PriorityWeight = 3
 		r := newRig(t, s)
-		r.step(ListNews{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 8}}}) // 4 a second for each of two
+		r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 8}}}) // 4 a second for each of two
 		class, served := map[MessageID]int{}, map[int]float64{}
 		var open []Send
 		for tick := range 4000 {
 			r.now += 10 * ms
-			events := []Event{Alarm{}}
+			events := []Event{TimerFired{}}
 			if tick%25 == 0 { // 4 a second of each
 				for c := range 2 {
 					m := r.message(c, 0, 0)
@@ -1036,7 +1037,7 @@
 				}
 				served[class[x.Message]]++
 				e := r.end(x, Served)
-				e.Reported, e.Limit = true, 8 // all of it is used: the pace stays
+				e.HasLoadReport, e.RateLimit = true, 8 // all of it is used: the pace stays
 				events = append(events, e)
 			}
 			open = append(out, r.step(events...)...)
--- a/brain/oracle.go
+++ b/internal/dispatch/estimator.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // The time-out of calls: the restart oracle of the paper, section III.D, for one destination or route,
 // and how long a call may go unanswered before that counts. The design page tells what is the paper's
@@ -24,7 +24,7 @@
 )
 
 // sample books a first attempt's time, or with late one that was never answered.
-func (o *oracle) sample(d time.Duration, weight float64, late bool) {
+func (o *timeoutEstimator) sample(d time.Duration, weight float64, late bool) {
 	for k := range o.bucket {
 		o.bucket[k].count /= ageing
 		o.bucket[k].sum /= ageing
@@ -56,7 +56,7 @@
 // optimum is the argmin of Ê. Where the curve is flat its least point is chance and may lie short,
 // so of the bounds that are as good the longest is taken: it restarts less. Nor does it cut calls that
 // come back: a repeat takes as long again, and the first may still run.
-func (o *oracle) optimum() time.Duration {
+func (o *timeoutEstimator) optimum() time.Duration {
 	if !o.dirty {
 		return o.best
 	}
@@ -103,7 +103,7 @@
 }
 
 // tau is the time-out now.
-func (o *oracle) tau() time.Duration {
+func (o *timeoutEstimator) tau() time.Duration {
 	if o.doubled > 0 {
 		return o.doubled
 	}
@@ -114,7 +114,7 @@
 }
 
 // expired doubles the time-out, once for all calls that were out at the last doubling.
-func (o *oracle) expired(sent, now time.Duration) {
+func (o *timeoutEstimator) expired(sent, now time.Duration) {
 	if o.doubled == 0 || sent >= o.doubledAt {
 		o.doubled, o.doubledAt = min(2*o.tau(), tauMax), now
 	}
@@ -127,7 +127,7 @@
 // haste is the patience for taking slots back: some times the usual latency, which for a route with few
 // samples is that of all routes, if a call sent later was served there already. It doubles with each
 // call taken back there until one is served: what turns slow then gets the time to show it.
-func (b *Brain) haste(c *call) time.Duration {
+func (b *Dispatcher) haste(c *call) time.Duration {
 	r := c.route
 	b.all.optimum()
 	usual := b.all.median
--- a/brain/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // What follows from the number of senders. They share nothing, so each goes by its own part of what all do:
 // what is harmless from one must be so from all at once, and one of many sees too little to find out itself.
@@ -20,24 +20,24 @@
 )
 
 // many is how far the senders are so many that each sees little of any endpoint: 0 for few, towards 1.
-func (b *Brain) many() float64 { return 1 - fewSenders/float64(max(fewSenders, b.s.Senders)) }
+func (b *Dispatcher) many() float64 { return 1 - fewSenders/float64(max(fewSenders, b.s.Senders)) }
 
 // part is our even part of a limit.
-func (b *Brain) part(limit float64) float64 { return limit / float64(max(1, b.s.Senders)) }
+func (b *Dispatcher) part(limit float64) float64 { return limit / float64(max(1, b.s.Senders)) }
 
 // even is the pace at which we begin: our even part of a limit; among many senders, where that is far below
 // one call and few have messages there at a time, up to a call in the time that limits are counted over.
-func (b *Brain) even(limit float64) float64 {
+func (b *Dispatcher) even(limit float64) float64 {
 	n := float64(max(1, b.s.Senders))
 	return min(limit, max(b.part(limit), min(1, n/fleetProbes)/pauseMost.Seconds()))
 }
 
 // spread is what a route's tokens are set to when it fails: senders that fail in step do not go on in step.
-func (b *Brain) spread() float64 { return float64(b.draw(1000))/1000 - 0.5 }
+func (b *Dispatcher) spread() float64 { return float64(b.draw(1000))/1000 - 0.5 }
 
 // usual is the rate of what was counted at a route: that, and one more in the time that a route takes to
 // get one in the mean, so that a sender which has seen few yet is not misled by them.
-func (b *Brain) usual(n fading) float64 {
+func (b *Dispatcher) usual(n decayingCounter) float64 {
 	counted := arrivalSpan.Seconds() * (1 - math.Exp(-(b.now-b.started).Seconds()/arrivalSpan.Seconds()))
 	each := float64(max(1, len(b.routes))) * (counted + 1) / (b.came.at(b.now, arrivalSpan) + 1)
 	return (n.at(b.now, arrivalSpan) + 1) / (counted + each)
@@ -45,8 +45,8 @@
 
 // enough is how many failures in a row are an outage: as many calls as we make in an overload span, for a
 // sender with few there would not see eight fail before it is over; and more where senders are few.
-func (b *Brain) enough(r *route) int {
-	n := max(leastInRow+int(b.usual(r.tried)*b.s.OverloadFor.Seconds()), fleetProbes/max(1, b.s.Senders))
+func (b *Dispatcher) enough(r *route) int {
+	n := max(leastInRow+int(b.usual(r.tried)*b.s.OverloadWindow.Seconds()), fleetProbes/max(1, b.s.Senders))
 	return min(inRow, n)
 }
 
@@ -54,30 +54,31 @@
 // so long after its return. A sender's part is that of its usual traffic, whatever the number of senders.
 // Where we usually get no message in such a time, most others have seen no failure and send as ever: the
 // few who have may together send a part of that. Any destination bears a few calls from all of us.
-func (b *Brain) bearable(r *route) float64 {
-	share := b.s.StartCapacity
-	if r.state == cold && b.s.Cold > 0 {
-		share += (1 - share) * min(1, (b.now-r.since).Seconds()/b.s.Cold.Seconds())
+func (b *Dispatcher) bearable(r *route) float64 {
+	share := b.s.SlowStartCapacity
+	if r.state == warmingUp && b.s.SlowStartDuration > 0 {
+		share += (1 - share) * min(1, (b.now-r.since).Seconds()/b.s.SlowStartDuration.Seconds())
 	}
 	unaware := besideOther / max(math.Expm1(r.before*(b.now-r.outAt).Seconds()), 1e-9)
-	few := fleetProbes / max(b.s.Cold.Seconds(), 1) / float64(max(1, b.s.Senders))
-	return max(few, r.before*max(max(1, b.s.FallMultiple)*share, unaware))
+	few := fleetProbes / max(b.s.SlowStartDuration.Seconds(), 1) / float64(max(1, b.s.Senders))
+	return max(few, r.before*max(max(1, b.s.CollapseLoadFactor)*share, unaware))
 }
 
 // home places e for this sender, from 0 (first choice) to 1, differently at each: by the order of the list
 // all of many senders begin at the same one. (Rendezvous hashing.)
-func (b *Brain) home(e *endpoint) float64 {
+func (b *Dispatcher) home(e *endpoint) float64 {
 	return float64(mix(uint64(e.ID)<<32+uint64(b.s.Number))%1000) / 1000
 }
 
 // keepFor is how long idle connections to e are kept, and to all of its kind. It is not known how many an
 // endpoint takes: that shows in connects that fail, and none is kept there then. What a sender with few calls
 // sees at one holds for the kind, as others see the same; one with many has seen for itself.
-func (b *Brain) keepFor(e *endpoint) (kept time.Duration, kind *time.Duration) {
+func (b *Dispatcher) keepFor(e *endpoint) (kept time.Duration, kind *time.Duration) {
 	for len(b.keep) <= e.Kind {
-		b.keep = append(b.keep, b.s.IdleConnections*fewSenders/time.Duration(max(fewSenders, b.s.Senders)))
+		senders := time.Duration(max(fewSenders, b.s.Senders))
+		b.keep = append(b.keep, b.s.IdleConnectionTimeout*fewSenders/senders)
 	}
-	kept, kind = b.s.IdleConnections, &b.keep[e.Kind]
+	kept, kind = b.s.IdleConnectionTimeout, &b.keep[e.Kind]
 	if !b.oftenHere(e.route) {
 		kept = *kind
 	}
@@ -86,7 +87,7 @@
 
 // oftenHere: r gets enough of our calls to judge it by them alone, and so large a part of all that it takes
 // that only a few senders can say so. Places for connections are scarce: eighty idle ones fill them.
-func (b *Brain) oftenHere(r *route) bool {
+func (b *Dispatcher) oftenHere(r *route) bool {
 	few := b.s.Senders <= fewSenders || r.limit > 0 && fewSenders*b.usual(r.tried) >= r.limit
 	return few && b.enough(r) >= inRow/2
 }
@@ -94,9 +95,9 @@
 // follows: the next call to e may go on a connection that has just served one. It takes that one's place, so
 // that e has no more at once than before, and where places are scarce there is hardly another: neither pace
 // nor the rest after a failed connect is of use. Not where calls are refused, as there they are counted.
-func (b *Brain) follows(e *endpoint) bool {
+func (b *Dispatcher) follows(e *endpoint) bool {
 	r := e.route
-	mayCall := r.state == well && b.now >= r.closedUntil && r.calls < b.cap(r)
+	mayCall := r.state == healthy && b.now >= r.closedUntil && r.calls < b.cap(r)
 	freed := b.many() > 0 && e.freed > 0 && e.freedAt == b.now
-	return freed && mayCall && b.now-r.refusedAt > b.s.OverloadFor
+	return freed && mayCall && b.now-r.refusedAt > b.s.OverloadWindow
 }
--- a/brain/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"math"
@@ -7,11 +7,11 @@
 )
 
 // many is a deployment of n senders with a hundred destinations of one endpoint each.
-func many(n int) (Settings, ListNews) {
+func many(n int) (Settings, EndpointListUpdate) {
 	s := settings()
-	s.Senders, s.Slots, s.IdleConnections = n, 4, 15*time.Second
-	s.Kinds = []Kind{{PerCall: 1}}
-	list := ListNews{Whole: true}
+	s.Senders, s.MaxConcurrentCalls, s.IdleConnectionTimeout = n, 4, 15*time.Second
+	s.Kinds = []Kind{{MaxBatchSize: 1}}
+	list := EndpointListUpdate{Full: true}
 	for i := range 100 {
 		list.Endpoints = append(list.Endpoints, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
 	}
@@ -32,7 +32,7 @@
 func TestManySendersDoNotPushAReturningDestinationOver(t *testing.T) {
 	const senders, perSecond, outage = 200, 5, 15 * time.Second
 	s, list := many(senders)
-	brains := make([]*Brain, senders)
+	brains := make([]*Dispatcher, senders)
 	aware := make([]bool, senders)
 	start := time.Hour
 	for i := range brains {
@@ -41,14 +41,14 @@
 	}
 	type sent struct {
 		by  int
-		end AttemptEnd
+		end AttemptResult
 		at  time.Duration
 	}
 	var open []sent
 	var fromAware, fromOthers int
 	id := MessageID(0)
 	tries := map[MessageID]int{}
-	for now := start; now < start+outage+s.OverloadFor; now += 20 * ms {
+	for now := start; now < start+outage+s.OverloadWindow; now += 20 * ms {
 		events := make([][]Event, senders)
 		give := func(i, dest int) {
 			id++
@@ -75,16 +75,16 @@
 		}
 		open = still
 		for i, b := range brains {
-			for _, a := range b.Step(now, append(events[i], Alarm{})) {
+			for _, a := range b.Step(now, append(events[i], TimerFired{})) {
 				call, ok := a.(Send)
 				if !ok {
 					continue
 				}
 				down := call.Endpoint == 1 && now < start+outage
-				end := AttemptEnd{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint,
-					Elapsed: 40 * ms, Outcome: Served, Over: true}
+				end := AttemptResult{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint,
+					Elapsed: 40 * ms, Outcome: Served, Final: true}
 				if down {
-					end.Outcome, end.Over = ConnectFailed, false
+					end.Outcome, end.Final = ConnectFailed, false
 				}
 				tries[call.Message]++
 				open = append(open, sent{i, end, now + 40*ms})
@@ -98,8 +98,8 @@
 			}
 		}
 	}
-	share := s.StartCapacity + (1-s.StartCapacity)*s.OverloadFor.Seconds()/s.Cold.Seconds()
-	bears := s.FallMultiple * share * perSecond * s.OverloadFor.Seconds()
+	share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*s.OverloadWindow.Seconds()/s.SlowStartDuration.Seconds()
+	bears := s.CollapseLoadFactor * share * perSecond * s.OverloadWindow.Seconds()
 	if float64(fromAware+fromOthers) > bears && fromAware >= 2*fromOthers {
 		t.Fatalf("%d calls from senders that saw it fail, %d from others, %.1f bearable", fromAware, fromOthers, bears)
 	}
@@ -152,7 +152,7 @@
 		r.now += 300 * ms
 		for _, x := range r.sends[len(r.sends)-min(served, 1):] {
 			e := r.end(x, Served)
-			e.Reported, e.Left, e.Limit = true, 0.8, 5
+			e.HasLoadReport, e.QuotaLeft, e.RateLimit = true, 0.8, 5
 			r.step(e)
 		}
 		r.now += 700 * ms
@@ -168,7 +168,7 @@
 	r := fleetRig(t, 7)
 	closes := func(d time.Duration) (n int) {
 		for end := r.now + d; r.now < end; r.now += 100 * ms {
-			for _, a := range r.b.Step(r.now, []Event{Alarm{}}) {
+			for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
 				if _, ok := a.(CloseIdle); ok {
 					n++
 				}
@@ -199,7 +199,7 @@
 	s = r.step(r.end(s[0], TimedOut))
 	for i := 0; i < 100 && len(s) == 0; i++ {
 		r.now += 50 * ms
-		s = r.step(Alarm{})
+		s = r.step(TimerFired{})
 	}
 	r.now += 30 * ms
 	r.step(r.end(s[0], Served))
@@ -221,13 +221,13 @@
 // What is out to an endpoint may not be written yet when a drain or a wait becomes known: then it is withheld.
 func TestCallsAreWithheldWhenADrainOrAWaitIsTold(t *testing.T) {
 	for name, news := range map[string]func(r *rig, answered Send) Event{
-		"drains": func(*rig, Send) Event { return ListNews{Endpoints: []Endpoint{{ID: 1}}} },
+		"drains": func(*rig, Send) Event { return EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}} },
 		"gone": func(*rig, Send) Event {
-			return ListNews{Whole: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}}
+			return EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}}
 		},
 		"wait": func(r *rig, answered Send) Event {
-			e := r.end(answered, Refused)
-			e.Wait = 300 * ms
+			e := r.end(answered, Rejected)
+			e.RetryAfter = 300 * ms
 			return e
 		},
 	} {
@@ -237,9 +237,9 @@
 		if len(sends) != 2 {
 			t.Fatalf("%s: sent %+v", name, sends)
 		}
-		var got []Withhold
+		var got []AbortUnsent
 		for _, a := range r.b.Step(r.now, []Event{news(r, sends[0])}) {
-			if w, ok := a.(Withhold); ok {
+			if w, ok := a.(AbortUnsent); ok {
 				got = append(got, w)
 			}
 		}
@@ -255,15 +255,15 @@
 	r := newRig(t, settings())
 	r.serve(3, 0, 200*ms)
 	first := r.step(r.message(1, 0, 0))[0]
-	if want := 20*time.Second - 200*ms; first.Begin != want {
-		t.Errorf("a message with 20 s left begins within %v, want %v", first.Begin, want)
+	if want := 20*time.Second - 200*ms; first.StartWithin != want {
+		t.Errorf("a message with 20 s left begins within %v, want %v", first.StartWithin, want)
 	}
 	r.now += time.Second
-	r.step(r.end(first, Broken))
+	r.step(r.end(first, ConnectionBroken))
 	r.now += time.Second
-	again := r.step(Alarm{})[0]
-	if want := 4*time.Second - holdUp - 200*ms - 5*ms; again.Begin != want {
-		t.Errorf("a keyed repeat begins within %v, want %v", again.Begin, want)
+	again := r.step(TimerFired{})[0]
+	if want := 4*time.Second - holdUp - 200*ms - 5*ms; again.StartWithin != want {
+		t.Errorf("a keyed repeat begins within %v, want %v", again.StartWithin, want)
 	}
 }
 
@@ -277,21 +277,21 @@
 		"negative tenant":     {Message{ID: 1, Tenant: -7, Deadline: time.Hour + time.Second}},
 		"no endpoint":         {Message{ID: 1, Destination: 900, Deadline: time.Hour + time.Second}},
 		"deadline in past":    {Message{ID: 1, Deadline: time.Second}},
-		"kind out of range":   {ListNews{Endpoints: []Endpoint{{ID: 1, Kind: -3, Zone: -1, Ready: true}, {ID: 2, Kind: 99, Zone: 99, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
-		"rating not a number": {ListNews{Endpoints: []Endpoint{{ID: 1, Rating: bad, Ready: true}, {ID: 2, Rating: math.Inf(1), Ready: true}, {ID: 3, Rating: -1, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
-		"unknown attempt":     {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptEnd{Message: 1, Attempt: 4}, AttemptEnd{Message: 1, Attempt: -4}, AttemptEnd{Message: 44}},
-		"report out of range": {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptEnd{Message: 1, Outcome: Served, Elapsed: -time.Hour, Reported: true, Left: bad, Limit: math.Inf(1), Over: true}},
-		"limit of nothing":    {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptEnd{Message: 1, Outcome: Refused, Wait: -time.Hour, Reported: true, Left: -1, Limit: bad}},
+		"kind out of range":   {EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Kind: -3, Zone: -1, Ready: true}, {ID: 2, Kind: 99, Zone: 99, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
+		"rating not a number": {EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Rating: bad, Ready: true}, {ID: 2, Rating: math.Inf(1), Ready: true}, {ID: 3, Rating: -1, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
+		"unknown attempt":     {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Attempt: 4}, AttemptResult{Message: 1, Attempt: -4}, AttemptResult{Message: 44}},
+		"report out of range": {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Served, Elapsed: -time.Hour, HasLoadReport: true, QuotaLeft: bad, RateLimit: math.Inf(1), Final: true}},
+		"limit of nothing":    {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Rejected, RetryAfter: -time.Hour, HasLoadReport: true, QuotaLeft: -1, RateLimit: bad}},
 	} {
 		s := settings()
-		s.RatedLimits, s.ZoneFees = true, []float64{0.1}
-		s.Tenants = []Tenant{{Share: 1, Allowance: 10}}
+		s.RatingIsRateLimit, s.ZoneFees = true, []float64{0.1}
+		s.Tenants = []Tenant{{Quota: 1, QuotaRate: 10}}
 		r := newRig(t, s)
 		r.step(events...)
 		sent := len(r.sends)
 		for range 30 { // the time jumps, too
 			r.now += 100 * ms
-			r.step(Alarm{})
+			r.step(TimerFired{})
 		}
 		r.now += 5 * time.Hour
 		for _, x := range r.sends[sent:] {
@@ -300,7 +300,7 @@
 		for _, x := range r.sends[:sent] {
 			r.step(r.end(x, TimedOut))
 		}
-		r.step(Alarm{})
+		r.step(TimerFired{})
 		over := name == "report out of range" || r.failed[1] || r.refused[1]
 		if !over || len(r.b.held) != 0 {
 			t.Errorf("%s: failed %v, refused %v, %d held", name, r.failed[1], r.refused[1], len(r.b.held))
@@ -312,11 +312,15 @@
 func TestSettingsThatMakeNoSense(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"nothing stated": func(s *Settings) { *s = Settings{} },
-		"no slots":       func(s *Settings) { s.Slots = 0 },
-		"negative":       func(s *Settings) { s.Slots, s.Senders, s.MostHeld, s.MaxAttempts = -1, -1, -1, -1 },
-		"no deadlines":   func(s *Settings) { s.Classes = []Class{{}, {}, {}, {}} },
-		"no kinds":       func(s *Settings) { s.Kinds = nil },
-		"no rules":       func(s *Settings) { s.Cold, s.OverloadFor, s.FallMultiple, s.StartCapacity = 0, 0, 0, 0 },
+		"no slots":       func(s *Settings) { s.MaxConcurrentCalls = 0 },
+		"negative": func(s *Settings) {
+			s.MaxConcurrentCalls, s.Senders, s.MaxPendingMessages, s.MaxAttempts = -1, -1, -1, -1
+		},
+		"no deadlines": func(s *Settings) { s.Classes = []Class{{}, {}, {}, {}} },
+		"no kinds":     func(s *Settings) { s.Kinds = nil },
+		"no rules": func(s *Settings) {
+			s.SlowStartDuration, s.OverloadWindow, s.CollapseLoadFactor, s.SlowStartCapacity = 0, 0, 0, 0
+		},
 	} {
 		s := settings()
 		change(&s)
@@ -329,10 +333,10 @@
 		}
 		for range 30 {
 			r.now += time.Second
-			r.step(Alarm{})
+			r.step(TimerFired{})
 			for id := range r.b.byID {
 				if m := r.b.byID[id]; r.now >= m.Deadline && m.out > 0 {
-					r.step(AttemptEnd{Message: id, Attempt: len(m.attempts) - 1, Outcome: TimedOut})
+					r.step(AttemptResult{Message: id, Attempt: len(m.attempts) - 1, Outcome: TimedOut})
 				}
 			}
 		}
@@ -347,12 +351,12 @@
 func TestManySendersKeepIdleConnectionsShorter(t *testing.T) {
 	for senders, want := range map[int]time.Duration{2: 10 * time.Second, 4: 10 * time.Second, 40: time.Second} {
 		s := settings()
-		s.Senders, s.IdleConnections = senders, 10*time.Second
+		s.Senders, s.IdleConnectionTimeout = senders, 10*time.Second
 		r := newRig(t, s)
 		r.serve(1, 0, 50*ms)
 		idle := r.now - 20*ms
 		closed := func() bool {
-			for _, a := range r.b.Step(r.now, []Event{Alarm{}}) {
+			for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
 				if _, ok := a.(CloseIdle); ok {
 					return true
 				}
@@ -368,7 +372,7 @@
 			}
 		}
 		// At the full time the endpoint closes them by itself.
-		if early || late != (want < s.IdleConnections) || r.now > idle+want+300*ms && late {
+		if early || late != (want < s.IdleConnectionTimeout) || r.now > idle+want+300*ms && late {
 			t.Errorf("%d senders: closed early %v, in time %v, at %v", senders, early, late, r.now-idle)
 		}
 	}
@@ -389,16 +393,16 @@
 		"of few, hardly a one": {4, 20 * time.Second, true},
 	} {
 		s := settings()
-		s.Senders, s.IdleConnections, s.RatedLimits, s.OverloadFor = c.senders, 10*time.Second, true, 3*time.Second
+		s.Senders, s.IdleConnectionTimeout, s.RatingIsRateLimit, s.OverloadWindow = c.senders, 10*time.Second, true, 3*time.Second
 		r := newRig(t, s)
-		r.step(ListNews{Endpoints: []Endpoint{{ID: 1, Rating: 40, Ready: true}}})
+		r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Rating: 40, Ready: true}}})
 		for end := r.now + time.Minute; r.now < end; r.now += c.every - 50*ms {
 			r.serve(1, 0, 30*ms)
 		}
 		r.serve(1, 0, 30*ms)
 		closed := false
 		for end := r.now + 5*time.Second; r.now < end; r.now += 100 * ms {
-			for _, a := range r.b.Step(r.now, []Event{Alarm{}}) {
+			for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
 				if _, ok := a.(CloseIdle); ok {
 					closed = true
 				}
@@ -417,20 +421,20 @@
 	calls := map[int]int{}
 	for seed := range uint64(senders) {
 		s := settings()
-		s.Senders, s.RatedLimits, s.OverloadFor = senders, true, 3*time.Second
+		s.Senders, s.RatingIsRateLimit, s.OverloadWindow = senders, true, 3*time.Second
 		r := newRig(t, s)
 		r.b = New(s, seed+1)
-		r.step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
+		r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
 		first := r.step(r.message(0, 0, 0), r.message(0, 0, 0), r.message(0, 0, 0))
 		r.now += 50 * ms
 		start := r.now
-		e := r.end(first[0], Refused)
-		e.Wait = 500 * ms
+		e := r.end(first[0], Rejected)
+		e.RetryAfter = 500 * ms
 		r.step(e)
 		for ; r.now < start+8*time.Second; r.now += 50 * ms {
-			for _, s := range r.step(Alarm{}) {
+			for _, s := range r.step(TimerFired{}) {
 				calls[int((r.now-start)/time.Second)]++
-				r.step(r.end(s, Refused))
+				r.step(r.end(s, Rejected))
 			}
 		}
 	}
@@ -454,14 +458,14 @@
 		s := settings()
 		s.Senders, s.Number = senders, number
 		r := newRig(t, s)
-		r.step(ListNews{Endpoints: []Endpoint{{ID: 7, Ready: true}, {ID: 8, Ready: true}}}) // with 1, for 0
+		r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 7, Ready: true}, {ID: 8, Ready: true}}}) // with 1, for 0
 		sent := r.step(r.message(0, 0, 0))
 		at := sent[0].Endpoint
 		first[at]++
 		r.now += 30 * ms
 		r.step(r.end(sent[0], ConnectFailed))
 		for sent = nil; len(sent) == 0 && r.now < time.Hour+5*time.Second; r.now += 50 * ms {
-			sent = r.step(Alarm{})
+			sent = r.step(TimerFired{})
 		}
 		if len(sent) == 0 || sent[0].Endpoint == at {
 			t.Errorf("sender %d: %v after a connect to %d had failed", number, sent, at)
@@ -481,17 +485,17 @@
 	came := map[time.Duration]int{}
 	for seed := range uint64(senders) {
 		s := settings()
-		s.Senders, s.RatedLimits, s.OverloadFor = senders, true, 3*time.Second
+		s.Senders, s.RatingIsRateLimit, s.OverloadWindow = senders, true, 3*time.Second
 		r := newRig(t, s)
 		r.b = New(s, seed+1)
-		r.step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
+		r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
 		first := r.step(r.message(0, 0, 0), r.message(0, 0, 0))
-		e := r.end(first[0], Refused)
-		e.Wait = wait
+		e := r.end(first[0], Rejected)
+		e.RetryAfter = wait
 		opens := r.now + wait
 		sent := r.step(e)
 		for ; len(sent) == 0 && r.now < opens+8*time.Second; r.now += 20 * ms {
-			sent = r.step(Alarm{})
+			sent = r.step(TimerFired{})
 		}
 		if r.now < opens {
 			t.Fatalf("a call %v before the opening", opens-r.now)
@@ -538,7 +542,7 @@
 			t.Errorf("after a call that was served %v goes out, not the message without a place", sends)
 		}
 	})
-	s.RatedLimits = true
+	s.RatingIsRateLimit = true
 	list.Endpoints[0].Rating = 30
 	t.Run("past the pace", func(t *testing.T) {
 		r := newRig(t, s)
@@ -557,16 +561,16 @@
 // Where calls are refused they are counted, and what follows keeps to the pace.
 func TestNoCallFollowsWhereCallsAreRefused(t *testing.T) {
 	s, list := many(300)
-	s.RatedLimits = true
+	s.RatingIsRateLimit = true
 	list.Endpoints[0].Rating = 3000
 	r := newRig(t, s)
 	r.step(list)
-	r.step(r.end(r.step(r.message(0, 0, 0))[0], Refused))
+	r.step(r.end(r.step(r.message(0, 0, 0))[0], Rejected))
 	r.step(r.message(0, 0, 0))
 	var sends []Send
 	for range 100 {
 		if r.now += 10 * ms; len(sends) == 0 {
-			sends = r.step(Alarm{})
+			sends = r.step(TimerFired{})
 		}
 	}
 	if len(sends) != 1 {
@@ -584,12 +588,12 @@
 func TestRefusalsByChanceLeaveTheEvenPart(t *testing.T) {
 	const senders, limit, depth, seconds = 6, 10, 2.0, 30
 	s := settings()
-	s.Senders, s.RatedLimits, s.OverloadFor, s.MostHeld = senders, true, 3*time.Second, 0
+	s.Senders, s.RatingIsRateLimit, s.OverloadWindow, s.MaxPendingMessages = senders, true, 3*time.Second, 0
 	rigs := make([]*rig, senders)
 	for i := range rigs {
 		rigs[i] = newRig(t, s)
 		rigs[i].b = New(s, uint64(i+1))
-		rigs[i].step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
+		rigs[i].step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
 	}
 	start, left, served, refused := rigs[0].now, depth, 0, 0
 	open := make([][]Send, senders)
@@ -597,7 +601,7 @@
 		left = min(depth, left+limit/100.0)
 		for i, r := range rigs {
 			r.now = start + time.Duration(tick)*10*ms
-			events := []Event{Alarm{}}
+			events := []Event{TimerFired{}}
 			if tick%(100*senders/limit) == 0 {
 				events = append(events, r.message(0, 0, 0))
 			}
@@ -607,11 +611,11 @@
 					out = append(out, x)
 					continue
 				}
-				e := r.end(x, Refused)
+				e := r.end(x, Rejected)
 				if left >= 1 {
 					e, served = r.end(x, Served), served+1
 				} else if refused++; refused%2 == 0 {
-					e.Wait = 500 * ms
+					e.RetryAfter = 500 * ms
 				}
 				left = max(0, left-1)
 				events = append(events, e)
--- a/brain/health.go
+++ b/internal/dispatch/health.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // The window and the health of a route, which is a destination, or one endpoint where routes are apart.
 
@@ -21,10 +21,10 @@
 )
 
 // most is how many calls one destination may have out at the most (design).
-func (b *Brain) most() float64 { return math.Ceil(capShare*float64(b.s.Slots)) - 1 }
+func (b *Dispatcher) most() float64 { return math.Ceil(capShare*float64(b.s.MaxConcurrentCalls)) - 1 }
 
 // cap is how many calls r may have out. A failing, slow or silent one keeps half.
-func (b *Brain) cap(r *route) int {
+func (b *Dispatcher) cap(r *route) int {
 	most := b.most()
 	if r.fails > failing || r.recent > slowBy*r.mean && r.mean > 0 || b.silent(r, 1) {
 		most = math.Floor(most / 2)
@@ -33,7 +33,7 @@
 }
 
 // silent: nothing was served since the oldest of n or more calls went out, long ago.
-func (b *Brain) silent(r *route, n int) bool {
+func (b *Dispatcher) silent(r *route, n int) bool {
 	if len(r.unanswered) < n {
 		return false
 	}
@@ -44,7 +44,7 @@
 // stuck: all calls that r has out are overdue. One that may not be repeated holds its place to its deadline,
 // and at an endpoint that hangs a few of them would keep all others out of the destination. One call may go
 // beside them, to an endpoint that has none.
-func (b *Brain) stuck(r *route) bool {
+func (b *Dispatcher) stuck(r *route) bool {
 	for _, c := range r.unanswered {
 		if over := c.sent + b.haste(c); b.now < over {
 			b.wakeAt(over)
@@ -55,7 +55,7 @@
 }
 
 // halve cuts the window, once for all calls that were out at the last cut.
-func (b *Brain) halve(r *route, sent time.Duration) {
+func (b *Dispatcher) halve(r *route, sent time.Duration) {
 	if sent >= r.halvedAt {
 		r.window, r.halvedAt = max(1, r.window/2), b.now
 	}
@@ -63,7 +63,7 @@
 
 // rate is how many calls a second r may get now, and how many at once. A window alone does not bound
 // the rate of quick failures, and a cold destination bears few calls, refused ones too.
-func (b *Brain) rate(r *route) (rate, burst float64) {
+func (b *Dispatcher) rate(r *route) (rate, burst float64) {
 	rate, burst = math.Inf(1), math.Inf(1)
 	if r.limit > 0 {
 		rate, burst = r.pace, max(1, r.pace)
@@ -72,9 +72,9 @@
 		}
 	}
 	switch {
-	case r.state == out:
+	case r.state == unavailable:
 		rate, burst = min(rate, b.bearable(r), 1/probeFirst.Seconds()), 1
-	case r.state == cold:
+	case r.state == warmingUp:
 		rate, burst = min(rate, b.bearable(r)), 1
 	case r.fails > failing:
 		rate, burst = min(rate, max(1, 1.5*r.rateServed())), 1
@@ -83,27 +83,27 @@
 }
 
 // full: r has as many calls out as its window and its state allow; in an outage probes are counted instead.
-func (b *Brain) full(r *route) bool { return r.state != out && r.calls >= b.cap(r) }
+func (b *Dispatcher) full(r *route) bool { return r.state != unavailable && r.calls >= b.cap(r) }
 
 // open reports whether r may get a call now; if not but later, the alarm is set for then.
-func (b *Brain) open(r *route) bool {
-	if r.state == cold && b.now-r.since > b.s.Cold {
-		b.enter(r, well)
+func (b *Dispatcher) open(r *route) bool {
+	if r.state == warmingUp && b.now-r.since > b.s.SlowStartDuration {
+		b.enter(r, healthy)
 	}
-	if r.state == well && b.silent(r, min(inRow/2, b.enough(r))-1) {
+	if r.state == healthy && b.silent(r, min(inRow/2, b.enough(r))-1) {
 		b.goOut(r)
 	}
 	if b.now < r.closedUntil {
 		b.wakeAt(r.closedUntil)
 		return false
 	}
-	if r.state == out && r.reopens > 0 {
+	if r.state == unavailable && r.reopens > 0 {
 		// There is room now, as told: a probe would only cost those that wait its time. But all were told the
 		// same, and one call each at once may be more than a cold destination bears.
 		b.warmUp(r, 1-b.many()*(b.spread()+0.5))
 		r.bad = 0
 	}
-	if r.state == out && r.probes > 0 && b.now-r.probedAt < r.patience() {
+	if r.state == unavailable && r.probes > 0 && b.now-r.probedAt < r.patience() {
 		b.wakeAt(r.probedAt + r.patience())
 		return false
 	}
@@ -120,15 +120,15 @@
 }
 
 // goOut begins an outage. Before a second one the rate was held down by us, so the higher is kept.
-func (b *Brain) goOut(r *route) {
-	if r.state == well {
+func (b *Dispatcher) goOut(r *route) {
+	if r.state == healthy {
 		r.before = max(b.usual(r.done), b.part(r.limit))
 		if r.served > inRow { // enough of them to go by the last seconds
 			r.before = max(r.before, r.rateServed())
 		}
 		r.outAt = b.now
 	}
-	b.enter(r, out)
+	b.enter(r, unavailable)
 	r.probes, r.tokens, r.filled = 0, b.spread(), b.now
 	r.window, r.reopens = 1, 0
 	b.log(r, "out: calls fail, are refused or go unanswered; one call at a time")
--- a/brain/outage.go
+++ b/internal/dispatch/outage.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // Outages outlive a process. A destination that returns from an outage is cold, and bears little from
 // those who saw it fail: a sender that is restarted in between holds many messages for it, and would
@@ -11,26 +11,26 @@
 type Outage struct {
 	Destination DestinationID
 	Endpoint    EndpointID    // where routes are apart
-	Apart       bool          // routes are apart
-	Over        bool          // it is well again; nothing else is set then but whose it is
-	Cold        bool          // it has answered again
+	PerEndpoint bool          // routes are apart
+	Resolved    bool          // it is well again; nothing else is set then but whose it is
+	WarmingUp   bool          // it has answered again
 	Since       time.Duration // of the state, by the clock
-	Began       time.Duration // of the outage
-	Before      float64       // our calls a second before it
+	StartedAt   time.Duration // of the outage
+	RateBefore  float64       // our calls a second before it
 }
 
 // NoteOutages says how routes have changed: those that are in an outage now, cold, or well again.
-type NoteOutages struct{ Outages []Outage }
+type PersistOutages struct{ Outages []Outage }
 
-// KnownOutages tells a Brain what an earlier one noted last. The list must have been told before,
+// KnownOutages tells a Dispatcher what an earlier one noted last. The list must have been told before,
 // and no message.
-type KnownOutages struct{ Outages []Outage }
+type OutagesRestored struct{ Outages []Outage }
 
-func (NoteOutages) action() {}
-func (KnownOutages) event() {}
+func (PersistOutages) action() {}
+func (OutagesRestored) event() {}
 
 // enter puts a route into another state, which is to be noted at the end of the batch.
-func (b *Brain) enter(r *route, to state) {
+func (b *Dispatcher) enter(r *route, to state) {
 	r.state, r.since = to, b.now
 	for _, known := range b.changed {
 		if known == r {
@@ -41,15 +41,16 @@
 }
 
 // noteOutages tells which routes have changed in this batch.
-func (b *Brain) noteOutages() {
+func (b *Dispatcher) noteOutages() {
 	if len(b.changed) == 0 {
 		return
 	}
-	var note NoteOutages
+	var note PersistOutages
 	for _, r := range b.changed {
-		o := Outage{Destination: r.destination, Endpoint: r.endpoint, Apart: r.apart, Over: r.state == well}
-		if !o.Over {
-			o.Cold, o.Since, o.Began, o.Before = r.state == cold, r.since, r.outAt, r.before
+		o := Outage{Destination: r.destination, Endpoint: r.endpoint, PerEndpoint: r.apart,
+			Resolved: r.state == healthy}
+		if !o.Resolved {
+			o.WarmingUp, o.Since, o.StartedAt, o.RateBefore = r.state == warmingUp, r.since, r.outAt, r.before
 		}
 		note.Outages = append(note.Outages, o)
 	}
@@ -58,8 +59,8 @@
 }
 
 // routeOf is the route that an outage is of, nil if it is not known.
-func (b *Brain) routeOf(o Outage) *route {
-	if !o.Apart {
+func (b *Dispatcher) routeOf(o Outage) *route {
+	if !o.PerEndpoint {
 		if d := b.dests[o.Destination]; d != nil {
 			return d.shared
 		}
@@ -72,17 +73,18 @@
 	return e.route
 }
 
-// recallOutages begins with the states that an earlier Brain noted. A route that became cold long ago is
+// recallOutages begins with the states that an earlier Dispatcher noted. A route that became cold long ago is
 // warm by now.
-func (b *Brain) recallOutages(list []Outage) {
+func (b *Dispatcher) recallOutages(list []Outage) {
 	for _, o := range list {
 		r := b.routeOf(o)
-		if r == nil || o.Over || o.Cold && b.now-o.Since > b.s.Cold {
+		if r == nil || o.Resolved || o.WarmingUp && b.now-o.Since > b.s.SlowStartDuration {
 			continue
 		}
-		r.state, r.since, r.outAt, r.before = out, min(b.now, o.Since), min(b.now, o.Began), max(0, o.Before)
-		if o.Cold {
-			r.state = cold
+		r.state, r.since = unavailable, min(b.now, o.Since)
+		r.outAt, r.before = min(b.now, o.StartedAt), max(0, o.RateBefore)
+		if o.WarmingUp {
+			r.state = warmingUp
 		}
 		r.window, r.tokens, r.filled = 1, b.spread(), b.now
 	}
--- a/brain/outcomes.go
+++ b/internal/dispatch/results.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // What follows from how an attempt ended.
 
@@ -8,13 +8,14 @@
 	"time"
 )
 
-func (b *Brain) ended(e AttemptEnd) {
+func (b *Dispatcher) ended(e AttemptResult) {
 	m := b.byID[e.Message]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || m.attempts[e.Attempt].ended {
 		return
 	}
 	a := &m.attempts[e.Attempt]
-	a.ended, a.doubt, e.Elapsed = true, e.Outcome == TimedOut || e.Outcome == Broken, max(0, e.Elapsed)
+	a.ended, a.doubt = true, e.Outcome == TimedOut || e.Outcome == ConnectionBroken
+	e.Elapsed = max(0, e.Elapsed)
 	m.out--
 	if a.left--; a.left == 0 {
 		b.calls--
@@ -35,50 +36,50 @@
 			}
 		}
 		a.route.unanswered = without(a.route.unanswered, a.call)
-		if a.probe && a.sent >= a.route.since && a.route.state == out {
+		if a.probe && a.sent >= a.route.since && a.route.state == unavailable {
 			a.route.probes--
 		}
 	}
-	if e.Reported && positive(e.Limit) {
-		b.learnLimit(a.route, e.Limit)
+	if e.HasLoadReport && positive(e.RateLimit) {
+		b.learnLimit(a.route, e.RateLimit)
 	}
-	if e.Wait > 0 { // each outcome of a shared call may tell a later end
-		b.heedWait(m.dest, a.route, e.Wait)
+	if e.RetryAfter > 0 { // each outcome of a shared call may tell a later end
+		b.heedWait(m.dest, a.route, e.RetryAfter)
 	}
 	// Broken sooner than any call was served, on a connection that had been idle: that was dropped meanwhile,
 	// and tells nothing of the destination. The call may have run, but its repeat need not wait.
-	dropped := e.Outcome == Broken && e.Idle > 0 && e.Elapsed < a.route.quickest
-	if !a.booked && e.Outcome != NotSent && e.Outcome != NotBegun && !dropped {
+	dropped := e.Outcome == ConnectionBroken && e.ConnectionIdle > 0 && e.Elapsed < a.route.quickest
+	if !a.booked && e.Outcome != NotSent && e.Outcome != NotStarted && !dropped {
 		a.booked = true
 		b.judge(m, a, e)
 	}
 	b.learn(a, e)
 	switch e.Outcome {
-	case NotBegun:
-		m.Tried-- // it does not count
+	case NotStarted:
+		m.PriorAttempts-- // it does not count
 		b.neverRan(m)
-	case Refused, ConnectFailed, NotSent:
+	case Rejected, ConnectFailed, NotSent:
 		b.neverRan(m)
-	case TimedOut, Broken, Cancelled:
+	case TimedOut, ConnectionBroken, Cancelled:
 		if m.turn != nil {
-			m.turn.restUntil = max(m.turn.restUntil, b.now+b.s.SettleAfterDoubt)
+			m.turn.restUntil = max(m.turn.restUntil, b.now+b.s.OrderedKeySettleTime)
 		}
 	}
-	if e.Over || m.over {
+	if e.Final || m.over {
 		m.served = e.Outcome == Served
 		b.close(m)
 		return
 	}
 	if m.out == 0 {
 		m.dest.waiting, m.unplaced = append(m.dest.waiting, m), e.Outcome == ConnectFailed
-		if e.Outcome != TimedOut && e.Outcome != NotBegun && !dropped {
+		if e.Outcome != TimedOut && e.Outcome != NotStarted && !dropped {
 			m.notBefore = b.now + retryPause<<min(len(m.attempts)-1, 4)
 		}
 	}
 }
 
 // heedWait closes a route of a destination for a told wait.
-func (b *Brain) heedWait(d *destination, r *route, wait time.Duration) {
+func (b *Dispatcher) heedWait(d *destination, r *route, wait time.Duration) {
 	r.closedUntil = max(r.closedUntil, b.now+wait+time.Millisecond)
 	for _, at := range d.endpoints {
 		if at.route == r {
@@ -88,7 +89,7 @@
 }
 
 // learn gives the oracle its sample: served first attempts only (Karn); an expiry doubles.
-func (b *Brain) learn(a *attempt, e AttemptEnd) {
+func (b *Dispatcher) learn(a *attempt, e AttemptResult) {
 	switch {
 	case e.Outcome == Served && a.weight > 0:
 		a.route.sample(e.Elapsed, a.weight, false)
@@ -102,7 +103,7 @@
 }
 
 // learnLimit takes a told limit; our pace starts at an even part of it.
-func (b *Brain) learnLimit(r *route, limit float64) {
+func (b *Dispatcher) learnLimit(r *route, limit float64) {
 	if r.limit == 0 {
 		r.pace = b.even(limit)
 	} else {
@@ -112,14 +113,14 @@
 }
 
 // judge books a call's fate with its route and endpoint.
-func (b *Brain) judge(m *message, a *attempt, e AttemptEnd) {
+func (b *Dispatcher) judge(m *message, a *attempt, e AttemptResult) {
 	r := a.route
 	bad := 0.0
-	if e.Outcome != Served && e.Outcome != Refused {
+	if e.Outcome != Served && e.Outcome != Rejected {
 		bad = 1
 	}
 	a.at.fails += healthPer * (bad - a.at.fails)
-	if e.Outcome != Refused {
+	if e.Outcome != Rejected {
 		r.fails += healthPer * (bad - r.fails)
 		r.lost++
 	}
@@ -133,21 +134,21 @@
 		a.at.missed = b.now
 		_, kind := b.keepFor(a.at)
 		*kind /= keepCut
-		a.at.crowded = b.s.IdleConnections
-	case e.Outcome == Refused:
+		a.at.crowded = b.s.IdleConnectionTimeout
+	case e.Outcome == Rejected:
 		b.refused(r, a, e)
 	case e.Outcome == TimedOut && r.doubled > 0:
 		b.halve(r, a.sent)
 	}
 	// Refusals come in runs where a limit is met, too: there it takes a while without any served.
-	long := e.Outcome != Refused || b.now-r.lastServed > b.s.OverloadFor/2
+	long := e.Outcome != Rejected || b.now-r.lastServed > b.s.OverloadWindow/2
 	lasting := r.bad >= b.enough(r) && long || r.fails > mostFail
-	if r.state == well && lasting || r.state == cold && r.bad >= b.enough(r)/2+1 && long {
+	if r.state == healthy && lasting || r.state == warmingUp && r.bad >= b.enough(r)/2+1 && long {
 		b.goOut(r)
 	}
 }
 
-func (b *Brain) judgeServed(m *message, a *attempt, e AttemptEnd) {
+func (b *Dispatcher) judgeServed(m *message, a *attempt, e AttemptResult) {
 	r := a.route
 	s := e.Elapsed.Seconds()
 	for _, recent := range []*float64{&r.recent, &a.at.recent} {
@@ -157,18 +158,18 @@
 		*recent += recentPer * (s - *recent)
 	}
 	ours := math.Sqrt(fewSenders / float64(max(fewSenders, b.s.Senders))) // others add theirs
-	more := time.Duration(keepGrow * ours * float64(b.s.IdleConnections))
+	more := time.Duration(keepGrow * ours * float64(b.s.IdleConnectionTimeout))
 	_, kind := b.keepFor(a.at)
-	*kind, a.at.crowded = min(b.s.IdleConnections, *kind+more), max(0, a.at.crowded-more)
+	*kind, a.at.crowded = min(b.s.IdleConnectionTimeout, *kind+more), max(0, a.at.crowded-more)
 	// Quickly served after a try on a connection that had been idle was not: such are dropped unseen.
 	if n := len(m.attempts); n > 1 && m.attempts[n-2].idle > 0 && m.attempts[n-2].doubt && s < slowBy*r.mean {
 		*kind = min(*kind, m.attempts[n-2].idle/2)
-		a.at.crowded = max(a.at.crowded, b.s.IdleConnections-*kind)
+		a.at.crowded = max(a.at.crowded, b.s.IdleConnectionTimeout-*kind)
 	}
 	b.countServed(r)
 	r.servedSent = max(r.servedSent, a.sent)
 	r.bad, r.lost, r.pause, r.takenBack = 0, 0, 0, 0
-	if r.state == out {
+	if r.state == unavailable {
 		if b.oftenHere(r) {
 			a.at.crowded = 0 // an outage as such: its connects did not fail for a full table
 		}
@@ -181,9 +182,9 @@
 	} else {
 		r.window = max(2, r.window-windowFade)
 	}
-	if r.limit > 0 && (e.Limit == 0 || e.Left > plenty) {
+	if r.limit > 0 && (e.RateLimit == 0 || e.QuotaLeft > plenty) {
 		step := paceStep * b.part(r.limit)
-		if e.Limit == 0 {
+		if e.RateLimit == 0 {
 			step *= 2 // no allowance to use up: the listed rate is a capacity
 		}
 		most := r.limit
@@ -195,15 +196,15 @@
 }
 
 // warmUp ends an outage: r is cold from now on.
-func (b *Brain) warmUp(r *route, tokens float64) {
-	b.enter(r, cold)
+func (b *Dispatcher) warmUp(r *route, tokens float64) {
+	b.enter(r, warmingUp)
 	r.window, r.tokens, r.filled, r.reopens = 1, tokens, b.now, 0
 	r.fails = min(r.fails, failing)
 	b.log(r, "answers again; warming up")
 }
 
 // refused closes the route for the told wait, or for a growing pause if none was told.
-func (b *Brain) refused(r *route, a *attempt, e AttemptEnd) {
+func (b *Dispatcher) refused(r *route, a *attempt, e AttemptResult) {
 	b.halve(r, a.sent)
 	r.refusedAt = b.now
 	if r.limit > 0 {
@@ -221,11 +222,11 @@
 			r.tokens, r.filled = b.spread(), b.now // others were refused in the same moment
 		}
 	}
-	if e.Wait > 0 {
-		if e.Wait > b.s.OverloadFor && r.state != out {
+	if e.RetryAfter > 0 {
+		if e.RetryAfter > b.s.OverloadWindow && r.state != unavailable {
 			b.goOut(r) // shut for longer than any limit is counted over: it comes back cold
 		}
-		if r.state == out {
+		if r.state == unavailable {
 			r.reopens = r.closedUntil
 		}
 		return
--- a/brain/choice.go
+++ b/internal/dispatch/selection.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // Which message goes to which endpoint next, and how it is sent.
 
@@ -8,7 +8,7 @@
 )
 
 // sendAll fills the free slots, the best message first.
-func (b *Brain) sendAll() {
+func (b *Dispatcher) sendAll() {
 	if b.halted || b.listStale {
 		return
 	}
@@ -68,7 +68,7 @@
 		if best < 0 {
 			return
 		}
-		if b.s.Slots > 0 && b.calls >= b.s.Slots {
+		if b.s.MaxConcurrentCalls > 0 && b.calls >= b.s.MaxConcurrentCalls {
 			waiting := 0
 			for i := range offers {
 				if offers[i].m != nil {
@@ -86,8 +86,8 @@
 // takeBack calls off overdue calls while messages wait for slots, the longest overdue first. A call that
 // may not be repeated holds its slot to the deadline otherwise, and a few hung destinations, or calls lost
 // here and there, would take all slots. It hurts where a call would have been answered.
-func (b *Brain) takeBack(waiting int) {
-	for b.s.MayCancel && b.takenBack < waiting {
+func (b *Dispatcher) takeBack(waiting int) {
+	for b.s.CanCancelAttempts && b.takenBack < waiting {
 		var victim *call
 		longest := time.Duration(0)
 		for _, r := range b.routes {
@@ -114,27 +114,28 @@
 
 // precedes orders two messages of one destination. In an outage a message that may be repeated tries
 // the destination, as one that may not is lost with the call.
-func (b *Brain) precedes(m *message, e *endpoint, x float64, than *message, thanX float64) bool {
-	if e.route.state == out && (m.class.Effect == Unsafe) != (than.class.Effect == Unsafe) {
-		return than.class.Effect == Unsafe
+func (b *Dispatcher) precedes(m *message, e *endpoint, x float64, than *message, thanX float64) bool {
+	thanIsLost := than.class.Effect == NonIdempotent
+	if e.route.state == unavailable && (m.class.Effect == NonIdempotent) != thanIsLost {
+		return thanIsLost
 	}
 	return x > thanX
 }
 
 // closeIdle shuts connections that have been idle for longer than they are kept.
-func (b *Brain) closeIdle() {
+func (b *Dispatcher) closeIdle() {
 	kept := b.idle[:0]
 	for _, e := range b.idle {
 		keep, _ := b.keepFor(e)
 		until := e.idleAt + keep
 		switch {
-		case e.calls > 0 || b.now >= e.idleAt+b.s.IdleConnections:
+		case e.calls > 0 || b.now >= e.idleAt+b.s.IdleConnectionTimeout:
 			continue
 		case b.now >= until:
 			b.acts = append(b.acts, CloseIdle{e.ID})
 			e.idleAt = 0
 			continue
-		case keep < b.s.IdleConnections:
+		case keep < b.s.IdleConnectionTimeout:
 			b.wakeAt(until)
 		}
 		kept = append(kept, e)
@@ -143,7 +144,7 @@
 }
 
 // ready: m may be sent now, as far as m itself goes.
-func (b *Brain) ready(m *message) bool {
+func (b *Dispatcher) ready(m *message) bool {
 	if b.now < m.notBefore {
 		b.wakeAt(m.notBefore)
 		return false
@@ -152,7 +153,7 @@
 }
 
 // inTurn: no other message of m's key goes first.
-func (b *Brain) inTurn(m *message) bool {
+func (b *Dispatcher) inTurn(m *message) bool {
 	if t := m.turn; t != nil {
 		if t.queue[0] != m {
 			return false
@@ -166,11 +167,11 @@
 }
 
 // pick is the endpoint for m with the least work of ours, by its recent latency and failures.
-func (b *Brain) pick(m *message, usable []*endpoint) *endpoint {
+func (b *Dispatcher) pick(m *message, usable []*endpoint) *endpoint {
 	var best *endpoint
 	least := 0.0
 	for _, e := range usable {
-		if m.mayRun && m.class.KeyInZone && m.class.Effect == Keyed && e.Zone != m.ranZone {
+		if m.mayRun && m.class.KeyScopedToZone && m.class.Effect == IdempotentByKey && e.Zone != m.ranZone {
 			continue
 		}
 		takes := e.recent
@@ -181,7 +182,7 @@
 		}
 		cost := float64(e.calls+1) * max(takes, 0.02) / max(0.05, 1-e.fails)
 		if e.Zone != b.s.Zone {
-			cost *= 1 + 10*b.s.CrossZonePrice
+			cost *= 1 + 10*b.s.CrossZoneCost
 		}
 		if e.Zone < len(b.s.ZoneFees) && e.route != m.dest.shared {
 			cost *= 1 + 10*b.s.ZoneFees[e.Zone]
@@ -194,10 +195,10 @@
 }
 
 // sendCall sends m, and with it, where messages share calls, the best others that may go along.
-func (b *Brain) sendCall(m *message, e *endpoint) {
+func (b *Dispatcher) sendCall(m *message, e *endpoint) {
 	r := e.route
-	c := &call{route: r, at: e, sent: b.now, probe: r.state == out}
-	if e.calls == 0 && e.idleAt > 0 && b.now < e.idleAt+b.s.IdleConnections {
+	c := &call{route: r, at: e, sent: b.now, probe: r.state == unavailable}
+	if e.calls == 0 && e.idleAt > 0 && b.now < e.idleAt+b.s.IdleConnectionTimeout {
 		c.idle = b.now - e.idleAt
 	}
 	follows := b.follows(e)
@@ -235,7 +236,7 @@
 }
 
 // send starts an attempt. Its time-out is the oracle's where a restart then is lawful, else the time left.
-func (b *Brain) send(m *message, c *call) {
+func (b *Dispatcher) send(m *message, c *call) {
 	r := c.route
 	left := m.Deadline - b.now
 	tau := r.tau()
@@ -247,14 +248,14 @@
 	if first {
 		a.weight = 1
 	}
-	restartable := m.class.Effect == Safe
-	if m.class.Effect == Keyed {
-		tau = min(tau, m.class.KeyWindow/2) // a repeat needs time to be served in the window
+	restartable := m.class.Effect == Idempotent
+	if m.class.Effect == IdempotentByKey {
+		tau = min(tau, m.class.IdempotencyWindow/2) // a repeat needs time to be served in the window
 		from := b.now
 		if m.mayRun {
 			from = m.firstRun
 		}
-		restartable = b.now+tau+holdUp+2*b.s.Step+r.quickest < from+m.class.KeyWindow
+		restartable = b.now+tau+holdUp+2*b.s.StepInterval+r.quickest < from+m.class.IdempotencyWindow
 	}
 	if m.most > 0 && m.tries()+1 >= m.most {
 		restartable = false
--- a/brain/memory.go
+++ b/internal/dispatch/snapshot.go
@@ -1,6 +1,6 @@
-package brain
+package dispatch
 
-// What a Brain gives to the one that follows it in another process of the same sender. Nothing is decided here:
+// What a Dispatcher gives to the one that follows it in another process of the same sender. Nothing is decided here:
 // it is copied out and in again. All of it has plain exported fields, so that it can travel in any encoding.
 
 import (
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Memory is what a Brain knows beside its messages and the list.
-type Memory struct {
-	Started time.Duration
-	Came    Fading
-	All     OracleMemory
-	Keep    []time.Duration
-	Random  uint64
-	Tenants [][2]float64 // recent and usual rate
-	Classes [][2]Fading  // worth that has ended, and was served
-	Routes  []RouteMemory
-	Ends    []EndpointMemory
+// Memory is what a Dispatcher knows beside its messages and the list.
+type Snapshot struct {
+	StartedAt    time.Duration
+	Arrivals     DecayingCount
+	Overall      EstimatorSnapshot
+	IdleTimeouts []time.Duration
+	Random       uint64
+	Tenants      [][2]float64       // recent and usual rate
+	Classes      [][2]DecayingCount // worth that has ended, and was served
+	Routes       []RouteSnapshot
+	Endpoints    []EndpointSnapshot
 }
 
 // Fading is a count that fades, as of a time.
-type Fading struct {
-	N    float64
-	When time.Duration
+type DecayingCount struct {
+	Value     float64
+	UpdatedAt time.Duration
 }
 
 // OracleMemory is a latency histogram and the time-out drawn from it.
-type OracleMemory struct {
+type EstimatorSnapshot struct {
 	Count, Sum                                 []float64
 	Seen                                       int
 	Past, Mean                                 float64
@@ -36,13 +36,13 @@
 }
 
 // RouteMemory is what is known of a destination, or of the route to one endpoint where routes are apart.
-type RouteMemory struct {
+type RouteSnapshot struct {
 	Destination DestinationID
 	Endpoint    EndpointID
-	Apart       bool
+	PerEndpoint bool
 
-	Oracle                                      OracleMemory
-	Tried, Done                                 Fading
+	Estimator                                   EstimatorSnapshot
+	Tried, Done                                 DecayingCount
 	Window, Fails, Recent, Served, Before       float64
 	Limit, Pace, Tokens                         float64
 	HalvedAt, ClosedUntil, Pause, Reopens       time.Duration
@@ -53,14 +53,14 @@
 }
 
 // EndpointMemory is what is known of one endpoint.
-type EndpointMemory struct {
+type EndpointSnapshot struct {
 	Endpoint      EndpointID
 	Recent, Fails float64
 	Crowded       time.Duration
 }
 
-func (o *oracle) remember() OracleMemory {
-	m := OracleMemory{Seen: o.seen, Past: o.past, Mean: o.mean, Best: o.optimum(), Median: o.median,
+func (o *timeoutEstimator) remember() EstimatorSnapshot {
+	m := EstimatorSnapshot{Seen: o.seen, Past: o.past, Mean: o.mean, Best: o.optimum(), Median: o.median,
 		Quickest: o.quickest, Doubled: o.doubled, DoubledAt: o.doubledAt}
 	for _, k := range o.bucket {
 		m.Count, m.Sum = append(m.Count, k.count), append(m.Sum, k.sum)
@@ -68,8 +68,8 @@
 	return m
 }
 
-func (m OracleMemory) recall() oracle {
-	o := oracle{seen: m.Seen, past: m.Past, mean: m.Mean, best: m.Best, median: m.Median, quickest: m.Quickest,
+func (m EstimatorSnapshot) recall() timeoutEstimator {
+	o := timeoutEstimator{seen: m.Seen, past: m.Past, mean: m.Mean, best: m.Best, median: m.Median, quickest: m.Quickest,
 		doubled: m.Doubled, doubledAt: m.DoubledAt}
 	for k := range min(len(m.Count), len(m.Sum), buckets) {
 		o.bucket = append(o.bucket, bucket{m.Count[k], m.Sum[k]})
@@ -77,18 +77,18 @@
 	return o
 }
 
-// Remember copies out what another Brain needs to go on where this one stops. It changes nothing.
-func (b *Brain) Remember() Memory {
-	m := Memory{Started: b.started, Came: Fading{b.came.n, b.came.when}, All: b.all.remember(), Keep: slices.Clone(b.keep),
+// Remember copies out what another Dispatcher needs to go on where this one stops. It changes nothing.
+func (b *Dispatcher) Snapshot() Snapshot {
+	m := Snapshot{StartedAt: b.started, Arrivals: DecayingCount{b.came.n, b.came.when}, Overall: b.all.remember(), IdleTimeouts: slices.Clone(b.keep),
 		Random: b.random}
 	for _, c := range b.classes {
-		m.Classes = append(m.Classes, [2]Fading{{c.ended.n, c.ended.when}, {c.served.n, c.served.when}})
+		m.Classes = append(m.Classes, [2]DecayingCount{{c.ended.n, c.ended.when}, {c.served.n, c.served.when}})
 	}
 	for _, t := range b.tenants {
 		m.Tenants = append(m.Tenants, [2]float64{t.recent, t.usual})
 	}
-	route := func(r *route) RouteMemory {
-		return RouteMemory{Oracle: r.oracle.remember(), Tried: Fading{r.tried.n, r.tried.when}, Done: Fading{r.done.n, r.done.when},
+	route := func(r *route) RouteSnapshot {
+		return RouteSnapshot{Estimator: r.timeoutEstimator.remember(), Tried: DecayingCount{r.tried.n, r.tried.when}, Done: DecayingCount{r.done.n, r.done.when},
 			Window: r.window, Fails: r.fails, Recent: r.recent, Served: r.served, Before: r.before, Limit: r.limit, Pace: r.pace,
 			Tokens: r.tokens, HalvedAt: r.halvedAt, ClosedUntil: r.closedUntil, Pause: r.pause, Reopens: r.reopens,
 			LastServed: r.lastServed, SentAt: r.sentAt, ServedSent: r.servedSent, FirstServed: r.firstServed, OutAt: r.outAt,
@@ -102,10 +102,10 @@
 		}
 	}
 	for id, e := range b.endpoints {
-		m.Ends = append(m.Ends, EndpointMemory{id, e.recent, e.fails, e.crowded})
+		m.Endpoints = append(m.Endpoints, EndpointSnapshot{id, e.recent, e.fails, e.crowded})
 		if d := b.dests[e.Destination]; e.route != d.shared {
 			r := route(e.route)
-			r.Endpoint, r.Apart = id, true
+			r.Endpoint, r.PerEndpoint = id, true
 			m.Routes = append(m.Routes, r)
 		}
 	}
@@ -113,7 +113,7 @@
 }
 
 // Resting is until when messages rest after a failed attempt.
-func (b *Brain) Resting() map[MessageID]time.Duration {
+func (b *Dispatcher) BackoffUntil() map[MessageID]time.Duration {
 	rests := map[MessageID]time.Duration{}
 	for _, m := range b.held {
 		if m.notBefore > b.now && m.out == 0 {
@@ -123,14 +123,14 @@
 	return rests
 }
 
-// Recall takes in what an earlier Brain remembered. The list must have been told before, and no message.
-func (b *Brain) Recall(m Memory) {
-	b.started, b.random = m.Started, m.Random
-	b.came = fading{m.Came.N, m.Came.When}
-	b.all, b.keep = m.All.recall(), slices.Clone(m.Keep)
+// Recall takes in what an earlier Dispatcher remembered. The list must have been told before, and no message.
+func (b *Dispatcher) Restore(m Snapshot) {
+	b.started, b.random = m.StartedAt, m.Random
+	b.came = decayingCounter{m.Arrivals.Value, m.Arrivals.UpdatedAt}
+	b.all, b.keep = m.Overall.recall(), slices.Clone(m.IdleTimeouts)
 	for i := range min(len(m.Classes), len(b.classes)) {
 		ended, served := m.Classes[i][0], m.Classes[i][1]
-		b.classes[i] = classCount{fading{ended.N, ended.When}, fading{served.N, served.When}}
+		b.classes[i] = classCount{decayingCounter{ended.Value, ended.UpdatedAt}, decayingCounter{served.Value, served.UpdatedAt}}
 	}
 	for i := range min(len(m.Tenants), len(b.tenants)) {
 		b.tenants[i] = tenant{m.Tenants[i][0], m.Tenants[i][1]}
@@ -138,7 +138,7 @@
 	b.tenantsAt = b.now
 	for _, k := range m.Routes {
 		var r *route
-		if k.Apart {
+		if k.PerEndpoint {
 			if e := b.endpoints[k.Endpoint]; e != nil && e.route != b.dests[e.Destination].shared {
 				r = e.route
 			}
@@ -152,16 +152,16 @@
 			k.Pace *= r.limit / k.Limit
 			k.Limit = r.limit
 		}
-		r.oracle = k.Oracle.recall()
-		r.tried, r.done = fading{k.Tried.N, k.Tried.When}, fading{k.Done.N, k.Done.When}
+		r.timeoutEstimator = k.Estimator.recall()
+		r.tried, r.done = decayingCounter{k.Tried.Value, k.Tried.UpdatedAt}, decayingCounter{k.Done.Value, k.Done.UpdatedAt}
 		r.window, r.fails, r.recent, r.served, r.before = max(1, k.Window), k.Fails, k.Recent, k.Served, k.Before
 		r.limit, r.pace, r.tokens, r.filled = k.Limit, k.Pace, k.Tokens, k.Filled
 		r.halvedAt, r.closedUntil, r.pause, r.reopens = k.HalvedAt, k.ClosedUntil, k.Pause, k.Reopens
 		r.lastServed, r.sentAt, r.servedSent, r.firstServed = k.LastServed, k.SentAt, k.ServedSent, k.FirstServed
 		r.outAt, r.since, r.probedAt, r.bad, r.lost = k.OutAt, k.Since, k.ProbedAt, k.Bad, k.Lost
-		r.state = min(state(k.State), cold)
+		r.state = min(state(k.State), warmingUp)
 	}
-	for _, k := range m.Ends {
+	for _, k := range m.Endpoints {
 		if e := b.endpoints[k.Endpoint]; e != nil {
 			e.recent, e.fails, e.crowded = k.Recent, k.Fails, k.Crowded
 		}
@@ -169,12 +169,12 @@
 }
 
 // adopt books an attempt that another process of this sender has out, as if it had been sent from here.
-func (b *Brain) adopt(m *message, o *Out) {
+func (b *Dispatcher) adopt(m *message, o *InFlightAttempt) {
 	e := b.endpoints[o.Endpoint]
 	r := e.route
 	c := b.adopted[o.Call]
 	if c == nil {
-		c = &call{route: r, at: e, sent: o.Sent, probe: r.state == out && o.Sent >= r.since}
+		c = &call{route: r, at: e, sent: o.SentAt, probe: r.state == unavailable && o.SentAt >= r.since}
 		if b.adopted == nil {
 			b.adopted = map[uint64]*call{}
 		}
--- a/brain/memory_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"bytes"
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// follow is a rig whose Brain goes on where another one stops, in another process: all travels as bytes.
+// follow is a rig whose Dispatcher goes on where another one stops, in another process: all travels as bytes.
 func follow(t *testing.T, r *rig, s Settings) *rig {
 	t.Helper()
 	var wire bytes.Buffer
-	if err := gob.NewEncoder(&wire).Encode(r.b.Remember()); err != nil {
+	if err := gob.NewEncoder(&wire).Encode(r.b.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m Snapshot
 	if err := gob.NewDecoder(&wire).Decode(&m); err != nil {
 		t.Fatal(err)
 	}
 	n := newRig(t, s)
 	n.now, n.next = r.now, r.next
 	n.step()
-	n.b.Recall(m)
+	n.b.Restore(m)
 	return n
 }
 
@@ -29,15 +29,15 @@
 func TestRecallKeepsWaits(t *testing.T) {
 	r := newRig(t, settings())
 	sends := r.step(r.message(0, 0, 0))
-	e := r.end(sends[0], Refused)
-	e.Wait = 700 * ms
+	e := r.end(sends[0], Rejected)
+	e.RetryAfter = 700 * ms
 	r.step(e)
 	n := follow(t, r, settings())
 	if sends := n.step(n.message(0, 0, 0)); len(sends) > 0 {
 		t.Errorf("sent in a wait: %v", sends)
 	}
 	n.now += 710 * ms
-	if sends := n.step(Alarm{}); len(sends) != 1 {
+	if sends := n.step(TimerFired{}); len(sends) != 1 {
 		t.Errorf("after the wait: %v", sends)
 	}
 }
@@ -53,7 +53,7 @@
 		r.now += 300 * ms
 	}
 	n := follow(t, r, settings())
-	if had, has := r.b.Avoided(), n.b.Avoided(); had != 1 || has != 1 {
+	if had, has := r.b.EjectedEndpoints(), n.b.EjectedEndpoints(); had != 1 || has != 1 {
 		t.Errorf("avoided %d before, %d after", had, has)
 	}
 	if had, has := r.b.routes[0].optimum(), n.b.dests[0].shared.optimum(); had != has || had == 0 {
@@ -64,26 +64,26 @@
 // Calls that the process before has out hold their slots and their messages, and end like any other.
 func TestCallsOutHoldTheirSlots(t *testing.T) {
 	s := settings()
-	s.Slots = 2
+	s.MaxConcurrentCalls = 2
 	n := newRig(t, s)
 	var out []Event
 	for call := range uint64(2) {
 		m := n.message(0, 0, 0)
-		m.MayRun, m.FirstRun = true, n.now-ms
-		m.Out = &Out{Endpoint: 1, Call: call, Sent: n.now - ms, Timeout: 5 * time.Second}
+		m.MayHaveRun, m.FirstRunAt = true, n.now-ms
+		m.InFlight = &InFlightAttempt{Endpoint: 1, Call: call, SentAt: n.now - ms, Timeout: 5 * time.Second}
 		n.tries[m.ID]++
 		out = append(out, m)
 	}
 	if sends := n.step(append(out, n.message(0, 1, 0))...); len(sends) > 0 {
 		t.Fatalf("sent beyond the slots: %v", sends)
 	}
-	sends := n.step(AttemptEnd{Message: 1, Endpoint: 1, Outcome: ConnectFailed})
+	sends := n.step(AttemptResult{Message: 1, Endpoint: 1, Outcome: ConnectFailed})
 	if len(sends) != 1 || sends[0].Message != 3 {
 		t.Errorf("with a slot free again: %v", sends)
 	}
-	n.step(AttemptEnd{Message: 2, Endpoint: 1, Outcome: Served, Over: true})
+	n.step(AttemptResult{Message: 2, Endpoint: 1, Outcome: Served, Final: true})
 	n.now += time.Second
-	if sends := n.step(Alarm{}); len(sends) != 1 || sends[0].Message != 1 {
+	if sends := n.step(TimerFired{}); len(sends) != 1 || sends[0].Message != 1 {
 		t.Errorf("the one that never ran is not sent again: %v", sends)
 	}
 	if n.b.calls != 2 {
--- a/brain/state.go
+++ b/internal/dispatch/state.go
@@ -1,6 +1,6 @@
-package brain
+package dispatch
 
-// What a sender remembers, and plain book-keeping on it. Nothing is decided here: that is brain.go.
+// What a sender remembers, and plain book-keeping on it. Nothing is decided here: that is dispatcher.go.
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 // bucket holds the weighted samples of one bucket and their times (s).
 type bucket struct{ count, sum float64 }
 
-type oracle struct {
+type timeoutEstimator struct {
 	bucket    []bucket      // up to the last in use
 	seen      int           // samples taken
 	past      float64       // weighted calls unanswered past tauMax
@@ -27,26 +27,28 @@
 type state uint8
 
 const (
-	well state = iota
-	out        // an outage: one call at a time, spaced by a growing back-off
-	cold       // returned: a ramp until it is warm
+	healthy     state = iota
+	unavailable       // an outage: one call at a time, spaced by a growing back-off
+	warmingUp         // returned: a ramp until it is warm
 )
 
 // fading is a count that fades over a span.
-type fading struct {
+type decayingCounter struct {
 	n    float64
 	when time.Duration
 }
 
-func (f *fading) at(now, span time.Duration) float64 {
+func (f *decayingCounter) at(now, span time.Duration) float64 {
 	return f.n * math.Exp(-(now-f.when).Seconds()/span.Seconds())
 }
 
-func (f *fading) add(n float64, now, span time.Duration) { f.n, f.when = f.at(now, span)+n, now }
+func (f *decayingCounter) add(n float64, now, span time.Duration) {
+	f.n, f.when = f.at(now, span)+n, now
+}
 
 type route struct {
-	oracle
-	tried, done fading // calls sent, and served
+	timeoutEstimator
+	tried, done decayingCounter // calls sent, and served
 	name        uint32
 	destination DestinationID
 	endpoint    EndpointID // where routes are apart
@@ -83,7 +85,7 @@
 	shares      int // messages that may travel in one call
 }
 
-func (b *Brain) newRoute(line Endpoint, apart bool) *route {
+func (b *Dispatcher) newRoute(line Endpoint, apart bool) *route {
 	r := &route{name: uint32(line.Destination), destination: line.Destination, window: 1, tokens: 1, filled: b.now, lastServed: b.now, refusedAt: -never / 2, logged: -never / 2}
 	if apart {
 		r.name, r.endpoint, r.apart = uint32(line.ID), line.ID, true
@@ -159,12 +161,12 @@
 }
 
 // classCount is the worth of a class's messages that have ended, over arrivalSpan, and what of it was served.
-type classCount struct{ ended, served fading }
+type classCount struct{ ended, served decayingCounter }
 
 type tenant struct{ recent, usual float64 } // messages a second, over shareSpan and over ten times that
 
-// Brain is one sender's decisions.
-type Brain struct {
+// Dispatcher is one sender's decisions.
+type Dispatcher struct {
 	s         Settings
 	random    uint64
 	now, wake time.Duration
@@ -179,8 +181,8 @@
 	resting   []*turn
 	calls     int // slots in use
 	routes    []*route
-	all       oracle // of all routes together, for what is usual here
-	takenBack int    // calls called off, without an outcome
+	all       timeoutEstimator // of all routes together, for what is usual here
+	takenBack int              // calls called off, without an outcome
 	tenants   []tenant
 	classes   []classCount
 	tenantsAt time.Duration
@@ -188,7 +190,7 @@
 	idle      []*endpoint      // perhaps with an idle connection
 	keep      []time.Duration  // how long to keep those, by kind of destination
 	started   time.Duration    // first batch
-	came      fading           // messages taken
+	came      decayingCounter  // messages taken
 	fresh     int              // of them in this batch
 	adopted   map[uint64]*call // calls that another process had out
 	halted    bool             // nothing may be sent: it could not be written down
@@ -197,20 +199,20 @@
 }
 
 // New makes the decisions of one sender that knows nothing yet but its settings.
-func New(s Settings, seed uint64) *Brain {
-	b := &Brain{s: s, random: seed, now: -never, started: -never, alarm: never, askAt: never, byID: map[MessageID]*message{},
+func New(s Settings, seed uint64) *Dispatcher {
+	b := &Dispatcher{s: s, random: seed, now: -never, started: -never, alarm: never, askAt: never, byID: map[MessageID]*message{},
 		dests: map[DestinationID]*destination{}, endpoints: map[EndpointID]*endpoint{},
 		turns: map[uint64]*turn{}, tenants: make([]tenant, len(s.Tenants)), classes: make([]classCount, len(s.Classes))}
-	if s.AsksForList {
+	if s.PollsEndpointList {
 		b.askAt = -never
 	}
 	return b
 }
 
-func (b *Brain) wakeAt(t time.Duration) { b.wake = min(b.wake, t) }
+func (b *Dispatcher) wakeAt(t time.Duration) { b.wake = min(b.wake, t) }
 
 // draw is the next random number below n (splitmix64).
-func (b *Brain) draw(n uint64) uint64 {
+func (b *Dispatcher) draw(n uint64) uint64 {
 	b.random += 0x9e3779b97f4a7c15
 	return mix(b.random) % n
 }
@@ -222,7 +224,7 @@
 	return z ^ z>>31
 }
 
-func (b *Brain) destination(id DestinationID) *destination {
+func (b *Dispatcher) destination(id DestinationID) *destination {
 	d := b.dests[id]
 	if d == nil {
 		d = &destination{}
@@ -232,14 +234,14 @@
 	return d
 }
 
-func (b *Brain) drop(id EndpointID) {
+func (b *Dispatcher) drop(id EndpointID) {
 	if e := b.endpoints[id]; e != nil {
 		d := b.destination(e.Destination)
 		d.endpoints = without(d.endpoints, e)
 	}
 }
 
-func (b *Brain) add(line Endpoint) {
+func (b *Dispatcher) add(line Endpoint) {
 	line.Kind, line.Zone = max(0, line.Kind), max(0, line.Zone)
 	d := b.destination(line.Destination)
 	e := b.endpoints[line.ID]
@@ -248,7 +250,7 @@
 			e = &endpoint{missed: -never / 2}
 			b.endpoints[line.ID] = e
 		}
-		if line.Kind < len(b.s.Kinds) && b.s.Kinds[line.Kind].Apart {
+		if line.Kind < len(b.s.Kinds) && b.s.Kinds[line.Kind].PerEndpoint {
 			e.route = b.newRoute(line, true)
 		} else {
 			if d.shared == nil {
@@ -259,18 +261,18 @@
 	}
 	e.Endpoint = line
 	e.route.shares = b.batch(e)
-	if b.s.RatedLimits && positive(line.Rating) {
+	if b.s.RatingIsRateLimit && positive(line.Rating) {
 		b.learnLimit(e.route, line.Rating)
 	}
 	d.endpoints = append(d.endpoints, e)
 }
 
 // Avoided is how many listed endpoints get no traffic now but single calls that look whether they answer again.
-func (b *Brain) Avoided() int {
+func (b *Dispatcher) EjectedEndpoints() int {
 	n := 0
 	for _, d := range b.order {
 		for _, e := range d.endpoints {
-			if e.route.state == out {
+			if e.route.state == unavailable {
 				n++
 			}
 		}
@@ -305,21 +307,21 @@
 	return r
 }
 
-func (b *Brain) batch(e *endpoint) int {
+func (b *Dispatcher) batch(e *endpoint) int {
 	if e.Kind < len(b.s.Kinds) {
-		return max(1, b.s.Kinds[e.Kind].PerCall)
+		return max(1, b.s.Kinds[e.Kind].MaxBatchSize)
 	}
 	return 1
 }
 
-func (b *Brain) log(r *route, text string) {
+func (b *Dispatcher) log(r *route, text string) {
 	if b.now-r.logged >= 5*time.Second {
 		r.logged = b.now
 		b.acts = append(b.acts, Log{fmt.Sprintf("%d %s", r.name, text)})
 	}
 }
 
-func (b *Brain) fadeTenants() {
+func (b *Dispatcher) fadeTenants() {
 	dt := (b.now - b.tenantsAt).Seconds()
 	b.tenantsAt = b.now
 	for i := range b.tenants {
@@ -329,14 +331,14 @@
 }
 
 // withhold stops what is not written yet to e: by the time that it is, a drain or a wait may bind.
-func (b *Brain) withhold(e *endpoint) {
+func (b *Dispatcher) withhold(e *endpoint) {
 	if e != nil && e.calls > 0 {
-		b.acts = append(b.acts, Withhold{e.ID})
+		b.acts = append(b.acts, AbortUnsent{e.ID})
 	}
 }
 
 // news takes in the list. What drains or is gone gets nothing new from this batch on.
-func (b *Brain) news(n ListNews) {
+func (b *Dispatcher) news(n EndpointListUpdate) {
 	listed := map[EndpointID]bool{}
 	for _, e := range n.Endpoints {
 		listed[e.ID] = e.Ready
@@ -347,7 +349,7 @@
 			b.withhold(b.endpoints[e.ID])
 		}
 	}
-	if n.Whole {
+	if n.Full {
 		for _, d := range b.order {
 			for _, e := range append([]*endpoint(nil), d.endpoints...) {
 				if !listed[e.ID] {
@@ -360,7 +362,7 @@
 }
 
 // retune takes in new settings. What was learnt of destinations stays, and the messages held have their rules.
-func (b *Brain) retune(s Settings) {
+func (b *Dispatcher) retune(s Settings) {
 	b.s = s
 	if len(s.Classes) != len(b.classes) {
 		b.classes = make([]classCount, len(s.Classes))
@@ -371,7 +373,7 @@
 // positive reports whether x is of use as a figure: a report or a list may hold anything.
 func positive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
 
-func (b *Brain) admit(msg Message) {
+func (b *Dispatcher) admit(msg Message) {
 	rules := msg.Rules
 	if rules == nil {
 		if msg.Class < 0 || msg.Class >= len(b.s.Classes) {
@@ -381,11 +383,11 @@
 		rules = &Rules{b.s.Classes[msg.Class], b.s.MaxAttempts}
 	}
 	m := &message{Message: msg, class: &rules.Class, most: rules.MaxAttempts, dest: b.destination(msg.Destination),
-		mayRun: msg.MayRun, firstRun: msg.FirstRun, ranZone: msg.RanZone, notBefore: msg.NotBefore}
+		mayRun: msg.MayHaveRun, firstRun: msg.FirstRunAt, ranZone: msg.FirstRunZone, notBefore: msg.NotBefore}
 	b.byID[m.ID] = m
 	b.held = append(b.held, m)
-	if msg.Out != nil && b.endpoints[msg.Out.Endpoint] != nil {
-		b.adopt(m, msg.Out)
+	if msg.InFlight != nil && b.endpoints[msg.InFlight.Endpoint] != nil {
+		b.adopt(m, msg.InFlight)
 	} else {
 		m.dest.waiting = append(m.dest.waiting, m)
 	}
@@ -400,7 +402,7 @@
 		}
 		m.turn.queue = append(m.turn.queue, m)
 		if m.mayRun { // an attempt from before a restart may be running yet
-			m.turn.restUntil = max(m.turn.restUntil, b.now+b.s.SettleAfterDoubt)
+			m.turn.restUntil = max(m.turn.restUntil, b.now+b.s.OrderedKeySettleTime)
 		}
 	}
 	if m.Tenant >= 0 && m.Tenant < len(b.tenants) {
@@ -411,7 +413,7 @@
 }
 
 // close ends a message for us; its attempts may still be out.
-func (b *Brain) close(m *message) {
+func (b *Dispatcher) close(m *message) {
 	if !m.over {
 		m.over = true
 		b.countClass(m)
@@ -428,29 +430,29 @@
 }
 
 // countClass books what became of m with its class.
-func (b *Brain) countClass(m *message) {
+func (b *Dispatcher) countClass(m *message) {
 	if m.Class < 0 || m.Class >= len(b.classes) { // of settings that are no longer in force
 		return
 	}
 	c := &b.classes[m.Class]
-	c.ended.add(m.class.Worth, b.now, arrivalSpan)
+	c.ended.add(m.class.PriorityWeight, b.now, arrivalSpan)
 	if m.served {
 		c.served.add(b.worth(m, b.now), b.now, arrivalSpan)
 	}
 }
 
 // tries counts the attempts made, those before a restart too.
-func (m *message) tries() int { return m.Tried + len(m.attempts) }
+func (m *message) tries() int { return m.PriorAttempts + len(m.attempts) }
 
 // neverRan looks again for the first attempt that may have run.
-func (b *Brain) neverRan(m *message) {
+func (b *Dispatcher) neverRan(m *message) {
 	last := len(m.attempts) - 1
 	if m.firstRun == m.attempts[last].sent {
 		m.mayRun = false
 	}
 }
 
-func (b *Brain) countServed(r *route) {
+func (b *Dispatcher) countServed(r *route) {
 	if r.served == 0 {
 		r.firstServed = b.now
 	}
@@ -466,7 +468,7 @@
 }
 
 // fill books the calls that the rate has allowed since the last look.
-func (b *Brain) fill(r *route) {
+func (b *Dispatcher) fill(r *route) {
 	rate, burst := b.rate(r)
 	if math.IsInf(rate, 1) {
 		r.tokens = 1
--- a/brain/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"bufio"
@@ -28,7 +28,7 @@
 // traceWorld drives one module with made-up events and answers its calls. All of it follows from the seed.
 type traceWorld struct {
 	random   *rand.Rand
-	module   *Brain
+	module   *Dispatcher
 	settings Settings
 	seed     uint64
 	now      time.Duration
@@ -53,19 +53,19 @@
 }
 
 func traceSettings(random *rand.Rand, senders int) Settings {
-	s := Settings{Senders: senders, Number: random.Intn(senders), Zone: random.Intn(3), Slots: 6 + random.Intn(20),
-		MostHeld: 40 + random.Intn(100), MaxAttempts: 3 + random.Intn(4), MayCancel: random.Intn(3) > 0, TellsHoldOff: random.Intn(2) == 0,
-		MaxHoldOff: 2 * time.Second, IdleConnections: 4 * time.Second, AsksForList: random.Intn(2) == 0, Step: 5 * ms,
-		SettleAfterDoubt: 300 * ms, FallMultiple: 2, StartCapacity: 0.2, OverloadFor: 2 * time.Second, Cold: 8 * time.Second,
-		WholeWeight: 0.6, ClassWeight: 0.3, OverShareWorth: 0.2, CrossZonePrice: 0.05, Halving: random.Intn(2) == 0,
-		RatedLimits: random.Intn(2) == 0, ZoneFees: []float64{0.01, 0.03, 0},
-		Kinds:   []Kind{{PerCall: 1}, {Apart: true, PerCall: 1}, {PerCall: 4}, {Apart: true, PerCall: 3}},
-		Tenants: []Tenant{{Share: 0.5, Allowance: 30}, {Share: 0.3, Allowance: 10}, {Share: 0.2, Allowance: 4}}}
-	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
+	s := Settings{Senders: senders, Number: random.Intn(senders), Zone: random.Intn(3), MaxConcurrentCalls: 6 + random.Intn(20),
+		MaxPendingMessages: 40 + random.Intn(100), MaxAttempts: 3 + random.Intn(4), CanCancelAttempts: random.Intn(3) > 0, SendsRetryAfter: random.Intn(2) == 0,
+		MaxRetryAfter: 2 * time.Second, IdleConnectionTimeout: 4 * time.Second, PollsEndpointList: random.Intn(2) == 0, StepInterval: 5 * ms,
+		OrderedKeySettleTime: 300 * ms, CollapseLoadFactor: 2, SlowStartCapacity: 0.2, OverloadWindow: 2 * time.Second, SlowStartDuration: 8 * time.Second,
+		TotalWeight: 0.6, WorstClassWeight: 0.3, OverQuotaWeight: 0.2, CrossZoneCost: 0.05, LateWeightHalves: random.Intn(2) == 0,
+		RatingIsRateLimit: random.Intn(2) == 0, ZoneFees: []float64{0.01, 0.03, 0},
+		Kinds:   []Kind{{MaxBatchSize: 1}, {PerEndpoint: true, MaxBatchSize: 1}, {MaxBatchSize: 4}, {PerEndpoint: true, MaxBatchSize: 3}},
+		Tenants: []Tenant{{Quota: 0.5, QuotaRate: 30}, {Quota: 0.3, QuotaRate: 10}, {Quota: 0.2, QuotaRate: 4}}}
+	for _, effect := range []Effect{Idempotent, IdempotentByKey, NonIdempotent} {
 		for _, ordered := range []bool{false, true} {
-			s.Classes = append(s.Classes, Class{Aim: time.Duration(300+random.Intn(1500)) * ms, Deadline: time.Duration(3000+random.Intn(9000)) * ms,
-				Effect: effect, KeyInZone: random.Intn(3) == 0, KeyWindow: time.Duration(1500+random.Intn(3000)) * ms, Ordered: ordered,
-				Worth: 0.5 + random.Float64()*2, LateWorth: 0.3})
+			s.Classes = append(s.Classes, Class{LatencyObjective: time.Duration(300+random.Intn(1500)) * ms, Deadline: time.Duration(3000+random.Intn(9000)) * ms,
+				Effect: effect, KeyScopedToZone: random.Intn(3) == 0, IdempotencyWindow: time.Duration(1500+random.Intn(3000)) * ms, Ordered: ordered,
+				PriorityWeight: 0.5 + random.Float64()*2, LateWeight: 0.3})
 		}
 	}
 	return s
@@ -103,11 +103,11 @@
 		case roll < 40:
 			return TimedOut, 0
 		case roll < 60:
-			return Refused, latency
+			return Rejected, latency
 		case roll < 75:
 			return ConnectFailed, latency
 		case roll < 85:
-			return Broken, latency
+			return ConnectionBroken, latency
 		case roll < 95:
 			return Errored, latency
 		}
@@ -116,15 +116,15 @@
 	case roll < 2:
 		return TimedOut, 0
 	case roll < 4:
-		return Broken, latency / 20
+		return ConnectionBroken, latency / 20
 	case roll < 6:
 		return Errored, latency
 	case roll < 9:
-		return Refused, latency
+		return Rejected, latency
 	case roll < 10:
 		return NotSent, latency
 	case roll < 11:
-		return NotBegun, 0
+		return NotStarted, 0
 	}
 	return Served, latency
 }
@@ -139,7 +139,7 @@
 	}
 	switch w.random.Intn(12) {
 	case 0:
-		m.Resumed, m.Tried, m.MayRun, m.FirstRun, m.RanZone = true, 1, true, w.now-time.Second, 1
+		m.Resumed, m.PriorAttempts, m.MayHaveRun, m.FirstRunAt, m.FirstRunZone = true, 1, true, w.now-time.Second, 1
 	case 1:
 		m.Rules = &Rules{w.settings.Classes[w.random.Intn(len(w.settings.Classes))], 4}
 	case 2:
@@ -152,29 +152,29 @@
 	var events []Event
 	if w.now%time.Minute == 0 || w.random.Intn(300) == 0 {
 		w.list[w.random.Intn(len(w.list))].Rating = float64(w.random.Intn(40))
-		events = append(events, ListNews{Whole: true, Endpoints: append([]Endpoint(nil), w.list...)})
+		events = append(events, EndpointListUpdate{Full: true, Endpoints: append([]Endpoint(nil), w.list...)})
 	}
 	switch w.random.Intn(250) {
 	case 0:
 		i := w.random.Intn(len(w.list))
 		w.list[i].Ready = !w.list[i].Ready
-		events = append(events, ListNews{Endpoints: []Endpoint{w.list[i]}})
+		events = append(events, EndpointListUpdate{Endpoints: []Endpoint{w.list[i]}})
 	case 1:
-		events = append(events, ListNews{Failed: true})
+		events = append(events, EndpointListUpdate{Failed: true})
 	case 2:
-		events = append(events, Storage{Failing: w.random.Intn(2) == 0})
+		events = append(events, StorageStatus{Failing: w.random.Intn(2) == 0})
 	case 3:
-		events = append(events, ListStale{Stale: w.random.Intn(2) == 0})
+		events = append(events, EndpointListStale{Stale: w.random.Intn(2) == 0})
 	case 4:
-		events = append(events, WaitTold{Endpoint: EndpointID(w.random.Intn(15)), Wait: time.Duration(w.random.Intn(600)) * ms})
+		events = append(events, RetryAfterReceived{Endpoint: EndpointID(w.random.Intn(15)), RetryAfter: time.Duration(w.random.Intn(600)) * ms})
 	case 5:
 		w.settings.MaxAttempts = 3 + w.random.Intn(4)
-		w.settings.Slots = 6 + w.random.Intn(20)
-		events = append(events, NewSettings{w.settings})
+		w.settings.MaxConcurrentCalls = 6 + w.random.Intn(20)
+		events = append(events, SettingsChanged{w.settings})
 	case 6, 7, 8:
-		events = append(events, Storage{}, ListStale{})
+		events = append(events, StorageStatus{}, EndpointListStale{})
 	case 9, 10:
-		events = append(events, Withdrawn{Message: MessageID(w.random.Intn(int(w.next) + 1))})
+		events = append(events, MessageCancelled{Message: MessageID(w.random.Intn(int(w.next) + 1))})
 	}
 	for n := w.random.Intn(3) * w.random.Intn(2); n > 0; n-- {
 		m := w.message()
@@ -187,22 +187,22 @@
 			left = append(left, c)
 			continue
 		}
-		end := AttemptEnd{Message: c.send.Message, Attempt: c.attempt, Endpoint: c.send.Endpoint, Outcome: c.outcome,
-			Elapsed: w.now - c.sent, Over: c.outcome == Served}
-		if c.outcome == Refused && w.random.Intn(2) == 0 {
-			end.Wait = time.Duration(w.random.Intn(3500)) * ms
+		end := AttemptResult{Message: c.send.Message, Attempt: c.attempt, Endpoint: c.send.Endpoint, Outcome: c.outcome,
+			Elapsed: w.now - c.sent, Final: c.outcome == Served}
+		if c.outcome == Rejected && w.random.Intn(2) == 0 {
+			end.RetryAfter = time.Duration(w.random.Intn(3500)) * ms
 		}
 		if w.random.Intn(4) == 0 {
-			end.Reported, end.Left, end.Limit = true, w.random.Float64(), float64(w.random.Intn(50))
+			end.HasLoadReport, end.QuotaLeft, end.RateLimit = true, w.random.Float64(), float64(w.random.Intn(50))
 		}
-		if c.outcome == Broken {
-			end.Idle = time.Duration(w.random.Intn(3)) * time.Second
+		if c.outcome == ConnectionBroken {
+			end.ConnectionIdle = time.Duration(w.random.Intn(3)) * time.Second
 		}
 		events = append(events, end)
 	}
 	w.calls = left
 	if w.random.Intn(3) == 0 {
-		events = append(events, Alarm{})
+		events = append(events, TimerFired{})
 	}
 	return events
 }
@@ -211,15 +211,15 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			w.note("send %d %d %d %d", a.Message, a.Endpoint, a.Timeout, a.Begin)
+			w.note("send %d %d %d %d", a.Message, a.Endpoint, a.Timeout, a.StartWithin)
 			outcome, latency := w.outcome(a.Endpoint)
 			if outcome == TimedOut || latency > a.Timeout {
 				outcome, latency = TimedOut, a.Timeout
 			}
 			w.calls = append(w.calls, traceCall{a, w.sent[a.Message], w.now, w.now + latency, outcome})
 			w.sent[a.Message]++
-		case Refuse:
-			w.note("reject %d %d", a.Message, a.HoldOff)
+		case Reject:
+			w.note("reject %d %d", a.Message, a.RetryAfter)
 		case Fail:
 			w.note("fail %d", a.Message)
 		case Cancel:
@@ -229,17 +229,17 @@
 					c.ends, c.outcome = w.now, Cancelled
 				}
 			}
-		case Withhold:
+		case AbortUnsent:
 			w.note("abort unsent %d", a.Endpoint)
 		case CloseIdle:
 			w.note("close idle %d", a.Endpoint)
-		case SetAlarm:
+		case SetTimer:
 			w.note("timer %d", a.At)
-		case WatchList:
+		case WatchEndpointList:
 			w.note("watch")
-		case NoteOutages:
+		case PersistOutages:
 			for _, o := range a.Outages {
-				w.note("outage %d %d %v %v %v %d %d %v", o.Destination, o.Endpoint, o.Apart, o.Over, o.Cold, o.Since, o.Began, o.Before)
+				w.note("outage %d %d %v %v %v %d %d %v", o.Destination, o.Endpoint, o.PerEndpoint, o.Resolved, o.WarmingUp, o.Since, o.StartedAt, o.RateBefore)
 			}
 			w.outages = append(w.outages, a.Outages...)
 		case Log:
@@ -255,23 +255,23 @@
 	t.Helper()
 	before := w.module
 	w.module = New(w.settings, w.seed+uint64(w.now))
-	w.carryOut(w.module.Step(w.now, []Event{ListNews{Whole: true, Endpoints: append([]Endpoint(nil), w.list...)}}))
+	w.carryOut(w.module.Step(w.now, []Event{EndpointListUpdate{Full: true, Endpoints: append([]Endpoint(nil), w.list...)}}))
 	var out []traceCall
 	if handOver {
 		var wire bytes.Buffer
-		if err := gob.NewEncoder(&wire).Encode(before.Remember()); err != nil {
+		if err := gob.NewEncoder(&wire).Encode(before.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
-		var m Memory
+		var m Snapshot
 		if err := gob.NewDecoder(&wire).Decode(&m); err != nil {
 			t.Fatal(err)
 		}
-		w.module.Recall(m)
+		w.module.Restore(m)
 		out = w.calls
 	} else {
-		w.carryOut(w.module.Step(w.now, []Event{KnownOutages{w.outages}}))
+		w.carryOut(w.module.Step(w.now, []Event{OutagesRestored{w.outages}}))
 	}
-	resting := before.Resting()
+	resting := before.BackoffUntil()
 	attempts := w.sent
 	w.calls, w.sent = nil, map[MessageID]int{}
 	var events []Event
@@ -283,14 +283,14 @@
 		}
 		m.Resumed, m.NotBefore = true, resting[id]
 		if made := attempts[id]; made > 0 {
-			m.Tried, m.MayRun = made, true
-			m.FirstRun = max(m.FirstRun, w.now-time.Second)
+			m.PriorAttempts, m.MayHaveRun = made, true
+			m.FirstRunAt = max(m.FirstRunAt, w.now-time.Second)
 		}
 		for i, c := range out {
 			if c.send.Message == id {
-				m.Out = &Out{Endpoint: c.send.Endpoint, Call: uint64(i), Sent: c.sent, Timeout: c.send.Timeout}
+				m.InFlight = &InFlightAttempt{Endpoint: c.send.Endpoint, Call: uint64(i), SentAt: c.sent, Timeout: c.send.Timeout}
 				c.attempt = 0
-				m.Tried--
+				m.PriorAttempts--
 				w.calls = append(w.calls, c)
 				w.sent[id] = 1
 				break
@@ -314,7 +314,7 @@
 		case step%1000 == 950:
 			w.restart(t, false)
 		}
-		w.note("avoided %d", w.module.Avoided())
+		w.note("avoided %d", w.module.EjectedEndpoints())
 		if step%traceBlock == traceBlock-1 {
 			lines = append(lines, fmt.Sprintf("%d %d %016x", step+1, w.next, w.digest.Sum64()))
 		}
--- a/internal/emulator/shim.go
+++ b/internal/emulator/shim.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dockshift.example/dockshift/internal/sender"
+	"onyxdyke.example/onyxdyke/internal/sender"
 )
 
 // shimVariable names the environment variable with the shims of a process, as JSON.
--- a/internal/sender/admin.go
+++ b/internal/sender/admin.go
@@ -17,13 +17,13 @@
 // it answers however busy that is.
 
 const (
-	adminMost  = 64 // callers at once; where descriptors are few, a part of those
-	adminPart  = 12
-	adminLine  = 128             // bytes of a call, its end included
-	adminTime  = 5 * time.Second // a caller may take so long to complete its call
-	adminReply = time.Second     // and to read the reply
-	adminRetry = 500 * time.Millisecond
-	beatMost   = 5 * time.Second // a loop that has not come round for so long is stuck
+	adminMost        = 64 // callers at once; where descriptors are few, a part of those
+	adminPart        = 12
+	adminLine        = 128             // bytes of a call, its end included
+	adminTime        = 5 * time.Second // a caller may take so long to complete its call
+	adminReply       = time.Second     // and to read the reply
+	adminRetry       = 500 * time.Millisecond
+	heartbeatTimeout = 5 * time.Second // a loop that has not come round for so long is stuck
 )
 
 // admin answers the operators' calls.
--- a/internal/sender/admin_test.go
+++ b/internal/sender/admin_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // freeAddr is an address that nobody listens on.
@@ -87,7 +87,7 @@
 	good, bad, silent := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Reset), st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, good.Addr, bad.Addr, silent.Addr)
 	admin := freeAddr(t)
-	addr := run(t, p, func(c *Config) { c.Admin = admin; c.Settings.MostHeld = 2 })
+	addr := run(t, p, func(c *Config) { c.Admin = admin; c.Settings.MaxPendingMessages = 2 })
 	waitHealth(t, admin, "ok\n") // its address is known a moment before it is ready
 	wantFigures(t, admin, map[string]int{"succeeded.safe": 0, "declined.safe": 0, "aborted.safe": 0, "succeeded.unsafe": 0,
 		"forwards": 0, "outstanding": 0, "discovered": 3, "ejected": 0, "sighup_applied": 0, "sighup_rejected": 0})
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -1,6 +1,6 @@
 package sender
 
-// How the sends that the Brain decides on become calls: what travels together, and when each part of a call has to end.
+// How the sends that the dispatcher decides on become calls: what travels together, and when each part of a call has to end.
 
 import (
 	"cmp"
@@ -11,23 +11,23 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
 )
 
 // outCall is the call that an attempt is out with.
 type outCall struct {
 	number   uint64
-	endpoint brain.EndpointID
+	endpoint dispatch.EndpointID
 	timeout  time.Duration
 	cancel   func()
 	withhold func() // it ends, unless it has been written
 	at       *link  // the process that makes it, nil for this one
 
-	end *brain.AttemptEnd // it has ended, and a successor was told so
+	end *dispatch.AttemptResult // it has ended, and a successor was told so
 }
 
 // withhold ends calls that have not been written yet.
-func (s *Sender) withhold(which func(*outCall) bool) {
+func (s *Sender) abortUnsent(which func(*outCall) bool) {
 	for _, m := range s.messages {
 		for _, c := range m.calls {
 			if which(c) {
@@ -43,10 +43,10 @@
 // send makes the calls of a step, in their order: what goes to one endpoint travels together as far as its
 // kind allows, as the module counts it. Messages end alone while their call goes on, but it has to be over when the
 // time of its first one is: after that the platform takes no answer to it. So the one that has time for longest leads.
-func (s *Sender) send(ctx context.Context, now time.Duration, sends []brain.Send, written bool) {
+func (s *Sender) startCalls(ctx context.Context, now time.Duration, sends []dispatch.Send, written bool) {
 	type shared struct {
 		e     *endpoint
-		items []item
+		items []batchItem
 		size  int
 	}
 	var calls []*shared
@@ -56,7 +56,7 @@
 		if m == nil || e == nil {
 			continue
 		}
-		it := item{record: m.record, message: m, attempt: m.sends, permit: permitOf(m, m.calls, s.clock.now()), timeout: a.Timeout, begin: max(1, now+a.Begin-s.clock.now()), last: now+a.Timeout >= m.Deadline}
+		it := batchItem{record: m.record, message: m, attempt: m.sends, permit: sendPermitFor(m, m.calls, s.clock.Now()), timeout: a.Timeout, startWithin: max(1, now+a.StartWithin-s.clock.Now()), lastAttempt: now+a.Timeout >= m.Deadline}
 		m.sends++
 		s.trace("attempt", m.ID, "attempt", m.base+it.attempt, "endpoint", e.id, "timeout", a.Timeout, "written", written)
 		size := base64.StdEncoding.EncodedLen(len(m.Body)) + len(m.ID) + len(m.Key) + 64
@@ -68,8 +68,8 @@
 		c.items, c.size = append(c.items, it), c.size+size
 	}
 	for _, c := range calls {
-		slices.SortStableFunc(c.items, func(x, y item) int { return cmp.Compare(y.Deadline, x.Deadline) })
-		s.call(ctx, c.e, c.items, written)
+		slices.SortStableFunc(c.items, func(x, y batchItem) int { return cmp.Compare(y.Deadline, x.Deadline) })
+		s.startCall(ctx, c.e, c.items, written)
 	}
 }
 
@@ -81,50 +81,50 @@
 // written without it. Where the bytes of an ended message may not have arrived yet, cut off as the endpoint may be, the
 // call is abandoned: else they would arrive once the cut is over. Any other time-out ends the call: the message may be sent again at once, and two copies of it
 // must not be out together.
-func (s *Sender) call(ctx context.Context, e *endpoint, items []item, written bool) {
-	way := &carriage{figures: s.figures}
+func (s *Sender) startCall(ctx context.Context, e *endpoint, items []batchItem, written bool) {
+	way := &batchCall{figures: s.metrics}
 	timeout, latest, cut := time.Duration(0), time.Duration(0), time.Duration(math.MaxInt64)
 	for i := range items {
 		it := &items[i]
-		it.place, it.way = new(atomic.Int32), way
-		if it.begin <= 0 || it.begin > it.timeout {
-			it.begin = it.timeout
+		it.state, it.call = new(atomic.Int32), way
+		if it.startWithin <= 0 || it.startWithin > it.timeout {
+			it.startWithin = it.timeout
 		}
-		timeout, latest = max(timeout, it.timeout), max(latest, it.begin)
-		if !it.last {
+		timeout, latest = max(timeout, it.timeout), max(latest, it.startWithin)
+		if !it.lastAttempt {
 			cut = min(cut, it.timeout)
 		}
 	}
 	timeout = min(timeout, cut)
 	call, cancel := context.WithTimeout(ctx, timeout)
 	begin, withhold := context.WithTimeout(call, latest)
-	s.numbered++
+	s.lastCallNumber++
 	for _, it := range items {
-		it.message.calls[it.attempt] = &outCall{number: s.numbered, endpoint: e.number, timeout: it.timeout, cancel: cancel, withhold: withhold}
+		it.message.calls[it.attempt] = &outCall{number: s.lastCallNumber, endpoint: e.number, timeout: it.timeout, cancel: cancel, withhold: withhold}
 	}
-	s.out++
-	s.shared += len(items) - 1
+	s.callsInFlight++
+	s.batchedMessages += len(items) - 1
 	began := time.Now()
 	var alone []*time.Timer
-	endAlone := func(it item, outcome brain.Outcome) {
-		end := brain.AttemptEnd{Endpoint: e.number, Outcome: outcome, Elapsed: time.Since(began)}
-		s.post(ctx, callEnd{ends: []itemEnd{{it.message, it.attempt, end}}})
+	endAlone := func(it batchItem, outcome dispatch.Outcome) {
+		end := dispatch.AttemptResult{Endpoint: e.number, Outcome: outcome, Elapsed: time.Since(began)}
+		s.post(ctx, callEndedEvent{ends: []attemptEnd{{it.message, it.attempt, end}}})
 	}
 	for i := range items {
 		it := &items[i]
-		it.by = began.Add(it.begin)
-		if it.begin < latest || it.timeout < timeout {
-			alone = append(alone, time.AfterFunc(it.begin, func() {
-				if it.leave() {
-					endAlone(*it, brain.NotSent) // how the call fares is told by those who go along
+		it.startBy = began.Add(it.startWithin)
+		if it.startWithin < latest || it.timeout < timeout {
+			alone = append(alone, time.AfterFunc(it.startWithin, func() {
+				if it.exclude() {
+					endAlone(*it, dispatch.NotSent) // how the call fares is told by those who go along
 				}
 			}))
 		}
 		if it.timeout < timeout {
 			alone = append(alone, time.AfterFunc(it.timeout, func() {
-				if it.place.Load() == aboard {
-					way.recall()
-					endAlone(*it, brain.TimedOut)
+				if it.state.Load() == itemWritten {
+					way.abandon()
+					endAlone(*it, dispatch.TimedOut)
 				}
 			}))
 		}
@@ -132,11 +132,11 @@
 	go func() {
 		defer cancel()
 		defer withhold()
-		ends := make([]brain.AttemptEnd, len(items))
+		ends := make([]dispatch.AttemptResult, len(items))
 		switch {
 		case !written:
 			for i := range ends {
-				ends[i] = brain.AttemptEnd{Endpoint: e.number, Outcome: brain.NotBegun}
+				ends[i] = dispatch.AttemptResult{Endpoint: e.number, Outcome: dispatch.NotStarted}
 			}
 		case len(items) == 1:
 			ends[0] = s.pool.call(call, begin, e, items[0], timeout)
@@ -146,13 +146,13 @@
 		for _, t := range alone {
 			t.Stop()
 		}
-		end := callEnd{over: true}
+		end := callEndedEvent{callDone: true}
 		for i, it := range items {
-			if ends[i].Outcome == brain.TimedOut && it.timeout > timeout {
-				ends[i].Outcome = brain.Cancelled // by another's time-out, before its own
+			if ends[i].Outcome == dispatch.TimedOut && it.timeout > timeout {
+				ends[i].Outcome = dispatch.Cancelled // by another's time-out, before its own
 			}
 			ends[i].Elapsed = time.Since(began)
-			end.ends = append(end.ends, itemEnd{it.message, it.attempt, ends[i]})
+			end.ends = append(end.ends, attemptEnd{it.message, it.attempt, ends[i]})
 		}
 		s.post(ctx, end)
 	}()
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -1,6 +1,6 @@
 // Package sender is the real sender round the decision module: it takes messages from clients, keeps
 // them in a journal that outlasts the process, calls endpoints, watches discovery and tells the
-// platform how messages ended. What is done with a message is decided by package brain alone.
+// platform how messages ended. What is done with a message is decided by package dispatch alone.
 package sender
 
 import (
@@ -17,9 +17,10 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/settings"
-	"dockshift.example/dockshift/internal/wire"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/retry"
+	"onyxdyke.example/onyxdyke/internal/settings"
+	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
 // Limits is what the sender's machine allows it.
@@ -41,7 +42,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     Targets // the endpoint list as last had
-	Settings  brain.Settings
+	Settings  dispatch.Settings
 
 	Classes, Tenants, Kinds, Zones []string // names, in the order of the settings
 	Fields                         []string // of load reports
@@ -66,13 +67,13 @@
 
 // idleMost is how many of them are kept without a call.
 func (c *Config) idleMost() int {
-	return max(0, min(c.Limits.Sockets/4, callsMost(c.Limits.Sockets)-c.Settings.Slots))
+	return max(0, min(c.Limits.Sockets/4, callsMost(c.Limits.Sockets)-c.Settings.MaxConcurrentCalls))
 }
 
 // LoadConfig reads the file that EDGE_CONFIG names. The other variables win over what it says.
 func LoadConfig(ctx context.Context, log *slog.Logger, env Environment, getenv func(string) string) (*Config, error) {
 	var raw []byte
-	err := keepTrying(ctx, log, "the configuration", func() (err error) {
+	err := retry.OnTransient(ctx, log, "the configuration", func() (err error) {
 		raw, err = env.ReadFile(getenv("EDGE_CONFIG"))
 		return err
 	})
@@ -144,7 +145,7 @@
 	if c.Settings.MaxAttempts > 0 && n.Settings.MaxAttempts <= 0 {
 		return nil, errors.New("configuration: settings.limits.maxAttempts is not a positive number")
 	}
-	n.Settings.Slots = min(n.Settings.Slots, callsMost(c.Limits.Sockets))
+	n.Settings.MaxConcurrentCalls = min(n.Settings.MaxConcurrentCalls, callsMost(c.Limits.Sockets))
 	next := *c
 	next.Discovery, next.Settings, next.Classes, next.Tenants = n.Discovery, n.Settings, n.Classes, n.Tenants
 	next.Kinds, next.Zones, next.shape = n.Kinds, n.Zones, n.shape
@@ -262,7 +263,7 @@
 		}
 		// Of what decides whether a message may be sent again nothing is taken for granted.
 		needs := []string{"effect", "giveUp", "slo"}
-		if c.Settings.Classes[i].Effect == brain.Keyed {
+		if c.Settings.Classes[i].Effect == dispatch.IdempotentByKey {
 			needs = append(needs, "dedupWindow", "dedupScope")
 		}
 		for _, key := range needs {
@@ -270,7 +271,7 @@
 				return nil, fmt.Errorf("%s is missing", key)
 			}
 		}
-		if class := c.Settings.Classes[i]; class.Deadline <= 0 || class.Aim <= 0 {
+		if class := c.Settings.Classes[i]; class.Deadline <= 0 || class.LatencyObjective <= 0 {
 			return nil, fmt.Errorf("services.%d: giveUp and slo must be positive", i)
 		}
 		c.Classes = append(c.Classes, name)
@@ -302,7 +303,7 @@
 	if c.Limits.DiskMB <= 0 {
 		c.Limits.DiskMB = 3
 	}
-	c.Settings.Slots = min(c.Settings.Slots, callsMost(c.Limits.Sockets))
+	c.Settings.MaxConcurrentCalls = min(c.Settings.MaxConcurrentCalls, callsMost(c.Limits.Sockets))
 	if c.ConnectTimeout <= 0 {
 		c.ConnectTimeout = 1500 * time.Millisecond
 	}
@@ -314,7 +315,7 @@
 
 // fleet tells what makes no sense of the number of senders and this one's own among them, where they are stated:
 // parts of limits, turns and choices of endpoints go by both.
-func fleet(env *wire.Env, senders, number int) error {
+func fleet(env *simprotocol.Env, senders, number int) error {
 	if stated := env.Text("balancers"); stated != "" && (senders < 1 || senders > mostSenders) {
 		return fmt.Errorf("balancers: %s is not a number of senders", stated)
 	}
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -13,6 +13,8 @@
 	"net/http/httptrace"
 	"sync"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
 const (
@@ -62,13 +64,13 @@
 	client   *http.Client // of the list
 	notifier *http.Client // of notices: a list that fails leaves their connections alone
 	dialer   net.Dialer
-	spare    spareDialer
-	turns    time.Duration // that all senders need one after another
-	first    time.Duration // before the first call; no time at all where a single process has been replaced
-	pace     time.Duration // this one's rest after a refusal; it belongs to the watch
-	asks     bool          // the module asks for each call after a failure; else lists are pushed
-	fresh    freshness     // of the list, where it is pushed
-	figures  *figures
+	spare    reservedConnection
+	turns    time.Duration     // that all senders need one after another
+	first    time.Duration     // before the first call; no time at all where a single process has been replaced
+	pace     time.Duration     // this one's rest after a refusal; it belongs to the watch
+	asks     bool              // the module asks for each call after a failure; else lists are pushed
+	fresh    endpointListLease // of the list, where it is pushed
+	figures  *metrics.Registry
 	log      *slog.Logger
 
 	// The fields of the watch, which is one goroutine.
@@ -100,7 +102,7 @@
 	d.spare.lead(addr)
 	if moves {
 		d.binds = time.Now().Add(movedBy)
-		d.figures.reason(reasonDiscovery, movedDiscovery)
+		d.figures.CountReason(metrics.ReasonDiscovery, movedDiscovery)
 		go d.spare.refill()
 	}
 	d.here, d.leave = context.WithCancel(context.Background())
@@ -148,32 +150,15 @@
 	if turns > 0 { // after a release all come at once
 		first = rand.N(min(others*perFirst, firstMost))
 	}
-	d := &discovery{turns: turns, first: first, held: -1, dialer: net.Dialer{Timeout: dialTime}, figures: newFigures(nil), log: slog.New(slog.DiscardHandler)}
+	d := &discovery{turns: turns, first: first, held: -1, dialer: net.Dialer{Timeout: dialTime}, figures: metrics.New(nil), log: slog.New(slog.DiscardHandler)}
 	d.client = newDiscoveryClient(d.dialer.DialContext)
-	d.spare = spareDialer{dial: d.dialer.DialContext}
+	d.spare = reservedConnection{dial: d.dialer.DialContext}
 	d.notifier = newDiscoveryClient(d.spare.DialContext)
 	d.move(addr)
 	d.heard()
 	return d
 }
 
-// rest waits for d, or a good deal less; false if ctx ended.
-func rest(ctx context.Context, d time.Duration) bool {
-	return wait(ctx, d/2+rand.N(d/2+1))
-}
-
-// wait waits for d; false if ctx ended.
-func wait(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // list makes one call for the list: for the whole of it, or after a version for what is newer, waiting for it. An answer that
 // is no list is an error.
 func (d *discovery) list(ctx context.Context, base string, after int64, limit time.Duration) (Targets, error) {
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // A platform that serves many senders in turn answers late. What queues there is waited for; given up, the next
@@ -134,28 +134,28 @@
 	}))
 	t.Cleanup(p.Close)
 	s := newTest(t, st.NewPlatform(t), nil)
-	s.disc.move(strings.TrimPrefix(p.URL, "http://"))
+	s.discovery.move(strings.TrimPrefix(p.URL, "http://"))
 	owe := func(id string) {
 		m, err := s.journal.take(record{ID: id, Class: "safe"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.journal.note(m, record{Op: "over", How: givenUp})
-		s.owed = append(s.owed, m.notice())
-		s.tell()
+		s.journal.append(m, record{Op: "over", Outcome: givenUp})
+		s.pendingNotices = append(s.pendingNotices, m.notice())
+		s.deliverNotices()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go s.disc.tell(ctx, s.notices, func(n []notice) { s.post(ctx, toldEvent{n}) })
+	go s.discovery.tell(ctx, s.noticeBatches, func(n []notice) { s.post(ctx, noticesDeliveredEvent{n}) })
 	owe("a")
 	if text := st.Receive(t, posts); !strings.Contains(text, `"a"`) {
 		t.Fatalf("first %s", text)
 	}
 	began := time.Now()
 	owe("b")
-	for len(s.owed) > 0 {
-		s.take(ctx, st.Receive(t, s.events))
-		s.tell()
+	for len(s.pendingNotices) > 0 {
+		s.handleEvent(ctx, st.Receive(t, s.events))
+		s.deliverNotices()
 	}
 	if text := st.Receive(t, posts); !strings.Contains(text, `"a"`) || !strings.Contains(text, `"b"`) {
 		t.Errorf("then %s", text)
--- a/internal/sender/endpointlist.go
+++ b/internal/sender/endpointlist.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
 )
 
 // endpoints is the list as the loop knows it. Numbers stay with ids, also of those that are gone.
@@ -58,18 +58,18 @@
 	l.listed = 0
 }
 
-func (l *endpoints) number(n brain.EndpointID) (*endpoint, error) {
+func (l *endpoints) number(n dispatch.EndpointID) (*endpoint, error) {
 	if int(n) >= len(l.byNumber) {
 		return nil, fmt.Errorf("endpoint %d is not known", n)
 	}
 	return l.byNumber[n], nil
 }
 
-// line books a line of the list and translates it for the Brain.
-func (l *endpoints) line(t Target, c *Config, p *pool) brain.Endpoint {
+// line books a line of the list and translates it for the dispatcher.
+func (l *endpoints) line(t Target, c *Config, p *pool) dispatch.Endpoint {
 	e := l.byID[t.ID]
 	if e == nil {
-		e = &endpoint{number: brain.EndpointID(len(l.byNumber)), id: t.ID}
+		e = &endpoint{number: dispatch.EndpointID(len(l.byNumber)), id: t.ID}
 		l.byID[t.ID] = e
 		l.byNumber = append(l.byNumber, e)
 	}
@@ -80,7 +80,7 @@
 	e.zone, e.most = place(c.Zones, t.Zone, 0), 1
 	kind := place(c.Kinds, t.Kind, 0)
 	if kind < len(c.Settings.Kinds) {
-		e.most = max(1, c.Settings.Kinds[kind].PerCall)
+		e.most = max(1, c.Settings.Kinds[kind].MaxBatchSize)
 	}
 	ready := t.State == stateServing
 	if listed := !t.isDeleted(); listed != e.listed {
@@ -106,11 +106,11 @@
 	case e.drained.IsZero():
 		e.drained = time.Now()
 	}
-	e.scope = waitScope{destination: brain.DestinationID(t.Cell)}
-	if kind < len(c.Settings.Kinds) && c.Settings.Kinds[kind].Apart {
+	e.scope = waitScope{destination: dispatch.DestinationID(t.Cell)}
+	if kind < len(c.Settings.Kinds) && c.Settings.Kinds[kind].PerEndpoint {
 		e.scope = waitScope{endpoint: e.number, apart: true}
 	}
 	e.mu.Unlock()
-	return brain.Endpoint{ID: e.number, Destination: brain.DestinationID(t.Cell), Kind: kind,
+	return dispatch.Endpoint{ID: e.number, Destination: dispatch.DestinationID(t.Cell), Kind: kind,
 		Zone: e.zone, Ready: ready, Rating: t.Weight}
 }
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -16,7 +16,8 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
 // Calls are written and read here on connections of our own rather than through http.Transport: whether a
@@ -25,7 +26,7 @@
 
 // endpoint is a line of the list and the connections to it.
 type endpoint struct {
-	number brain.EndpointID
+	number dispatch.EndpointID
 	id     string
 	zone   int
 	most   int // messages in one call
@@ -60,38 +61,38 @@
 const served = "HTTP/1.1 200"
 
 // item is a message's part in a call.
-type item struct {
+type batchItem struct {
 	record
-	message *message
-	attempt int
-	permit  permit
-	timeout time.Duration
-	begin   time.Duration // it is not written later than this
-	by      time.Time     // the same as a time
-	last    bool          // its time is up with the time-out: it will not be sent again
-	way     *carriage     // of its call
-	place   *atomic.Int32 // undecided, aboard or left out: the bytes may have to wait for a connection, and its time be up first
+	message     *message
+	attempt     int
+	permit      sendPermit
+	timeout     time.Duration
+	startWithin time.Duration // it is not written later than this
+	startBy     time.Time     // the same as a time
+	lastAttempt bool          // its time is up with the time-out: it will not be sent again
+	call        *batchCall    // of its call
+	state       *atomic.Int32 // undecided, aboard or left out: the bytes may have to wait for a connection, and its time be up first
 }
 
 // Whether an item goes along in its call's bytes or ends before they are written is settled by who comes first.
 const (
-	undecided int32 = iota
-	aboard
-	leftOut
+	itemUndecided int32 = iota
+	itemWritten
+	itemExcluded
 )
 
-func (it item) board() bool { return it.place.CompareAndSwap(undecided, aboard) }
-func (it item) leave() bool { return it.place.CompareAndSwap(undecided, leftOut) }
+func (it batchItem) markWritten() bool { return it.state.CompareAndSwap(itemUndecided, itemWritten) }
+func (it batchItem) exclude() bool     { return it.state.CompareAndSwap(itemUndecided, itemExcluded) }
 
 // carriage is the connection that a call is out on, until it is answered.
-type carriage struct {
-	figures *figures
+type batchCall struct {
+	figures *metrics.Registry
 	mu      sync.Mutex
 	conn    *conn
 	written bool
 }
 
-func (w *carriage) set(c *conn, written bool) {
+func (w *batchCall) set(c *conn, written bool) {
 	if w != nil {
 		w.mu.Lock()
 		w.conn, w.written = c, written
@@ -100,7 +101,7 @@
 }
 
 // recall abandons the call unless all of it has arrived: of a message that has ended nothing may arrive any more.
-func (w *carriage) recall() {
+func (w *batchCall) abandon() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.conn != nil && !(w.written && w.conn.arrived()) {
@@ -109,15 +110,15 @@
 }
 
 // callEnd is how a call ended for some of its messages.
-type callEnd struct {
-	ends []itemEnd
-	over bool // the call itself has ended, too
+type callEndedEvent struct {
+	ends     []attemptEnd
+	callDone bool // the call itself has ended, too
 }
 
-type itemEnd struct {
+type attemptEnd struct {
 	message *message
 	attempt int
-	brain.AttemptEnd
+	dispatch.AttemptResult
 }
 
 // request renders one call.
@@ -152,23 +153,23 @@
 // counts each call whose last byte has come. ctx ends it early, its deadline being the time-out; begin does until the
 // last byte is written. An answer that begins after the time told in the call is late, however soon it is found that the
 // time-out is up: the endpoint's side has given the call up, and does not take the message as delivered.
-func (p *pool) call(ctx, begin context.Context, e *endpoint, it item, timeout time.Duration) brain.AttemptEnd {
-	end, until := brain.AttemptEnd{Endpoint: e.number}, time.Now().Add(timeout)
+func (p *pool) call(ctx, begin context.Context, e *endpoint, it batchItem, timeout time.Duration) dispatch.AttemptResult {
+	end, until := dispatch.AttemptResult{Endpoint: e.number}, time.Now().Add(timeout)
 	resp, c, outcome := p.exchange(ctx, begin, e, func(addr string) (rendered, error) {
 		told := waits(until)
 		until = time.Now().Add(told)
 		out, err := request(addr, "/hook", "", it.record, it.Body, told)
-		return rendered{text: out, permits: []permit{it.permit}, alone: true}, err
+		return rendered{text: out, permits: []sendPermit{it.permit}, alone: true}, err
 	})
 	if c != nil {
-		end.Idle = c.idle
+		end.ConnectionIdle = c.idle
 	}
 	late := c != nil && len(c.first) >= len(served) && !c.told.Before(until)
 	if resp == nil {
 		if late {
-			outcome = brain.TimedOut
+			outcome = dispatch.TimedOut
 		}
-		end.Outcome, end.Over = outcome, outcome == brain.Served
+		end.Outcome, end.Final = outcome, outcome == dispatch.Served
 		return end
 	}
 	waitsUntil := p.read(e, resp, c, &end)
@@ -176,19 +177,19 @@
 	// never ran is not to be taken from half an answer.
 	_, whole := p.rest(e, c, resp)
 	if !waitsUntil.IsZero() {
-		end.Wait = max(0, time.Until(waitsUntil))
+		end.RetryAfter = max(0, time.Until(waitsUntil))
 	}
 	switch {
 	case late:
-		end = brain.AttemptEnd{Endpoint: e.number, Outcome: brain.TimedOut, Wait: end.Wait, Idle: end.Idle}
-	case !whole && end.Outcome != brain.Served:
-		end = brain.AttemptEnd{Endpoint: e.number, Outcome: unread(ctx), Wait: end.Wait, Idle: end.Idle}
+		end = dispatch.AttemptResult{Endpoint: e.number, Outcome: dispatch.TimedOut, RetryAfter: end.RetryAfter, ConnectionIdle: end.ConnectionIdle}
+	case !whole && end.Outcome != dispatch.Served:
+		end = dispatch.AttemptResult{Endpoint: e.number, Outcome: unread(ctx), RetryAfter: end.RetryAfter, ConnectionIdle: end.ConnectionIdle}
 	}
 	return end
 }
 
 // part is a message in a call that several share.
-type part struct {
+type batchEntry struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
@@ -196,31 +197,31 @@
 
 // callMany makes one attempt with several messages, which share its fate unless the answer tells each one's. Those
 // that have ended before it is written are left out.
-func (p *pool) callMany(ctx, begin context.Context, e *endpoint, items []item, timeout time.Duration) []brain.AttemptEnd {
-	ends, unsent := make([]brain.AttemptEnd, len(items)), brain.NotSent
-	all := func(end brain.AttemptEnd) []brain.AttemptEnd {
+func (p *pool) callMany(ctx, begin context.Context, e *endpoint, items []batchItem, timeout time.Duration) []dispatch.AttemptResult {
+	ends, unsent := make([]dispatch.AttemptResult, len(items)), dispatch.NotSent
+	all := func(end dispatch.AttemptResult) []dispatch.AttemptResult {
 		for i := range ends {
-			if ends[i] = end; items[i].place.Load() != aboard {
-				ends[i] = brain.AttemptEnd{Endpoint: e.number, Outcome: unsent}
+			if ends[i] = end; items[i].state.Load() != itemWritten {
+				ends[i] = dispatch.AttemptResult{Endpoint: e.number, Outcome: unsent}
 			}
 		}
 		return ends
 	}
-	end, until := brain.AttemptEnd{Endpoint: e.number}, time.Now().Add(timeout)
+	end, until := dispatch.AttemptResult{Endpoint: e.number}, time.Now().Add(timeout)
 	resp, c, outcome := p.exchange(ctx, begin, e, func(addr string) (rendered, error) {
-		var parts []part
-		var permits []permit
+		var parts []batchEntry
+		var permits []sendPermit
 		var by time.Time
 		for _, it := range items {
-			if !it.board() {
+			if !it.markWritten() {
 				continue
 			}
 			if it.Body == nil {
 				it.Body = []byte{}
 			}
-			parts, permits = append(parts, part{it.ID, it.Key, it.Body}), append(permits, it.permit)
-			if by.IsZero() || it.by.Before(by) {
-				by = it.by
+			parts, permits = append(parts, batchEntry{it.ID, it.Key, it.Body}), append(permits, it.permit)
+			if by.IsZero() || it.startBy.Before(by) {
+				by = it.startBy
 			}
 		}
 		if len(parts) == 0 {
@@ -233,14 +234,14 @@
 		told := waits(until)
 		until = time.Now().Add(told)
 		out, err := request(addr, "/hook/batch", "application/json", record{}, body, told)
-		return rendered{text: out, permits: permits, by: by, way: items[0].way}, err
+		return rendered{text: out, permits: permits, by: by, way: items[0].call}, err
 	})
 	if c != nil {
-		end.Idle = c.idle
+		end.ConnectionIdle = c.idle
 	}
 	if resp == nil {
-		if outcome == brain.Served { // a first line alone tells of no message how it fared
-			outcome = brain.Broken
+		if outcome == dispatch.Served { // a first line alone tells of no message how it fared
+			outcome = dispatch.ConnectionBroken
 		}
 		if end.Outcome = outcome; c == nil {
 			unsent = outcome
@@ -250,16 +251,16 @@
 	waitsUntil := p.read(e, resp, c, &end)
 	body, whole := p.rest(e, c, resp)
 	if !waitsUntil.IsZero() {
-		end.Wait = max(0, time.Until(waitsUntil))
+		end.RetryAfter = max(0, time.Until(waitsUntil))
 	}
 	switch {
 	case !time.Now().Before(until): // here the whole answer counts, so all of it has to come in time
-		return all(brain.AttemptEnd{Endpoint: e.number, Outcome: brain.TimedOut, Wait: end.Wait, Idle: end.Idle})
+		return all(dispatch.AttemptResult{Endpoint: e.number, Outcome: dispatch.TimedOut, RetryAfter: end.RetryAfter, ConnectionIdle: end.ConnectionIdle})
 	case !whole:
-		return all(brain.AttemptEnd{Endpoint: e.number, Outcome: unread(ctx), Wait: end.Wait, Idle: end.Idle})
+		return all(dispatch.AttemptResult{Endpoint: e.number, Outcome: unread(ctx), RetryAfter: end.RetryAfter, ConnectionIdle: end.ConnectionIdle})
 	case resp.StatusCode == http.StatusOK:
 	case resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusRequestEntityTooLarge:
-		end.Outcome = brain.NotSent // by the protocol none of them has run
+		end.Outcome = dispatch.NotSent // by the protocol none of them has run
 		return all(end)
 	default:
 		return all(end)
@@ -268,7 +269,7 @@
 		ID    string `json:"id"`
 		State string `json:"state"`
 	}
-	end.Outcome, end.Over = brain.Errored, false // what the answer leaves open may have run
+	end.Outcome, end.Final = dispatch.Errored, false // what the answer leaves open may have run
 	all(end)
 	if json.Unmarshal(body, &told) != nil {
 		return ends
@@ -281,18 +282,18 @@
 		states[t.ID] = t.State
 	}
 	for i, it := range items {
-		if it.place.Load() != aboard {
+		if it.state.Load() != itemWritten {
 			continue
 		}
 		switch states[it.ID] {
 		case "ok":
-			ends[i].Outcome, ends[i].Over = brain.Served, true
+			ends[i].Outcome, ends[i].Final = dispatch.Served, true
 		case "later":
-			ends[i].Outcome = brain.Refused
+			ends[i].Outcome = dispatch.Rejected
 		case "gone":
-			ends[i].Outcome, ends[i].Over = brain.NotSent, true
+			ends[i].Outcome, ends[i].Final = dispatch.NotSent, true
 		case "exhausted":
-			ends[i].Outcome = brain.NotSent
+			ends[i].Outcome = dispatch.NotSent
 		}
 	}
 	return ends
@@ -301,10 +302,10 @@
 // rendered is a call as it is written.
 type rendered struct {
 	text    []byte
-	permits []permit  // of its messages
-	by      time.Time // its last byte is written by then or never; the zero time for no bound
-	way     *carriage // nil if nobody else may end it
-	alone   bool      // it is a call for one message
+	permits []sendPermit // of its messages
+	by      time.Time    // its last byte is written by then or never; the zero time for no bound
+	way     *batchCall   // nil if nobody else may end it
+	alone   bool         // it is a call for one message
 }
 
 var errNobody = errors.New("no message is left for this call")
@@ -312,7 +313,7 @@
 // exchange writes one request, rendered once there is a connection, and reads the head of its answer. Without an answer that can be read it closes
 // the connection, which it returns if the request was written, and tells the outcome: Served if the first line
 // says so.
-func (p *pool) exchange(ctx, begin context.Context, e *endpoint, render func(addr string) (rendered, error)) (*http.Response, *conn, brain.Outcome) {
+func (p *pool) exchange(ctx, begin context.Context, e *endpoint, render func(addr string) (rendered, error)) (*http.Response, *conn, dispatch.Outcome) {
 	// Nothing has been written yet: however it fails up to the last byte, the call never ran.
 	c, err := p.get(begin, e)
 	if err != nil {
@@ -331,7 +332,7 @@
 	}
 	if p.guard.checkSend(e, out.permits) != nil {
 		p.put(e, c)
-		return nil, nil, brain.NotSent
+		return nil, nil, dispatch.NotSent
 	}
 	by, _ := begin.Deadline()
 	if !out.by.IsZero() {
@@ -346,7 +347,7 @@
 	defer out.way.set(nil, false) // before a further call can have the connection
 	if _, err = c.Write(out.text); err != nil {
 		c.drop(p.guard.figures, droppedUnwritten)
-		return nil, nil, brain.ConnectFailed
+		return nil, nil, dispatch.ConnectFailed
 	}
 	out.way.set(c, true)
 	p.forwarded(len(out.permits))
@@ -359,7 +360,7 @@
 	c.drop(p.guard.figures, droppedUnread)
 	switch {
 	case c.saysServed():
-		return nil, c, brain.Served
+		return nil, c, dispatch.Served
 	case c.idle > 0 && ctx.Err() == nil && len(c.first) == 0:
 		p.closeIdle(e, c.idle) // those idle for longer were dropped by the other side as well
 	}
@@ -367,22 +368,22 @@
 }
 
 // unbegun is the outcome of a call that was not written for want of a connection in time.
-func unbegun(ctx, begin context.Context) brain.Outcome {
+func unbegun(ctx, begin context.Context) dispatch.Outcome {
 	if ctx.Err() == nil && errors.Is(begin.Err(), context.Canceled) {
-		return brain.NotSent // withheld
+		return dispatch.NotSent // withheld
 	}
-	return brain.ConnectFailed
+	return dispatch.ConnectFailed
 }
 
 // unread is the outcome of a call whose answer did not come whole: it may have run.
-func unread(ctx context.Context) brain.Outcome {
+func unread(ctx context.Context) dispatch.Outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return brain.TimedOut
+		return dispatch.TimedOut
 	case ctx.Err() != nil:
-		return brain.Cancelled
+		return dispatch.Cancelled
 	}
-	return brain.Broken
+	return dispatch.ConnectionBroken
 }
 
 // rest reads an answer's body, whole or not, and keeps the connection if it can be used again.
@@ -414,38 +415,38 @@
 
 // read translates an answer. Where it tells a wait and its rest is still to come, the wait is passed on at once, and its end
 // returned; else that is the zero time.
-func (p *pool) read(e *endpoint, resp *http.Response, c *conn, end *brain.AttemptEnd) (waitsUntil time.Time) {
+func (p *pool) read(e *endpoint, resp *http.Response, c *conn, end *dispatch.AttemptResult) (waitsUntil time.Time) {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		end.Outcome, end.Over = brain.Served, true
+		end.Outcome, end.Final = dispatch.Served, true
 	case http.StatusTooManyRequests:
-		end.Outcome = brain.Refused
+		end.Outcome = dispatch.Rejected
 	case http.StatusServiceUnavailable:
-		end.Outcome = brain.Refused
+		end.Outcome = dispatch.Rejected
 		switch {
 		case resp.Header.Get("X-Over-Slots") == "1":
-			end.Outcome = brain.NotSent
+			end.Outcome = dispatch.NotSent
 		case c.calls == 1 && resp.Close:
 			// An endpoint with all the connections that it takes turns a further one away like this. It says
 			// nothing of the destination's limit; to the module it is a connect that failed.
-			end.Outcome = brain.ConnectFailed
+			end.Outcome = dispatch.ConnectFailed
 		}
 	case http.StatusGatewayTimeout:
-		end.Outcome = brain.NotSent
+		end.Outcome = dispatch.NotSent
 	case http.StatusGone:
-		end.Outcome, end.Over = brain.NotSent, true
+		end.Outcome, end.Final = dispatch.NotSent, true
 	default:
-		end.Outcome = brain.Errored
+		end.Outcome = dispatch.Errored
 	}
 	if ms, err := strconv.ParseFloat(resp.Header.Get("X-RateLimit-Wait-Ms"), 64); err == nil && ms > 0 && ms < 1e9 {
-		end.Wait = time.Duration(ms * float64(time.Millisecond))
+		end.RetryAfter = time.Duration(ms * float64(time.Millisecond))
 		e.mu.Lock()
 		scope := e.scope
 		e.mu.Unlock()
-		p.guard.waitTold(scope, end.Wait)
+		p.guard.waitTold(scope, end.RetryAfter)
 		if resp.ContentLength < 0 || resp.ContentLength > int64(c.r.Buffered()) {
-			waitsUntil = time.Now().Add(end.Wait)
-			p.waitTold(e, end.Wait)
+			waitsUntil = time.Now().Add(end.RetryAfter)
+			p.waitTold(e, end.RetryAfter)
 		}
 	}
 	report := map[string]float64{}
@@ -455,7 +456,7 @@
 			report[name] = v
 		}
 	}
-	end.Left, end.Reported = report["x0"]
-	end.Limit = report["x1"]
+	end.QuotaLeft, end.HasLoadReport = report["x0"]
+	end.RateLimit = report["x1"]
 	return waitsUntil
 }
--- a/internal/sender/endpoints_test.go
+++ b/internal/sender/endpoints_test.go
@@ -13,54 +13,54 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 func testPool() *pool {
 	return newPool(&Config{ConnectTimeout: time.Second, Limits: Limits{Sockets: 64}, Fields: []string{"x0", "x1"},
-		Settings: brain.Settings{IdleConnections: 15 * time.Second}})
+		Settings: dispatch.Settings{IdleConnectionTimeout: 15 * time.Second}})
 }
 
-func callOnce(p *pool, e *endpoint, timeout time.Duration, body string) brain.AttemptEnd {
+func callOnce(p *pool, e *endpoint, timeout time.Duration, body string) dispatch.AttemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return p.call(ctx, ctx, e, item{record: record{ID: "id", Key: "key", Body: []byte(body)}}, timeout)
+	return p.call(ctx, ctx, e, batchItem{record: record{ID: "id", Key: "key", Body: []byte(body)}}, timeout)
 }
 
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
-		want   brain.AttemptEnd
+		want   dispatch.AttemptResult
 	}{
-		"delivered":   {st.Status(200, "X-Load: x0=0.4,x1=25,other=7"), brain.AttemptEnd{Outcome: brain.Served, Over: true, Reported: true, Left: 0.4, Limit: 25}},
-		"error":       {st.Status(500), brain.AttemptEnd{Outcome: brain.Errored}},
-		"wait":        {st.Status(429, "X-RateLimit-Wait-Ms: 250"), brain.AttemptEnd{Outcome: brain.Refused, Wait: 250 * time.Millisecond}},
-		"table full":  {st.Status(503, "Connection: close"), brain.AttemptEnd{Outcome: brain.ConnectFailed}},
-		"turned away": {st.Status(503), brain.AttemptEnd{Outcome: brain.Refused}},
-		"over slots":  {st.Status(503, "X-Over-Slots: 1"), brain.AttemptEnd{Outcome: brain.NotSent}},
-		"no attempts": {st.Status(504), brain.AttemptEnd{Outcome: brain.NotSent}},
-		"over":        {st.Status(410), brain.AttemptEnd{Outcome: brain.NotSent, Over: true}},
-		"redirect":    {st.Status(307, "Location: /elsewhere"), brain.AttemptEnd{Outcome: brain.Errored}},
-		"reset":       {st.Reset, brain.AttemptEnd{Outcome: brain.Broken}},
+		"delivered":   {st.Status(200, "X-Load: x0=0.4,x1=25,other=7"), dispatch.AttemptResult{Outcome: dispatch.Served, Final: true, HasLoadReport: true, QuotaLeft: 0.4, RateLimit: 25}},
+		"error":       {st.Status(500), dispatch.AttemptResult{Outcome: dispatch.Errored}},
+		"wait":        {st.Status(429, "X-RateLimit-Wait-Ms: 250"), dispatch.AttemptResult{Outcome: dispatch.Rejected, RetryAfter: 250 * time.Millisecond}},
+		"table full":  {st.Status(503, "Connection: close"), dispatch.AttemptResult{Outcome: dispatch.ConnectFailed}},
+		"turned away": {st.Status(503), dispatch.AttemptResult{Outcome: dispatch.Rejected}},
+		"over slots":  {st.Status(503, "X-Over-Slots: 1"), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
+		"no attempts": {st.Status(504), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
+		"over":        {st.Status(410), dispatch.AttemptResult{Outcome: dispatch.NotSent, Final: true}},
+		"redirect":    {st.Status(307, "Location: /elsewhere"), dispatch.AttemptResult{Outcome: dispatch.Errored}},
+		"reset":       {st.Reset, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		// Delivered as soon as the first line is written, whatever breaks then.
 		"cut after 200": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 			return false
-		}, brain.AttemptEnd{Outcome: brain.Served, Over: true}},
+		}, dispatch.AttemptResult{Outcome: dispatch.Served, Final: true}},
 		"a number like 200": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 2001 OK\r\n\r\n")
 			return false
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		// Half an answer does not prove that the call never ran.
 		"refusal cut": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 20\r\n\r\nhalf")
 			return false
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		"end cut": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 410 Gone\r\nContent-Length: 20\r\n\r\nhalf")
 			return false
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		"head without end": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\n")
 			for line := "X-Pad: " + strings.Repeat("p", 4000) + "\r\n"; ; {
@@ -68,26 +68,26 @@
 					return false
 				}
 			}
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		"another protocol": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/2.0 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 			return true
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		"two lengths": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n")
 			return true
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		"interim answers without end": {func(_ st.Call, c net.Conn) bool {
 			for {
 				if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 					return false
 				}
 			}
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		"cut before": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 ")
 			return false
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := st.NewEndpoint(t, c.answer)
@@ -124,7 +124,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
 	p.closeIdle(at, 0)
-	p.callMany(ctx, ctx, at, []item{{record: record{ID: "a"}, place: new(atomic.Int32)}}, st.Wait)
+	p.callMany(ctx, ctx, at, []batchItem{{record: record{ID: "a"}, state: new(atomic.Int32)}}, st.Wait)
 	if told := toldTime(e.Next(t)); told > st.Wait-took {
 		t.Errorf("told %v in a shared call", told)
 	}
@@ -140,7 +140,7 @@
 		return a(c, nc)
 	})
 	p, at := testPool(), &endpoint{addr: e.Addr}
-	for _, want := range []brain.Outcome{brain.Served, brain.Refused} {
+	for _, want := range []dispatch.Outcome{dispatch.Served, dispatch.Rejected} {
 		if got := callOnce(p, at, st.Wait, ""); got.Outcome != want || e.Next(t).Conn != 1 {
 			t.Errorf("got %+v, want %v", got, want)
 		}
@@ -162,7 +162,7 @@
 		return st.Status(200)(c, nc)
 	})
 	p, at := testPool(), &endpoint{addr: e.Addr}
-	served := make(chan brain.AttemptEnd, 2)
+	served := make(chan dispatch.AttemptResult, 2)
 	for range 2 {
 		go func() { served <- callOnce(p, at, st.Wait, "") }()
 	}
@@ -171,74 +171,74 @@
 	}
 	close(answer)
 	for range 2 {
-		if got := st.Receive(t, served); got.Idle != 0 || !got.Over {
+		if got := st.Receive(t, served); got.ConnectionIdle != 0 || !got.Final {
 			t.Errorf("on a fresh connection: %+v", got)
 		}
 	}
-	if got := callOnce(p, at, st.Wait, "again"); got.Outcome != brain.Broken || got.Idle <= 0 {
+	if got := callOnce(p, at, st.Wait, "again"); got.Outcome != dispatch.ConnectionBroken || got.ConnectionIdle <= 0 {
 		t.Errorf("on a dropped connection: %+v", got)
 	}
 	if n := p.idle.Load(); n != 0 {
 		t.Errorf("%d idle connections are left", n)
 	}
-	if got := callOnce(p, at, st.Wait, "again"); !got.Over || got.Idle != 0 {
+	if got := callOnce(p, at, st.Wait, "again"); !got.Final || got.ConnectionIdle != 0 {
 		t.Errorf("the next call: %+v", got)
 	}
 }
 
 // Messages that share a call share its fate, unless the answer tells how each one fared.
 func TestSharedOutcomes(t *testing.T) {
-	each := func(outcomes ...brain.Outcome) (ends []brain.AttemptEnd) {
+	each := func(outcomes ...dispatch.Outcome) (ends []dispatch.AttemptResult) {
 		for _, o := range outcomes {
-			ends = append(ends, brain.AttemptEnd{Outcome: o, Over: o == brain.Served})
+			ends = append(ends, dispatch.AttemptResult{Outcome: o, Final: o == dispatch.Served})
 		}
 		return ends
 	}
-	wait := func(ends []brain.AttemptEnd) []brain.AttemptEnd {
+	wait := func(ends []dispatch.AttemptResult) []dispatch.AttemptResult {
 		for i := range ends {
-			ends[i].Wait = 250 * time.Millisecond
+			ends[i].RetryAfter = 250 * time.Millisecond
 		}
 		return ends
 	}
 	cut := st.Text(200, `[{"id":"a","state":"ok"}`)
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
-		want   []brain.AttemptEnd
+		want   []dispatch.AttemptResult
 	}{
 		"each its own": {st.Text(200, `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
-			each(brain.Served, brain.Refused, brain.Errored)},
+			each(dispatch.Served, dispatch.Rejected, dispatch.Errored)},
 		"with a wait": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"later"},{"id":"c","state":"later"}]`,
-			"X-RateLimit-Wait-Ms: 250"), wait(each(brain.Served, brain.Refused, brain.Refused))},
+			"X-RateLimit-Wait-Ms: 250"), wait(each(dispatch.Served, dispatch.Rejected, dispatch.Rejected))},
 		"spent": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"exhausted"},{"id":"c","state":"ok"}]`),
-			each(brain.Served, brain.NotSent, brain.Served)},
-		"one left out": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"c","state":"ok"}]`), each(brain.Served, brain.Errored, brain.Served)},
+			each(dispatch.Served, dispatch.NotSent, dispatch.Served)},
+		"one left out": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"c","state":"ok"}]`), each(dispatch.Served, dispatch.Errored, dispatch.Served)},
 		"told twice": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"},{"id":"b","state":"later"},{"id":"c","state":"ok"}]`),
-			each(brain.Errored, brain.Refused, brain.Served)},
-		"unknown state": {st.Text(200, `[{"id":"a","state":"fine"}]`), each(brain.Errored, brain.Errored, brain.Errored)},
-		"no JSON":       {st.Text(200, `<html>`), each(brain.Errored, brain.Errored, brain.Errored)},
-		"cut JSON":      {cut, each(brain.Errored, brain.Errored, brain.Errored)},
+			each(dispatch.Errored, dispatch.Rejected, dispatch.Served)},
+		"unknown state": {st.Text(200, `[{"id":"a","state":"fine"}]`), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"no JSON":       {st.Text(200, `<html>`), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"cut JSON":      {cut, each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
 		"cut body": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}]")
 			return false
-		}, each(brain.Broken, brain.Broken, brain.Broken)},
+		}, each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
 		"cut head": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 			return false
-		}, each(brain.Broken, brain.Broken, brain.Broken)},
-		"told to wait": {st.Status(429, "X-RateLimit-Wait-Ms: 250"), wait(each(brain.Refused, brain.Refused, brain.Refused))},
-		"turned away":  {st.Status(503), each(brain.Refused, brain.Refused, brain.Refused)},
-		"over slots":   {st.Status(503, "X-Over-Slots: 1"), each(brain.NotSent, brain.NotSent, brain.NotSent)},
-		"too many":     {st.Status(413), each(brain.NotSent, brain.NotSent, brain.NotSent)},
-		"all failed":   {st.Status(500), each(brain.Errored, brain.Errored, brain.Errored)},
-		"reset":        {st.Reset, each(brain.Broken, brain.Broken, brain.Broken)},
+		}, each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
+		"told to wait": {st.Status(429, "X-RateLimit-Wait-Ms: 250"), wait(each(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected))},
+		"turned away":  {st.Status(503), each(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)},
+		"over slots":   {st.Status(503, "X-Over-Slots: 1"), each(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
+		"too many":     {st.Status(413), each(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
+		"all failed":   {st.Status(500), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"reset":        {st.Reset, each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := st.NewEndpoint(t, c.answer)
 			ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 			defer cancel()
-			items := []item{{record: record{ID: "a", Key: "k", Body: []byte{0, 255, '"'}}}, {record: record{ID: "b"}}, {record: record{ID: "c"}}}
+			items := []batchItem{{record: record{ID: "a", Key: "k", Body: []byte{0, 255, '"'}}}, {record: record{ID: "b"}}, {record: record{ID: "c"}}}
 			for i := range items {
-				items[i].place = new(atomic.Int32)
+				items[i].state = new(atomic.Int32)
 			}
 			got := testPool().callMany(ctx, ctx, &endpoint{addr: e.Addr}, items, st.Wait)
 			if !slices.Equal(got, c.want) {
@@ -267,36 +267,36 @@
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
 		shared bool
-		want   brain.AttemptEnd
+		want   dispatch.AttemptResult
 	}{
-		"served":       {late(st.Status(200)), false, brain.AttemptEnd{Outcome: brain.TimedOut}},
-		"cut":          {late(func(_ st.Call, nc net.Conn) bool { io.WriteString(nc, "HTTP/1.1 200 OK\r\n"); return false }), false, brain.AttemptEnd{Outcome: brain.TimedOut}},
-		"told to wait": {late(st.Status(429, "X-RateLimit-Wait-Ms: 250")), false, brain.AttemptEnd{Outcome: brain.TimedOut, Wait: 250 * time.Millisecond}},
+		"served":       {late(st.Status(200)), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
+		"cut":          {late(func(_ st.Call, nc net.Conn) bool { io.WriteString(nc, "HTTP/1.1 200 OK\r\n"); return false }), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
+		"told to wait": {late(st.Status(429, "X-RateLimit-Wait-Ms: 250")), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut, RetryAfter: 250 * time.Millisecond}},
 		"first line in time": {func(_ st.Call, nc net.Conn) bool {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\n")
 			<-time.After(told + 50*time.Millisecond)
 			io.WriteString(nc, "Content-Length: 0\r\n\r\n")
 			return true
-		}, false, brain.AttemptEnd{Outcome: brain.Served, Over: true}},
-		"shared": {late(st.Text(200, both)), true, brain.AttemptEnd{Outcome: brain.TimedOut}},
+		}, false, dispatch.AttemptResult{Outcome: dispatch.Served, Final: true}},
+		"shared": {late(st.Text(200, both)), true, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
 		"shared, end late": {func(_ st.Call, nc net.Conn) bool {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(both))+"\r\n\r\n"+both[:9])
 			<-time.After(told + 50*time.Millisecond)
 			io.WriteString(nc, both[9:])
 			return true
-		}, true, brain.AttemptEnd{Outcome: brain.TimedOut}},
+		}, true, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			at, p := &endpoint{addr: st.NewEndpoint(t, c.answer).Addr}, testPool()
 			ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 			defer cancel()
-			got := []brain.AttemptEnd{}
+			got := []dispatch.AttemptResult{}
 			if c.shared {
-				items := []item{{record: record{ID: "a"}, place: new(atomic.Int32)}, {record: record{ID: "b"}, place: new(atomic.Int32)}}
+				items := []batchItem{{record: record{ID: "a"}, state: new(atomic.Int32)}, {record: record{ID: "b"}, state: new(atomic.Int32)}}
 				got = p.callMany(ctx, ctx, at, items, told)
 			} else {
-				got = append(got, p.call(ctx, ctx, at, item{record: record{ID: "a"}}, told))
+				got = append(got, p.call(ctx, ctx, at, batchItem{record: record{ID: "a"}}, told))
 			}
 			for _, end := range got {
 				if end != c.want {
@@ -320,10 +320,10 @@
 			return st.Reset(c, nc)
 		})
 		p, at := testPool(), &endpoint{addr: e.Addr}
-		if got := callOnce(p, at, st.Wait, body); got.Outcome != brain.Served {
+		if got := callOnce(p, at, st.Wait, body); got.Outcome != dispatch.Served {
 			t.Fatalf("first call: %+v", got)
 		}
-		if got := callOnce(p, at, st.Wait, body); got.Outcome != brain.Broken {
+		if got := callOnce(p, at, st.Wait, body); got.Outcome != dispatch.ConnectionBroken {
 			t.Errorf("on a connection that breaks: %+v", got)
 		}
 		e.Next(t)
@@ -354,7 +354,7 @@
 	}()
 	// Far more than the sockets' buffers hold, so that the write is under way when the reset comes.
 	got := callOnce(testPool(), &endpoint{addr: l.Addr().String()}, st.Wait, strings.Repeat("x", 64<<20))
-	if got.Outcome != brain.ConnectFailed {
+	if got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -365,7 +365,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if got := callOnce(testPool(), &endpoint{addr: l.Addr().String()}, st.Wait, ""); got.Outcome != brain.ConnectFailed {
+	if got := callOnce(testPool(), &endpoint{addr: l.Addr().String()}, st.Wait, ""); got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -379,17 +379,17 @@
 		return false
 	})
 	p, at := testPool(), &endpoint{addr: e.Addr}
-	if got := callOnce(p, at, 30*time.Millisecond, ""); got.Outcome != brain.TimedOut {
+	if got := callOnce(p, at, 30*time.Millisecond, ""); got.Outcome != dispatch.TimedOut {
 		t.Errorf("time-out: %+v", got)
 	}
 	st.Receive(t, closed)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan brain.AttemptEnd, 1)
-	go func() { ended <- p.call(ctx, ctx, at, item{record: record{ID: "id"}}, st.Wait) }()
+	ended := make(chan dispatch.AttemptResult, 1)
+	go func() { ended <- p.call(ctx, ctx, at, batchItem{record: record{ID: "id"}}, st.Wait) }()
 	e.Next(t)
 	e.Next(t)
 	cancel()
-	if got := st.Receive(t, ended); got.Outcome != brain.Cancelled {
+	if got := st.Receive(t, ended); got.Outcome != dispatch.Cancelled {
 		t.Errorf("cancel: %+v", got)
 	}
 	st.Receive(t, closed)
@@ -406,7 +406,7 @@
 		return c.Conn != 1
 	})
 	p, at := testPool(), &endpoint{addr: e.Addr}
-	if got := callOnce(p, at, st.Wait, ""); got.Outcome != brain.Served {
+	if got := callOnce(p, at, st.Wait, ""); got.Outcome != dispatch.Served {
 		t.Fatalf("first call: %+v", got)
 	}
 	st.Receive(t, closed)
@@ -422,7 +422,7 @@
 		}
 	}
 	closed = make(chan struct{})
-	if got := callOnce(p, at, st.Wait, ""); got.Outcome != brain.Served {
+	if got := callOnce(p, at, st.Wait, ""); got.Outcome != dispatch.Served {
 		t.Errorf("second call: %+v", got)
 	}
 }
@@ -432,7 +432,7 @@
 	p, at := testPool(), &endpoint{addr: e.Addr}
 	on := func() int {
 		t.Helper()
-		if got := callOnce(p, at, st.Wait, "x"); got.Outcome != brain.Served {
+		if got := callOnce(p, at, st.Wait, "x"); got.Outcome != dispatch.Served {
 			t.Fatalf("%+v", got)
 		}
 		return e.Next(t).Conn
@@ -481,13 +481,13 @@
 			})
 			began := time.Now()
 			got := callOnce(testPool(), &endpoint{addr: e.Addr}, st.Wait, "")
-			if took := time.Since(began); got.Outcome != brain.Served || !got.Over || took > st.Wait/4 {
+			if took := time.Since(began); got.Outcome != dispatch.Served || !got.Final || took > st.Wait/4 {
 				t.Errorf("%+v after %v", got, took)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), restTime+300*time.Millisecond)
 			defer cancel()
-			items := []item{{record: record{ID: "a"}, place: new(atomic.Int32)}}
-			if ends := testPool().callMany(ctx, ctx, &endpoint{addr: e.Addr}, items, time.Second); ends[0].Outcome == brain.Served || ctx.Err() == nil {
+			items := []batchItem{{record: record{ID: "a"}, state: new(atomic.Int32)}}
+			if ends := testPool().callMany(ctx, ctx, &endpoint{addr: e.Addr}, items, time.Second); ends[0].Outcome == dispatch.Served || ctx.Err() == nil {
 				t.Errorf("of a shared call: %+v, %v", ends, ctx.Err())
 			}
 		})
@@ -500,7 +500,7 @@
 	})
 	p, at := testPool(), &endpoint{addr: slow.Addr}
 	for _, body := range []string{"quick", "slow"} {
-		if got := callOnce(p, at, st.Wait, body); got.Outcome != brain.Served {
+		if got := callOnce(p, at, st.Wait, body); got.Outcome != dispatch.Served {
 			t.Errorf("%s: %+v", body, got)
 		}
 		if c := slow.Next(t); c.Conn != 1 {
@@ -521,7 +521,7 @@
 		return st.Status(200)(c, nc)
 	})
 	p, at := testPool(), &endpoint{addr: e.Addr}
-	if got := callOnce(p, at, st.Wait, ""); got.Outcome != brain.Served {
+	if got := callOnce(p, at, st.Wait, ""); got.Outcome != dispatch.Served {
 		t.Fatalf("first call: %+v", got)
 	}
 	e.Next(t)
@@ -534,7 +534,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		text, err := request(addr, "/hook", "", record{ID: "second"}, nil, time.Second)
-		return rendered{text: text, permits: []permit{{}}}, err
+		return rendered{text: text, permits: []sendPermit{{}}}, err
 	})
 	if resp == nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("it is answered %+v, %v", resp, outcome)
@@ -556,7 +556,7 @@
 		at.addr = now.Addr
 		return nil
 	}
-	if got := callOnce(p, at, st.Wait, ""); got.Outcome != brain.Served {
+	if got := callOnce(p, at, st.Wait, ""); got.Outcome != dispatch.Served {
 		t.Errorf("%+v", got)
 	}
 	if len(old.Calls) > 0 || len(now.Calls) != 1 {
@@ -584,7 +584,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	p := newPool(&Config{ConnectTimeout: time.Second, Limits: Limits{Sockets: 64}})
-	p.call(ctx, ctx, &endpoint{addr: l.Addr().String()}, item{record: record{ID: "id"}}, 50*time.Millisecond)
+	p.call(ctx, ctx, &endpoint{addr: l.Addr().String()}, batchItem{record: record{ID: "id"}}, 50*time.Millisecond)
 	if err := st.Receive(t, ended); err == nil {
 		t.Error("the connection ended in order")
 	}
@@ -594,35 +594,35 @@
 // written: the call goes on without it.
 func TestAMessageThatEndsBeforeItsSharedCallIsWrittenIsLeftOut(t *testing.T) {
 	t.Parallel()
-	for name, short := range map[string]item{"time up": {timeout: 10 * time.Millisecond},
-		"too late to begin": {begin: 10 * time.Millisecond, timeout: st.Wait}} {
+	for name, short := range map[string]batchItem{"time up": {timeout: 10 * time.Millisecond},
+		"too late to begin": {startWithin: 10 * time.Millisecond, timeout: st.Wait}} {
 		t.Run(name, func(t *testing.T) { testLeftOut(t, short) })
 	}
 }
 
-func testLeftOut(t *testing.T, short item) {
+func testLeftOut(t *testing.T, short batchItem) {
 	e := st.NewEndpoint(t, st.Text(200, `[{"id":"b","state":"ok"},{"id":"a","state":"ok"}]`))
 	s := newTest(t, st.NewPlatform(t, e.Addr), nil)
 	up := make(chan struct{})
 	s.pool.connectTimeout = st.Wait
 	s.pool.dialer.Control = func(string, string, syscall.RawConn) error { <-up; return nil }
-	var items []item
-	for id, it := range map[string]item{"a": short, "b": {timeout: st.Wait}} {
-		it.message = &message{stored: &stored{record: record{ID: id}}, calls: map[int]*outCall{}}
-		it.record, it.last = it.message.record, true
+	var items []batchItem
+	for id, it := range map[string]batchItem{"a": short, "b": {timeout: st.Wait}} {
+		it.message = &message{storedMessage: &storedMessage{record: record{ID: id}}, calls: map[int]*outCall{}}
+		it.record, it.lastAttempt = it.message.record, true
 		items = append(items, it)
 	}
-	s.call(context.Background(), &endpoint{addr: e.Addr, most: len(items)}, items, true)
-	alone := st.Receive(t, s.events).(callEnd)
-	if end := alone.ends[0]; alone.over || end.message.ID != "a" || end.Outcome != brain.NotSent {
+	s.startCall(context.Background(), &endpoint{addr: e.Addr, most: len(items)}, items, true)
+	alone := st.Receive(t, s.events).(callEndedEvent)
+	if end := alone.ends[0]; alone.callDone || end.message.ID != "a" || end.Outcome != dispatch.NotSent {
 		t.Errorf("first ends %s: %+v", end.message.ID, alone)
 	}
 	close(up)
 	if parts := e.Next(t).Parts(t); len(parts) != 1 || parts[0].ID != "b" {
 		t.Errorf("the endpoint got %+v", parts)
 	}
-	for _, end := range st.Receive(t, s.events).(callEnd).ends {
-		if want := map[string]brain.Outcome{"a": brain.NotSent, "b": brain.Served}[end.message.ID]; end.Outcome != want {
+	for _, end := range st.Receive(t, s.events).(callEndedEvent).ends {
+		if want := map[string]dispatch.Outcome{"a": dispatch.NotSent, "b": dispatch.Served}[end.message.ID]; end.Outcome != want {
 			t.Errorf("%s ended as %d, want %d", end.message.ID, end.Outcome, want)
 		}
 	}
@@ -638,10 +638,10 @@
 	begin, end := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer end()
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-begin.Done(); return nil }
-	if got := p.call(ctx, begin, at, item{record: record{ID: "late"}}, st.Wait); got.Outcome != brain.ConnectFailed {
+	if got := p.call(ctx, begin, at, batchItem{record: record{ID: "late"}}, st.Wait); got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("begun too late: %+v", got)
 	}
-	if got := callOnce(p, at, st.Wait, "next"); got.Outcome != brain.Served {
+	if got := callOnce(p, at, st.Wait, "next"); got.Outcome != dispatch.Served {
 		t.Errorf("the next call: %+v", got)
 	}
 	if c := e.Next(t); c.Body != "next" {
@@ -662,13 +662,13 @@
 	}
 	defer l.Close()
 	s := newTest(t, st.NewPlatform(t), nil)
-	var items []item
+	var items []batchItem
 	for id, timeout := range map[string]time.Duration{"a": 50 * time.Millisecond, "b": time.Hour} {
-		it := item{record: record{ID: id, Body: make([]byte, 20<<10)}, timeout: timeout, last: true}
-		it.message = &message{stored: &stored{record: it.record}, calls: map[int]*outCall{}}
+		it := batchItem{record: record{ID: id, Body: make([]byte, 20<<10)}, timeout: timeout, lastAttempt: true}
+		it.message = &message{storedMessage: &storedMessage{record: it.record}, calls: map[int]*outCall{}}
 		items = append(items, it)
 	}
-	s.call(context.Background(), &endpoint{addr: l.Addr().String(), most: len(items)}, items, true)
+	s.startCall(context.Background(), &endpoint{addr: l.Addr().String(), most: len(items)}, items, true)
 	c, err := l.Accept() // it takes nothing in but what the machine does
 	if err != nil {
 		t.Fatal(err)
@@ -676,10 +676,10 @@
 	defer c.Close()
 	// The call's end may overtake that of the message alone, which is booked once all the same.
 	for over := false; !over; {
-		end := st.Receive(t, s.events).(callEnd)
-		over = end.over
+		end := st.Receive(t, s.events).(callEndedEvent)
+		over = end.callDone
 		for _, it := range end.ends {
-			if it.message.ID == "b" && it.Outcome != brain.Broken {
+			if it.message.ID == "b" && it.Outcome != dispatch.ConnectionBroken {
 				t.Errorf("b ended as %d", it.Outcome)
 			}
 		}
--- a/internal/sender/faults_test.go
+++ b/internal/sender/faults_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // life is a sender in this process, in an environment that a test spoils.
@@ -37,7 +37,7 @@
 	done, addr := make(chan error, 1), make(chan string, 1)
 	go func() {
 		done <- s.Run(ctx, func() (net.Listener, error) {
-			l, err := net.Listen("tcp", s.c.Listen)
+			l, err := net.Listen("tcp", s.config.Listen)
 			if err == nil {
 				addr <- l.Addr().String()
 			}
@@ -173,7 +173,7 @@
 			if c.delivered {
 				window = 2500 * time.Millisecond
 			}
-			edit := func(conf *Config) { conf.State, conf.Settings.Classes[1].KeyWindow = state, window }
+			edit := func(conf *Config) { conf.State, conf.Settings.Classes[1].IdempotencyWindow = state, window }
 			first := live(t, OperatingSystem(), p, edit)
 			st.HandIn(t, first.addr, "m", c.class, 0, c.deadline)
 			if c.tried {
@@ -461,7 +461,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.grace, s.leaveAfter = 0, 20*time.Millisecond
+		s.gracePeriod, s.drainTimeout = 0, 20*time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
 		failing := failFirst(times, &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", syscall.EADDRNOTAVAIL)})
 		done, addr := make(chan error, 1), make(chan string, 1)
@@ -544,7 +544,7 @@
 				done.Store(true)
 				return err
 			}}
-			s := live(t, env, st.NewPlatform(t, hung.Addr), func(conf *Config) { conf.Settings.MostHeld = 2 })
+			s := live(t, env, st.NewPlatform(t, hung.Addr), func(conf *Config) { conf.Settings.MaxPendingMessages = 2 })
 			st.HandIn(t, s.addr, "out", "unsafe", 0, 15*time.Second)
 			hung.Next(t)
 			resp, _ := st.Do(t, st.Message(t, s.addr, "refused", "unsafe", 5, 15*time.Second, "body"))
@@ -656,7 +656,9 @@
 			})
 			p := st.NewPlatform(t, e.Addr)
 			state := t.TempDir()
-			edit := func(c *Config) { c.State, c.Settings.MostHeld, c.Settings.OverloadFor = state, 200, 2*time.Second }
+			edit := func(c *Config) {
+				c.State, c.Settings.MaxPendingMessages, c.Settings.OverloadWindow = state, 200, 2*time.Second
+			}
 			s := live(t, OperatingSystem(), p, edit)
 			for n := range int(3 * usual) {
 				st.HandIn(t, s.addr, "usual"+strconv.Itoa(n), "safe", 0, 15*time.Second)
@@ -678,13 +680,13 @@
 			if restart {
 				s = live(t, OperatingSystem(), p, edit)
 			}
-			rules := s.c.Settings
-			time.Sleep(rules.OverloadFor)
-			share := rules.StartCapacity + (1-rules.StartCapacity)*rules.OverloadFor.Seconds()/rules.Cold.Seconds()
-			n := rules.FallMultiple * share * usual * headroom * rules.OverloadFor.Seconds()
+			rules := s.config.Settings
+			time.Sleep(rules.OverloadWindow)
+			share := rules.SlowStartCapacity + (1-rules.SlowStartCapacity)*rules.OverloadWindow.Seconds()/rules.SlowStartDuration.Seconds()
+			n := rules.CollapseLoadFactor * share * usual * headroom * rules.OverloadWindow.Seconds()
 			calls := len(e.Calls)
 			if bears := n + 3*math.Sqrt(n) + 3; float64(calls) > bears || calls == 0 {
-				t.Errorf("%d calls in %v after its return, it bears %.1f", calls, rules.OverloadFor, bears)
+				t.Errorf("%d calls in %v after its return, it bears %.1f", calls, rules.OverloadWindow, bears)
 			}
 		})
 	}
@@ -728,7 +730,7 @@
 	good, hung := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, good.Addr, hung.Addr)
 	state, admin := t.TempDir(), freeAddr(t)
-	edit := func(c *Config) { c.State, c.Admin, c.Settings.MostHeld = state, admin, 2 }
+	edit := func(c *Config) { c.State, c.Admin, c.Settings.MaxPendingMessages = state, admin, 2 }
 	first := live(t, OperatingSystem(), p, edit)
 	for _, id := range []string{"safe", "unsafe"} {
 		st.HandIn(t, first.addr, id, id, 0, 15*time.Second)
