--- a/internal/sender/format_test.go
+++ b/internal/sender/format_test.go
@@ -14,7 +14,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
 // The formats that outlive a release are pinned here. The files under testdata were written by the release of commit 5d1fee9:
@@ -49,39 +50,39 @@
 // farAhead is a time that no test reaches: what is dropped with age stays.
 const farAhead = 200 * 365 * 24 * time.Hour
 
-var goldenRules = rules{Effect: brain.Keyed, InZone: true, Ordered: true, Attempts: 5, Aim: 2 * time.Second, Deadline: 20 * time.Second,
-	Window: 6 * time.Second, Worth: 1.5, LateWorth: 0.25}
+var goldenRules = rules{Effect: dispatch.IdempotentByKey, KeyScopedToZone: true, Ordered: true, MaxAttempts: 5, LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second,
+	IdempotencyWindow: 6 * time.Second, PriorityWeight: 1.5, LateWeight: 0.25}
 
 // writeGoldenJournal writes a record of every kind.
 func writeGoldenJournal(t *testing.T, j *journal) {
 	t.Helper()
-	take := func(id string, effect brain.Effect) *stored {
+	take := func(id string, effect dispatch.Effect) *storedMessage {
 		r := goldenRules
 		r.Effect = effect
-		m, err := j.take(record{ID: id, Key: "key-" + id, Class: "class-" + id, Tenant: "tenant", Dest: 7, Deadline: farAhead,
+		m, err := j.take(record{ID: id, Key: "key-" + id, Class: "class-" + id, Tenant: "tenant", Destination: 7, Deadline: farAhead,
 			Rules: &r, Body: []byte("body of " + id)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return m
 	}
-	j.noteList(41, []Target{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "z-2", Kind: "k-1", Cell: 3, State: "SERVING", Weight: 12.5},
+	j.appendEndpointList(41, []Target{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "z-2", Kind: "k-1", Cell: 3, State: "SERVING", Weight: 12.5},
 		{ID: "s-2", Addr: "127.0.0.1:2", Cell: 4, State: "DRAINING"}, {ID: "s-3", State: "DELETED"}})
-	j.noteOutages([]storedOutage{{Destination: 3, Since: 100, Began: 90, Before: 2.5}, {Destination: 4, Endpoint: "s-2", Cold: true, Since: 120, Began: 80, Before: 0.5},
-		{Destination: 5, Since: 1, Began: 1}, {Destination: 5, Over: true}})
-	waiting, tried := take("waiting", brain.Safe), take("tried", brain.Keyed)
-	j.note(tried, record{Op: "send", Try: 0, Sent: &try{At: 1000, Endpoint: "s-1", Zone: 2}})
-	j.note(tried, record{Op: "end", Try: 0, Never: true})
-	j.note(tried, record{Op: "send", Try: 1, Sent: &try{At: 2000, Endpoint: "s-2"}})
-	j.note(tried, record{Op: "end", Try: 1})
+	j.appendOutages([]storedOutage{{Destination: 3, Since: 100, StartedAt: 90, RateBefore: 2.5}, {Destination: 4, Endpoint: "s-2", WarmingUp: true, Since: 120, StartedAt: 80, RateBefore: 0.5},
+		{Destination: 5, Since: 1, StartedAt: 1}, {Destination: 5, Resolved: true}})
+	waiting, tried := take("waiting", dispatch.Idempotent), take("tried", dispatch.IdempotentByKey)
+	j.append(tried, record{Op: "send", Attempt: 0, Sent: &attempt{SentAt: 1000, Endpoint: "s-1", Zone: 2}})
+	j.append(tried, record{Op: "end", Attempt: 0, NeverRan: true})
+	j.append(tried, record{Op: "send", Attempt: 1, Sent: &attempt{SentAt: 2000, Endpoint: "s-2"}})
+	j.append(tried, record{Op: "end", Attempt: 1})
 	for id, how := range map[string]string{"delivered": delivered, "answered": answered} {
-		j.note(take(id, brain.Unsafe), record{Op: "over", How: how})
+		j.append(take(id, dispatch.NonIdempotent), record{Op: "over", Outcome: how})
 	}
-	j.note(take("given-up", brain.Unsafe), record{Op: "over", How: givenUp})
-	j.note(take("handed-back", brain.Safe), record{Op: "over", How: handedBack, RetryMS: 750})
-	told := take("told", brain.Unsafe)
-	j.note(told, record{Op: "over", How: givenUp})
-	j.note(told, record{Op: "told"})
+	j.append(take("given-up", dispatch.NonIdempotent), record{Op: "over", Outcome: givenUp})
+	j.append(take("handed-back", dispatch.Idempotent), record{Op: "over", Outcome: returned, RetryAfterMS: 750})
+	told := take("told", dispatch.NonIdempotent)
+	j.append(told, record{Op: "over", Outcome: givenUp})
+	j.append(told, record{Op: "told"})
 	if err := j.flush(); err != nil || waiting == nil {
 		t.Fatal(err)
 	}
@@ -140,40 +141,40 @@
 	if j.damaged != 0 || len(j.byID) != 4 {
 		t.Fatalf("%d damaged lines, %d messages", j.damaged, len(j.byID))
 	}
-	if m := j.byID["waiting"]; m == nil || m.Key != "key-waiting" || m.Class != "class-waiting" || m.Tenant != "tenant" || m.Dest != 7 ||
-		m.Deadline != farAhead || string(m.Body) != "body of waiting" || len(m.Tries) != 0 || m.how != "" {
+	if m := j.byID["waiting"]; m == nil || m.Key != "key-waiting" || m.Class != "class-waiting" || m.Tenant != "tenant" || m.Destination != 7 ||
+		m.Deadline != farAhead || string(m.Body) != "body of waiting" || len(m.Attempts) != 0 || m.outcome != "" {
 		t.Errorf("waiting is read as %+v", m)
 	}
 	if m := j.byID["waiting"]; m == nil || m.Rules == nil {
 		t.Errorf("waiting has no rules: %+v", m)
 	} else {
 		want := goldenRules
-		want.Effect = brain.Safe
+		want.Effect = dispatch.Idempotent
 		if *m.Rules != want {
 			t.Errorf("waiting has the rules %+v", *m.Rules)
 		}
 	}
-	if m := j.byID["tried"]; m == nil || m.Rules.Effect != brain.Keyed || !slices.Equal(m.Tries,
-		[]try{{At: 1000, Endpoint: "s-1", Zone: 2, Never: true}, {At: 2000, Endpoint: "s-2"}}) {
+	if m := j.byID["tried"]; m == nil || m.Rules.Effect != dispatch.IdempotentByKey || !slices.Equal(m.Attempts,
+		[]attempt{{SentAt: 1000, Endpoint: "s-1", Zone: 2, NeverRan: true}, {SentAt: 2000, Endpoint: "s-2"}}) {
 		t.Errorf("tried is read as %+v", m)
 	}
-	if m := j.byID["given-up"]; m == nil || m.how != givenUp || m.Rules.Effect != brain.Unsafe {
+	if m := j.byID["given-up"]; m == nil || m.outcome != givenUp || m.Rules.Effect != dispatch.NonIdempotent {
 		t.Errorf("given-up is read as %+v", m)
 	}
-	if m := j.byID["handed-back"]; m == nil || m.how != handedBack || m.retry != 750 {
+	if m := j.byID["handed-back"]; m == nil || m.outcome != returned || m.retryAfterMS != 750 {
 		t.Errorf("handed-back is read as %+v", m)
 	}
-	if !j.has("past") {
+	if !j.knows("past") {
 		t.Error("the id of a message that ended is not known")
 	}
 	wantList := []Target{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "z-2", Kind: "k-1", Cell: 3, State: "SERVING", Weight: 12.5},
 		{ID: "s-2", Addr: "127.0.0.1:2", Cell: 4, State: "DRAINING"}, {ID: "s-3", State: "DELETED"}}
-	if j.list.version != 41 || !slices.Equal(j.list.changes, wantList) {
-		t.Errorf("the list is read as %+v", j.list)
+	if j.endpointList.version != 41 || !slices.Equal(j.endpointList.changes, wantList) {
+		t.Errorf("the list is read as %+v", j.endpointList)
 	}
-	wantOutages := []storedOutage{{Destination: 3, Since: 100, Began: 90, Before: 2.5}, {Destination: 4, Endpoint: "s-2", Cold: true, Since: 120, Began: 80, Before: 0.5}}
-	if !slices.Equal(j.outage.outages, wantOutages) {
-		t.Errorf("the outages are read as %+v", j.outage.outages)
+	wantOutages := []storedOutage{{Destination: 3, Since: 100, StartedAt: 90, RateBefore: 2.5}, {Destination: 4, Endpoint: "s-2", WarmingUp: true, Since: 120, StartedAt: 80, RateBefore: 0.5}}
+	if !slices.Equal(j.outages.outages, wantOutages) {
+		t.Errorf("the outages are read as %+v", j.outages.outages)
 	}
 	raw, err := os.ReadFile(filepath.Join(dir, "messages.journal"))
 	if err != nil {
@@ -185,26 +186,26 @@
 }
 
 func TestStoredWordsAndNumbers(t *testing.T) {
-	for effect, number := range map[brain.Effect]uint8{brain.Safe: 0, brain.Keyed: 1, brain.Unsafe: 2} {
+	for effect, number := range map[dispatch.Effect]uint8{dispatch.Idempotent: 0, dispatch.IdempotentByKey: 1, dispatch.NonIdempotent: 2} {
 		if uint8(effect) != number {
 			t.Errorf("effect %d is stored as %d", number, effect)
 		}
 	}
-	outcomes := map[brain.Outcome]string{brain.Served: "served", brain.Errored: "errored", brain.Refused: "refused",
-		brain.TimedOut: "timed_out", brain.ConnectFailed: "connect_failed", brain.Broken: "broken", brain.Cancelled: "cancelled",
-		brain.NotSent: "not_sent", brain.NotBegun: "not_begun"}
+	outcomes := map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.Errored: "errored", dispatch.Rejected: "refused",
+		dispatch.TimedOut: "timed_out", dispatch.ConnectFailed: "connect_failed", dispatch.ConnectionBroken: "broken", dispatch.Cancelled: "cancelled",
+		dispatch.NotSent: "not_sent", dispatch.NotStarted: "not_begun"}
 	for outcome, word := range outcomes {
 		if outcome.String() != word {
 			t.Errorf("outcome %s is told as %s", word, outcome)
 		}
 	}
-	for got, want := range map[string]string{delivered: "delivered", answered: "answered", givenUp: "given_up", handedBack: "handed_back",
+	for got, want := range map[string]string{delivered: "delivered", answered: "answered", givenUp: "given_up", returned: "handed_back",
 		journalName: "messages.journal"} {
 		if got != want {
 			t.Errorf("%s is written as %s", want, got)
 		}
 	}
-	err := socketAt("/state", func(path string) error {
+	err := withHandOverSocket("/state", func(path string) error {
 		if name := filepath.Base(path); name != "saffronyard-87517253f26a8523.sock" {
 			t.Errorf("the socket of the state folder is %s", name)
 		}
@@ -290,31 +291,31 @@
 
 // An outcome has the same number on the wire as in the release.
 func TestHandOverNumbersOfOutcomes(t *testing.T) {
-	numbers := []brain.Outcome{brain.Served, brain.Errored, brain.Refused, brain.TimedOut, brain.ConnectFailed, brain.Broken,
-		brain.Cancelled, brain.NotSent, brain.NotBegun}
+	numbers := []dispatch.Outcome{dispatch.Served, dispatch.Errored, dispatch.Rejected, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionBroken,
+		dispatch.Cancelled, dispatch.NotSent, dispatch.NotStarted}
 	for number, outcome := range numbers {
 		f := frozenOutcome{Outcome: uint8(number)}
-		if f.thaw().Outcome != outcome || freezeOutcome(brain.AttemptEnd{Outcome: outcome}).Outcome != uint8(number) {
+		if f.thaw().Outcome != outcome || freezeOutcome(dispatch.AttemptResult{Outcome: outcome}).Outcome != uint8(number) {
 			t.Errorf("outcome %s is not %d", outcome, number)
 		}
 	}
 }
 
 func TestFiguresAreDumpedAsReleased(t *testing.T) {
-	f := newFigures([]string{"safe", "keyed"})
-	f.succeeded("safe")
-	f.declined("safe")
-	f.declined("unsafe")
-	f.aborted("keyed")
-	f.forwarded(3)
-	f.reloaded(true)
-	f.reloaded(false)
-	f.set(gauges{4, 5, 6})
-	for _, kind := range []reasonKind{reasonViolation, reasonClosed, reasonRefused, reasonRetried, reasonAccept, reasonDropped, reasonDiscovery} {
-		f.reason(kind, "why")
+	f := metrics.New([]string{"safe", "keyed"}, ruleNames()...)
+	f.MessageSucceeded("safe")
+	f.MessageDeclined("safe")
+	f.MessageDeclined("unsafe")
+	f.MessageAborted("keyed")
+	f.MessagesForwarded(3)
+	f.ConfigReloaded(true)
+	f.ConfigReloaded(false)
+	f.SetGauges(metrics.Gauges{Outstanding: 4, Discovered: 5, Ejected: 6})
+	for _, kind := range []metrics.ReasonKind{metrics.ReasonViolation, metrics.ReasonClosed, metrics.ReasonRejected, metrics.ReasonRetried, metrics.ReasonAccept, metrics.ReasonDropped, metrics.ReasonDiscovery} {
+		f.CountReason(kind, "why")
 	}
 	var dump bytes.Buffer
-	f.dump(&dump)
+	f.Dump(&dump)
 	golden(t, "admin/dump.txt", dump.String())
 }
 
--- a/internal/sender/freshness.go
+++ b/internal/sender/freshness.go
@@ -5,6 +5,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
 const (
@@ -21,7 +23,7 @@
 // freshness is a lease on the endpoint list where lists are pushed. Whoever has just asked its agent holds a list that is fresh,
 // whether the agent answers or is silent, as a silent one tells nobody anything. Who cannot ask, for want of something on
 // this machine, does not know: the list is stale then, and nobody may be called by it. It is safe for concurrent use.
-type freshness struct {
+type endpointListLease struct {
 	changed func(stale bool) // called at each change, with no lock held
 
 	mu      sync.Mutex
@@ -31,7 +33,7 @@
 }
 
 // called books that a call has been written, or that nobody listened for it: in either case the agent has been asked.
-func (f *freshness) called() {
+func (f *endpointListLease) called() {
 	f.mu.Lock()
 	f.asked, f.failing = time.Now(), time.Time{}
 	stale := f.stale
@@ -42,23 +44,23 @@
 }
 
 // renew ends staleness, unless calls fail again: the agent has answered, or is silent.
-func (f *freshness) renew() {
+func (f *endpointListLease) renew() {
 	f.set(func() bool { return f.stale && !f.failing.IsZero() })
 }
 
 // isStale reports whether the list is stale.
-func (f *freshness) isStale() bool {
+func (f *endpointListLease) isStale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stale
 }
 
 // failed books how a call ended that may not have been made.
-func (f *freshness) failed(err error) {
+func (f *endpointListLease) failed(err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		f.called()
-	case isTransient(err):
+	case retry.IsTransient(err):
 		f.set(func() bool {
 			now := time.Now()
 			if f.failing.IsZero() {
@@ -70,7 +72,7 @@
 }
 
 // set makes the list stale or not as rule says, which is called with the lock held.
-func (f *freshness) set(rule func() bool) {
+func (f *endpointListLease) set(rule func() bool) {
 	f.mu.Lock()
 	was := f.stale
 	f.stale = rule()
--- a/internal/sender/frozen.go
+++ b/internal/sender/frozen.go
@@ -11,7 +11,7 @@
 	"encoding/gob"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
 )
 
 type frozenPacket struct {
@@ -190,20 +190,20 @@
 	if p.Hello != nil {
 		f.Hello = &frozenHello{Version: p.Hello.Version}
 	}
-	if p.Estate != nil {
-		f.Estate = freezeSnapshot(p.Estate)
+	if p.Snapshot != nil {
+		f.Estate = freezeSnapshot(p.Snapshot)
 	}
 	if p.Submit != nil {
-		f.Submit = &frozenRequest{Seq: p.Submit.Seq, Record: freezeRecord(p.Submit.Record)}
+		f.Submit = &frozenRequest{Seq: p.Submit.Sequence, Record: freezeRecord(p.Submit.Record)}
 	}
 	if p.Answer != nil {
-		f.Answer = &frozenAnswer{Seq: p.Answer.Seq, Status: p.Answer.Status, Retry: p.Answer.Retry, Text: p.Answer.Text}
+		f.Answer = &frozenAnswer{Seq: p.Answer.Sequence, Status: p.Answer.Status, Retry: p.Answer.RetryAfter, Text: p.Answer.Text}
 	}
-	if p.Ended != nil {
-		f.Ended = &frozenAttemptEnd{Flight: freezeAttemptID(p.Ended.Flight), End: freezeOutcome(p.Ended.End)}
+	if p.AttemptEnded != nil {
+		f.Ended = &frozenAttemptEnd{Flight: freezeAttemptID(p.AttemptEnded.Attempt), End: freezeOutcome(p.AttemptEnded.Result)}
 	}
-	if p.Wait != nil {
-		f.Wait = &frozenWait{Endpoint: p.Wait.Endpoint, Wait: p.Wait.Wait}
+	if p.RetryAfter != nil {
+		f.Wait = &frozenWait{Endpoint: p.RetryAfter.Endpoint, Wait: p.RetryAfter.RetryAfter}
 	}
 	if p.Cancel != nil {
 		id := freezeAttemptID(*p.Cancel)
@@ -219,19 +219,19 @@
 		p.Hello = &hello{Version: f.Hello.Version}
 	}
 	if f.Estate != nil {
-		p.Estate = f.Estate.thaw()
+		p.Snapshot = f.Estate.thaw()
 	}
 	if f.Submit != nil {
-		p.Submit = &relayed{Seq: f.Submit.Seq, Record: f.Submit.Record.thaw()}
+		p.Submit = &forwardedSubmission{Sequence: f.Submit.Seq, Record: f.Submit.Record.thaw()}
 	}
 	if f.Answer != nil {
-		p.Answer = &relayAnswer{Seq: f.Answer.Seq, Status: f.Answer.Status, Retry: f.Answer.Retry, Text: f.Answer.Text}
+		p.Answer = &forwardedResponse{Sequence: f.Answer.Seq, Status: f.Answer.Status, RetryAfter: f.Answer.Retry, Text: f.Answer.Text}
 	}
 	if f.Ended != nil {
-		p.Ended = &flightEnd{Flight: f.Ended.Flight.thaw(), End: f.Ended.End.thaw()}
+		p.AttemptEnded = &attemptReport{Attempt: f.Ended.Flight.thaw(), Result: f.Ended.End.thaw()}
 	}
 	if f.Wait != nil {
-		p.Wait = &relayedWait{Endpoint: f.Wait.Endpoint, Wait: f.Wait.Wait}
+		p.RetryAfter = &retryAfterReport{Endpoint: f.Wait.Endpoint, RetryAfter: f.Wait.Wait}
 	}
 	if f.Cancel != nil {
 		id := f.Cancel.thaw()
@@ -240,52 +240,54 @@
 	return p
 }
 
-func freezeAttemptID(id flightID) frozenAttemptID { return frozenAttemptID{ID: id.ID, Try: id.Try} }
+func freezeAttemptID(id attemptID) frozenAttemptID {
+	return frozenAttemptID{ID: id.Message, Try: id.Attempt}
+}
 
-func (f frozenAttemptID) thaw() flightID { return flightID{ID: f.ID, Try: f.Try} }
+func (f frozenAttemptID) thaw() attemptID { return attemptID{Message: f.ID, Attempt: f.Try} }
 
 func freezeSnapshot(s *snapshot) *frozenSnapshot {
-	f := &frozenSnapshot{ListVersion: s.ListVersion, Rests: s.Rests, Memory: freezeMemory(s.Memory)}
+	f := &frozenSnapshot{ListVersion: s.ListVersion, Rests: s.BackoffUntil, Memory: freezeMemory(s.Dispatcher)}
 	for _, t := range s.Endpoints {
 		f.Endpoints = append(f.Endpoints, frozenTarget{ID: t.ID, Addr: t.Addr, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell,
 			State: t.State, Weight: t.Weight})
 	}
-	for _, l := range s.Flights {
+	for _, l := range s.InFlight {
 		f.Flights = append(f.Flights, frozenFlight{ID: freezeAttemptID(l.ID), Call: l.Call, Endpoint: uint32(l.Endpoint),
-			At: l.At, Timeout: l.Timeout})
+			At: l.SentAt, Timeout: l.Timeout})
 	}
 	return f
 }
 
 func (f *frozenSnapshot) thaw() *snapshot {
-	s := &snapshot{ListVersion: f.ListVersion, Rests: f.Rests, Memory: f.Memory.thaw()}
+	s := &snapshot{ListVersion: f.ListVersion, BackoffUntil: f.Rests, Dispatcher: f.Memory.thaw()}
 	for _, t := range f.Endpoints {
 		s.Endpoints = append(s.Endpoints, Target{ID: t.ID, Addr: t.Addr, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell,
 			State: t.State, Weight: t.Weight})
 	}
 	for _, l := range f.Flights {
-		s.Flights = append(s.Flights, flight{ID: l.ID.thaw(), Call: l.Call, Endpoint: brain.EndpointID(l.Endpoint),
-			At: l.At, Timeout: l.Timeout})
+		s.InFlight = append(s.InFlight, inFlightAttempt{ID: l.ID.thaw(), Call: l.Call, Endpoint: dispatch.EndpointID(l.Endpoint),
+			SentAt: l.At, Timeout: l.Timeout})
 	}
 	return s
 }
 
 // frozenOutcomes gives each outcome's number on the wire.
-var frozenOutcomes = [...]brain.Outcome{
-	0: brain.Served,
-	1: brain.Errored,
-	2: brain.Refused,
-	3: brain.TimedOut,
-	4: brain.ConnectFailed,
-	5: brain.Broken,
-	6: brain.Cancelled,
-	7: brain.NotSent,
-	8: brain.NotBegun,
+var frozenOutcomes = [...]dispatch.Outcome{
+	0: dispatch.Served,
+	1: dispatch.Errored,
+	2: dispatch.Rejected,
+	3: dispatch.TimedOut,
+	4: dispatch.ConnectFailed,
+	5: dispatch.ConnectionBroken,
+	6: dispatch.Cancelled,
+	7: dispatch.NotSent,
+	8: dispatch.NotStarted,
 }
 
-func freezeOutcome(e brain.AttemptEnd) frozenOutcome {
+func freezeOutcome(e dispatch.AttemptResult) frozenOutcome {
 	f := frozenOutcome{Message: uint64(e.Message), Attempt: e.Attempt, Endpoint: uint32(e.Endpoint), Outcome: uint8(e.Outcome),
-		Elapsed: e.Elapsed, Idle: e.Idle, Over: e.Over, Wait: e.Wait, Reported: e.Reported, Left: e.Left, Limit: e.Limit}
+		Elapsed: e.Elapsed, Idle: e.ConnectionIdle, Over: e.Final, Wait: e.RetryAfter, Reported: e.HasLoadReport, Left: e.QuotaLeft, Limit: e.RateLimit}
 	for number, outcome := range frozenOutcomes {
 		if outcome == e.Outcome {
 			f.Outcome = uint8(number)
@@ -294,10 +296,10 @@
 	return f
 }
 
-func (f frozenOutcome) thaw() brain.AttemptEnd {
-	e := brain.AttemptEnd{Message: brain.MessageID(f.Message), Attempt: f.Attempt, Endpoint: brain.EndpointID(f.Endpoint),
-		Outcome: brain.Outcome(f.Outcome), Elapsed: f.Elapsed, Idle: f.Idle, Over: f.Over, Wait: f.Wait, Reported: f.Reported,
-		Left: f.Left, Limit: f.Limit}
+func (f frozenOutcome) thaw() dispatch.AttemptResult {
+	e := dispatch.AttemptResult{Message: dispatch.MessageID(f.Message), Attempt: f.Attempt, Endpoint: dispatch.EndpointID(f.Endpoint),
+		Outcome: dispatch.Outcome(f.Outcome), Elapsed: f.Elapsed, ConnectionIdle: f.Idle, Final: f.Over, RetryAfter: f.Wait, HasLoadReport: f.Reported,
+		QuotaLeft: f.Left, RateLimit: f.Limit}
 	if int(f.Outcome) < len(frozenOutcomes) {
 		e.Outcome = frozenOutcomes[f.Outcome]
 	}
@@ -305,27 +307,27 @@
 }
 
 func freezeRecord(r record) frozenRecord {
-	f := frozenRecord{Op: r.Op, ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, Deadline: r.Deadline, Body: r.Body}
+	f := frozenRecord{Op: r.Op, ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Dest: r.Destination, Deadline: r.Deadline, Body: r.Body}
 	if r.Rules != nil {
-		f.Rules = &frozenRules{Effect: uint8(r.Rules.Effect), InZone: r.Rules.InZone, Ordered: r.Rules.Ordered,
-			Attempts: r.Rules.Attempts, Aim: r.Rules.Aim, Deadline: r.Rules.Deadline, Window: r.Rules.Window,
-			Worth: r.Rules.Worth, LateWorth: r.Rules.LateWorth}
+		f.Rules = &frozenRules{Effect: uint8(r.Rules.Effect), InZone: r.Rules.KeyScopedToZone, Ordered: r.Rules.Ordered,
+			Attempts: r.Rules.MaxAttempts, Aim: r.Rules.LatencyObjective, Deadline: r.Rules.Deadline, Window: r.Rules.IdempotencyWindow,
+			Worth: r.Rules.PriorityWeight, LateWorth: r.Rules.LateWeight}
 	}
-	for _, t := range r.Tries {
-		f.Tries = append(f.Tries, frozenTry{At: t.At, Endpoint: t.Endpoint, Zone: t.Zone, Never: t.Never})
+	for _, t := range r.Attempts {
+		f.Tries = append(f.Tries, frozenTry{At: t.SentAt, Endpoint: t.Endpoint, Zone: t.Zone, Never: t.NeverRan})
 	}
 	return f
 }
 
 func (f frozenRecord) thaw() record {
-	r := record{Op: f.Op, ID: f.ID, Key: f.Key, Class: f.Class, Tenant: f.Tenant, Dest: f.Dest, Deadline: f.Deadline, Body: f.Body}
+	r := record{Op: f.Op, ID: f.ID, Key: f.Key, Class: f.Class, Tenant: f.Tenant, Destination: f.Dest, Deadline: f.Deadline, Body: f.Body}
 	if f.Rules != nil {
-		r.Rules = &rules{Effect: brain.Effect(f.Rules.Effect), InZone: f.Rules.InZone, Ordered: f.Rules.Ordered,
-			Attempts: f.Rules.Attempts, Aim: f.Rules.Aim, Deadline: f.Rules.Deadline, Window: f.Rules.Window,
-			Worth: f.Rules.Worth, LateWorth: f.Rules.LateWorth}
+		r.Rules = &rules{Effect: dispatch.Effect(f.Rules.Effect), KeyScopedToZone: f.Rules.InZone, Ordered: f.Rules.Ordered,
+			MaxAttempts: f.Rules.Attempts, LatencyObjective: f.Rules.Aim, Deadline: f.Rules.Deadline, IdempotencyWindow: f.Rules.Window,
+			PriorityWeight: f.Rules.Worth, LateWeight: f.Rules.LateWorth}
 	}
 	for _, t := range f.Tries {
-		r.Tries = append(r.Tries, try{At: t.At, Endpoint: t.Endpoint, Zone: t.Zone, Never: t.Never})
+		r.Attempts = append(r.Attempts, attempt{SentAt: t.At, Endpoint: t.Endpoint, Zone: t.Zone, NeverRan: t.Never})
 	}
 	return r
 }
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -15,7 +15,8 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	"onyxdyke.example/onyxdyke/internal/clock"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // platformSocket is a clients' socket that the platform holds: each process listens on its own descriptor of it.
@@ -202,8 +203,8 @@
 	slow.Next(t)
 	for n := range 2 {
 		l, _, snapshot := takeOver(t, state)
-		if len(snapshot.Flights) != 1 || snapshot.Flights[0].ID != (flightID{"out", 0}) {
-			t.Errorf("calls handed over: %+v", snapshot.Flights)
+		if len(snapshot.InFlight) != 1 || snapshot.InFlight[0].ID != (attemptID{"out", 0}) {
+			t.Errorf("calls handed over: %+v", snapshot.InFlight)
 		}
 		waitHealth(t, admin, "fail leaving\n")
 		l.close()
@@ -223,7 +224,7 @@
 func takeOver(t *testing.T, state string) (*link, *gob.Decoder, *snapshot) {
 	t.Helper()
 	for until := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) { // the holder's socket may come up after its ok
-		l, dec, e, err := askHolder(context.Background(), state)
+		l, dec, e, err := requestSnapshot(context.Background(), state)
 		if err == nil {
 			t.Cleanup(l.close)
 			return l, dec, e
@@ -264,12 +265,12 @@
 					}
 				}
 				l, dec, snapshot := takeOver(t, state)
-				if len(snapshot.Flights) != 1 {
-					t.Fatalf("calls handed over: %+v", snapshot.Flights)
+				if len(snapshot.InFlight) != 1 {
+					t.Fatalf("calls handed over: %+v", snapshot.InFlight)
 				}
 				close(open)
-				var told packet
-				if err := dec.Decode(&told); err != nil || told.Ended == nil {
+				told, err := readPacket(dec)
+				if err != nil || told.AttemptEnded == nil {
 					t.Fatalf("the successor is told %+v, %v", told, err)
 				}
 				l.close()
@@ -300,8 +301,8 @@
 	var rests time.Time
 	for booked := false; !booked; { // its last answer may not have been: then its call is handed over as out
 		l, _, est := takeOver(t, state)
-		booked = len(est.Flights) == 0
-		until, ok := est.Rests["m"]
+		booked = len(est.InFlight) == 0
+		until, ok := est.BackoffUntil["m"]
 		if rests = time.Unix(0, int64(until)); booked && !ok {
 			t.Errorf("it does not rest: %+v", est)
 		}
@@ -321,7 +322,7 @@
 	hung := st.NewEndpoint(t, st.Silent)
 	addr, listen := platformSocket(t)
 	l := &leaver{Sender: newTest(t, st.NewPlatform(t, hung.Addr), nil), done: make(chan error, 1)}
-	l.grace, l.leaveAfter = 0, 2*time.Second
+	l.gracePeriod, l.drainTimeout = 0, 2*time.Second
 	var ctx context.Context
 	ctx, l.stop = context.WithCancel(context.Background())
 	go func() { l.done <- l.Run(ctx, listen) }()
@@ -339,7 +340,7 @@
 		c.Write(text.Bytes()[:text.Len()-1])
 		halves = append(halves, c)
 	}
-	successor, _, _ := takeOver(t, l.folder)
+	successor, _, _ := takeOver(t, l.stateDir)
 	l.stop()
 	successor.close()
 	refused := false
@@ -368,7 +369,7 @@
 	quick := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, quick.Addr)
 	state := t.TempDir()
-	if err := socketAt(state, func(path string) error {
+	if err := withHandOverSocket(state, func(path string) error {
 		l, err := net.Listen("unix", path)
 		if err != nil {
 			return err
@@ -384,7 +385,7 @@
 	st.HandIn(t, addr, "m", "unsafe", 0, 15*time.Second)
 	quick.Next(t)
 	stop()
-	if err := socketAt(state, func(path string) error { _, err := os.Stat(path); return err }); err != nil {
+	if err := withHandOverSocket(state, func(path string) error { _, err := os.Stat(path); return err }); err != nil {
 		t.Errorf("the new process has no socket: %v", err)
 	}
 }
@@ -395,10 +396,10 @@
 	quick := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, quick.Addr)
 	state := t.TempDir()
-	if err := socketAt(state, func(path string) error { return os.MkdirAll(path+"/taken", 0o700) }); err != nil {
+	if err := withHandOverSocket(state, func(path string) error { return os.MkdirAll(path+"/taken", 0o700) }); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { socketAt(state, os.RemoveAll) })
+	t.Cleanup(func() { withHandOverSocket(state, os.RemoveAll) })
 	addr, listen := platformSocket(t)
 	beside(t, p, state, listen)
 	st.HandIn(t, addr, "m", "unsafe", 0, 15*time.Second)
@@ -414,7 +415,7 @@
 	hung := st.NewEndpoint(t, st.Silent)
 	addr, listen := platformSocket(t)
 	l := &leaver{Sender: newTest(t, st.NewPlatform(t, hung.Addr), nil), done: make(chan error, 1)}
-	l.grace, l.leaveAfter = 0, 2*time.Second
+	l.gracePeriod, l.drainTimeout = 0, 2*time.Second
 	var ctx context.Context
 	ctx, l.stop = context.WithCancel(context.Background())
 	go func() { l.done <- l.Run(ctx, listen) }()
@@ -424,11 +425,11 @@
 		t.Fatal(resp.Status)
 	}
 	hung.Next(t)
-	successor, dec, _ := takeOver(t, l.folder)
+	successor, dec, _ := takeOver(t, l.stateDir)
 	io.WriteString(c, written(t, st.Message(t, addr, "passed", "unsafe", 0, 15*time.Second, "x")))
 	for {
-		var p packet
-		if err := dec.Decode(&p); err != nil {
+		p, err := readPacket(dec)
+		if err != nil {
 			t.Fatal(err)
 		}
 		if p.Submit != nil {
@@ -480,13 +481,13 @@
 		defer close(took)
 		l, _, _ := takeOver(t, state)
 		defer l.close()
-		j, err := openJournal(osFiles{}, newClock(time.Now()), state, 1<<20)
+		j, err := openJournal(osFiles{}, clock.New(time.Now()), state, 1<<20)
 		if err != nil {
 			t.Error(err)
 			return
 		}
 		if m := j.byID["m"]; m != nil {
-			t.Errorf("a message that was delivered is handed over as held: %+v", m.Tries)
+			t.Errorf("a message that was delivered is handed over as held: %+v", m.Attempts)
 		}
 	}()
 	select {
--- a/internal/sender/guard.go
+++ b/internal/sender/invariants.go
@@ -6,7 +6,8 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
 // Rule names a promise that the guard checks at run time. Its violations are counted as violations.RULE in the
@@ -39,9 +40,9 @@
 // guard stands at the four points where a promise can be broken: before a call is written, before a message is sent
 // again, when a client's connection is closed, and when the process starts to own the journal. The decisions are made
 // elsewhere and should never come into conflict with it, so what it refuses it also counts. It is safe for concurrent use.
-type guard struct {
+type invariantChecker struct {
 	log     *slog.Logger
-	figures *figures
+	figures *metrics.Registry
 
 	mu    sync.Mutex
 	waits map[waitScope]waitSpan
@@ -49,16 +50,16 @@
 
 // waitScope is what a told wait binds: a destination, or one endpoint where routes are apart.
 type waitScope struct {
-	destination brain.DestinationID
-	endpoint    brain.EndpointID // only where apart
+	destination dispatch.DestinationID
+	endpoint    dispatch.EndpointID // only where apart
 	apart       bool
 }
 
 // waitSpan is a told wait.
 type waitSpan struct{ from, until time.Time }
 
-func newGuard(log *slog.Logger, f *figures) *guard {
-	return &guard{log: log, figures: f, waits: map[waitScope]waitSpan{}}
+func newInvariantChecker(log *slog.Logger, f *metrics.Registry) *invariantChecker {
+	return &invariantChecker{log: log, figures: f, waits: map[waitScope]waitSpan{}}
 }
 
 // violationError is a call that the guard did not let pass.
@@ -70,14 +71,14 @@
 func (e *violationError) Error() string { return fmt.Sprintf("rule %s: %s", e.rule, e.detail) }
 
 // violated counts and logs a violation and returns it as an error.
-func (g *guard) violated(rule Rule, id, detail string) error {
-	g.figures.reason(reasonViolation, string(rule))
+func (g *invariantChecker) violated(rule Rule, id, detail string) error {
+	g.figures.CountReason(metrics.ReasonViolation, string(rule))
 	g.log.Error("rule violated", "rule", rule, "id", id, "detail", detail)
 	return &violationError{rule, detail}
 }
 
 // waitTold books a wait that an endpoint has told, from the moment that its answer's head was read.
-func (g *guard) waitTold(scope waitScope, wait time.Duration) {
+func (g *invariantChecker) waitTold(scope waitScope, wait time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -92,7 +93,7 @@
 }
 
 // waits reports whether a told wait keeps calls from scope at the time.
-func (g *guard) mustWait(scope waitScope, now time.Time) bool {
+func (g *invariantChecker) mustWait(scope waitScope, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	span, told := g.waits[scope]
@@ -104,29 +105,29 @@
 }
 
 // permit is what the guard has to know of a message in a call.
-type permit struct {
-	id     string
-	repeat bool      // an earlier attempt may have run
-	never  bool      // then it may not be sent again
-	until  time.Time // or only until then; the zero time for no bound
-	others int       // attempts of it that are out
+type sendPermit struct {
+	id              string
+	mayHaveRun      bool      // an earlier attempt may have run
+	nonRepeatable   bool      // then it may not be sent again
+	repeatableUntil time.Time // or only until then; the zero time for no bound
+	inFlight        int       // attempts of it that are out
 }
 
 // checkRepeat tells why a message may not be sent, nil if it may.
-func (g *guard) checkRepeat(p permit, now time.Time) error {
+func (g *invariantChecker) checkRepeat(p sendPermit, now time.Time) error {
 	switch {
-	case p.others > 0:
+	case p.inFlight > 0:
 		return g.violated(RuleConcurrent, p.id, "another attempt is out")
-	case p.repeat && p.never:
+	case p.mayHaveRun && p.nonRepeatable:
 		return g.violated(RuleRepeat, p.id, "it may have run, and its class allows no repeat")
-	case p.repeat && !p.until.IsZero() && !now.Before(p.until):
+	case p.mayHaveRun && !p.repeatableUntil.IsZero() && !now.Before(p.repeatableUntil):
 		return g.violated(RuleRepeat, p.id, "its key may be forgotten already")
 	}
 	return nil
 }
 
 // checkSend tells why a call to e may not be written now, nil if it may.
-func (g *guard) checkSend(e *endpoint, permits []permit) error {
+func (g *invariantChecker) checkSend(e *endpoint, permits []sendPermit) error {
 	now := time.Now()
 	e.mu.Lock()
 	drained, scope := e.drained, e.scope
@@ -149,8 +150,8 @@
 }
 
 // checkClose counts a client's connection that is closed while it is owed an answer.
-func (g *guard) checkClose(c *clientConn) {
-	g.figures.reason(reasonClosed, c.whyClosed())
+func (g *invariantChecker) checkClose(c *clientConn) {
+	g.figures.CountReason(metrics.ReasonClosed, c.whyClosed())
 	if c.owed.Load() {
 		g.violated(RuleAnswer, "", "a connection is closed with a whole request and no answer")
 	}
@@ -158,7 +159,7 @@
 
 // checkPromise tells why a message may not be promised to have had no effect, nil if it may: its end has to be
 // written, or the next process would send it.
-func (g *guard) checkPromise(id string, written bool) error {
+func (g *invariantChecker) checkPromise(id string, written bool) error {
 	if written {
 		return nil
 	}
@@ -166,26 +167,35 @@
 }
 
 // checkStart counts a start without the lock that makes this process the only one to own the journal.
-func (g *guard) checkStart(locked bool) {
+func (g *invariantChecker) checkStart(locked bool) {
 	if !locked {
 		g.violated(RuleOwnership, "", "the state folder is used without its lock")
 	}
 }
 
 // permitOf is what is to be known of m, whose newest attempt in the record is the one that asks.
-func permitOf(m *message, kept map[int]*outCall, now time.Duration) permit {
-	p := permit{id: m.ID, others: len(kept)}
-	if m.stored == nil || m.Rules == nil || len(m.Tries) == 0 {
+func sendPermitFor(m *message, kept map[int]*outCall, now time.Duration) sendPermit {
+	p := sendPermit{id: m.ID, inFlight: len(kept)}
+	if m.storedMessage == nil || m.Rules == nil || len(m.Attempts) == 0 {
 		return p
 	}
-	earlier := stored{record: record{Tries: m.Tries[:len(m.Tries)-1]}}
+	earlier := storedMessage{record: record{Attempts: m.Attempts[:len(m.Attempts)-1]}}
 	first, ran := earlier.firstRun()
-	p.repeat = ran
+	p.mayHaveRun = ran
 	switch m.Rules.Effect {
-	case brain.Unsafe:
-		p.never = true
-	case brain.Keyed:
-		p.until = time.Now().Add(first.At + m.Rules.Window - now)
+	case dispatch.NonIdempotent:
+		p.nonRepeatable = true
+	case dispatch.IdempotentByKey:
+		p.repeatableUntil = time.Now().Add(first.SentAt + m.Rules.IdempotencyWindow - now)
 	}
 	return p
 }
+
+// ruleNames are the names of all rules that are checked.
+func ruleNames() []string {
+	names := make([]string, 0, len(allRules))
+	for _, rule := range allRules {
+		names = append(names, string(rule))
+	}
+	return names
+}
--- a/internal/sender/guard_test.go
+++ b/internal/sender/invariants_test.go
@@ -9,13 +9,14 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/metrics"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-func testGuard() (*guard, *figures) {
-	f := newFigures(nil)
-	return newGuard(slog.New(slog.DiscardHandler), f), f
+func testGuard() (*invariantChecker, *metrics.Registry) {
+	f := metrics.New(nil)
+	return newInvariantChecker(slog.New(slog.DiscardHandler), f), f
 }
 
 // wantRule checks which rule an error of the guard names; "" for none.
@@ -67,7 +68,7 @@
 			if c.want == "" || c.passed {
 				want = 0
 			}
-			if n := f.reasons["violations."+string(c.want)]; n != want {
+			if n := f.ReasonCount(metrics.ReasonViolation, string(c.want)); n != want {
 				t.Errorf("it is counted %d times, not %d", n, want)
 			}
 		})
@@ -79,26 +80,26 @@
 	second, now := time.Second, 100*time.Second
 	for name, c := range map[string]struct {
 		rules rules
-		tries []try
+		tries []attempt
 		out   int
 		want  Rule
 	}{
-		"a first attempt":              {rules: rules{Effect: brain.Unsafe}, tries: []try{{At: now}}},
-		"a safe repeat":                {rules: rules{Effect: brain.Safe}, tries: []try{{At: 0}, {At: now}}},
-		"an unsafe repeat":             {rules: rules{Effect: brain.Unsafe}, tries: []try{{At: now - second}, {At: now}}, want: RuleRepeat},
-		"unsafe, never ran":            {rules: rules{Effect: brain.Unsafe}, tries: []try{{At: now - second, Never: true}, {At: now}}},
-		"a key that is remembered":     {rules: rules{Effect: brain.Keyed, Window: 2 * second}, tries: []try{{At: now - second}, {At: now}}},
-		"a key that is forgotten":      {rules: rules{Effect: brain.Keyed, Window: second / 2}, tries: []try{{At: now - second}, {At: now}}, want: RuleRepeat},
-		"a second attempt at one time": {rules: rules{Effect: brain.Safe}, tries: []try{{At: now - second}, {At: now}}, out: 1, want: RuleConcurrent},
+		"a first attempt":              {rules: rules{Effect: dispatch.NonIdempotent}, tries: []attempt{{SentAt: now}}},
+		"a safe repeat":                {rules: rules{Effect: dispatch.Idempotent}, tries: []attempt{{SentAt: 0}, {SentAt: now}}},
+		"an unsafe repeat":             {rules: rules{Effect: dispatch.NonIdempotent}, tries: []attempt{{SentAt: now - second}, {SentAt: now}}, want: RuleRepeat},
+		"unsafe, never ran":            {rules: rules{Effect: dispatch.NonIdempotent}, tries: []attempt{{SentAt: now - second, NeverRan: true}, {SentAt: now}}},
+		"a key that is remembered":     {rules: rules{Effect: dispatch.IdempotentByKey, IdempotencyWindow: 2 * second}, tries: []attempt{{SentAt: now - second}, {SentAt: now}}},
+		"a key that is forgotten":      {rules: rules{Effect: dispatch.IdempotentByKey, IdempotencyWindow: second / 2}, tries: []attempt{{SentAt: now - second}, {SentAt: now}}, want: RuleRepeat},
+		"a second attempt at one time": {rules: rules{Effect: dispatch.Idempotent}, tries: []attempt{{SentAt: now - second}, {SentAt: now}}, out: 1, want: RuleConcurrent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g, _ := testGuard()
-			m := &message{stored: &stored{record: record{ID: "m", Rules: &c.rules, Tries: c.tries}}, calls: map[int]*outCall{}}
+			m := &message{storedMessage: &storedMessage{record: record{ID: "m", Rules: &c.rules, Attempts: c.tries}}, calls: map[int]*outCall{}}
 			for n := range c.out {
 				m.calls[n] = &outCall{}
 			}
-			wantRule(t, g.checkSend(&endpoint{}, []permit{permitOf(m, m.calls, now)}), c.want)
+			wantRule(t, g.checkSend(&endpoint{}, []sendPermit{sendPermitFor(m, m.calls, now)}), c.want)
 		})
 	}
 }
@@ -109,11 +110,11 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	p := testPool()
 	at := &endpoint{addr: e.Addr, drained: time.Now().Add(-time.Minute)}
-	if got := callOnce(p, at, time.Second, "stopped"); got.Outcome != brain.NotSent {
+	if got := callOnce(p, at, time.Second, "stopped"); got.Outcome != dispatch.NotSent {
 		t.Errorf("%+v", got)
 	}
 	at.drained = time.Time{}
-	if got := callOnce(p, at, time.Second, "body"); got.Outcome != brain.Served {
+	if got := callOnce(p, at, time.Second, "body"); got.Outcome != dispatch.Served {
 		t.Errorf("%+v", got)
 	}
 	if c := e.Next(t); c.Body != "body" || c.Conn != 1 {
@@ -129,18 +130,18 @@
 	c := &clientConn{Conn: ours, left: func() {}, closing: g.checkClose}
 	c.owed.Store(true)
 	c.Close()
-	if f.reasons["violations.answer"] != 1 {
-		t.Errorf("%v", f.reasons)
+	if n := f.ReasonCount(metrics.ReasonViolation, "answer"); n != 1 {
+		t.Errorf("violations.answer is %d", n)
 	}
 }
 
 // Reasons are part of what operators read, and violations stand there also while there are none.
 func TestFiguresTellReasons(t *testing.T) {
 	t.Parallel()
-	f := newFigures([]string{"safe"})
-	f.reason(reasonRetried, "timed_out")
+	f := metrics.New([]string{"safe"}, ruleNames()...)
+	f.CountReason(metrics.ReasonRetried, "timed_out")
 	var out bytes.Buffer
-	f.dump(&out)
+	f.Dump(&out)
 	for _, line := range []string{"edge_edge.retried.timed_out=1\n", "edge_edge.violations.drain=0\n"} {
 		if !strings.Contains(out.String(), line) {
 			t.Errorf("%q is missing in %q", line, out.String())
--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -11,7 +11,8 @@
 	"os"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
 )
 
 // The journal is one file of lines, each a checksum and a JSON record. A process that is killed leaves at
@@ -22,7 +23,7 @@
 	// maxName bounds ids, keys and endpoint names, or what is written of a message would have no bound.
 	maxName = 128
 	// tryAgain is the pause between compactions while they fail.
-	tryAgain = 200 * time.Millisecond
+	journalRetryInterval = 200 * time.Millisecond
 )
 
 const (
@@ -49,25 +50,25 @@
 
 	Outages []storedOutage `json:"outages,omitempty"` // outages: changes
 
-	Clock *epoch `json:"clock,omitempty"` // clock: how the times of all records are to be read
+	Clock *clock.Epoch `json:"clock,omitempty"` // clock: how the times of all records are to be read
 
 	// take: the message as its client handed it in; in a compacted file with what came of it so far
-	Key      string        `json:"key,omitempty"`
-	Class    string        `json:"class,omitempty"`
-	Tenant   string        `json:"tenant,omitempty"`
-	Dest     uint32        `json:"dest,omitempty"`
-	Deadline time.Duration `json:"deadline,omitempty"`
-	Rules    *rules        `json:"rules,omitempty"`
-	Body     []byte        `json:"body,omitempty"`
-	Tries    []try         `json:"tries,omitempty"`
-
-	Try int `json:"try,omitempty"` // send, end: which attempt, from 0
+	Key         string        `json:"key,omitempty"`
+	Class       string        `json:"class,omitempty"`
+	Tenant      string        `json:"tenant,omitempty"`
+	Destination uint32        `json:"dest,omitempty"`
+	Deadline    time.Duration `json:"deadline,omitempty"`
+	Rules       *rules        `json:"rules,omitempty"`
+	Body        []byte        `json:"body,omitempty"`
+	Attempts    []attempt     `json:"tries,omitempty"`
+
+	Attempt int `json:"try,omitempty"` // send, end: which attempt, from 0
 	// send: the new attempt; end: that it never ran
-	Sent  *try `json:"sent,omitempty"`
-	Never bool `json:"never,omitempty"`
+	Sent     *attempt `json:"sent,omitempty"`
+	NeverRan bool     `json:"never,omitempty"`
 
-	How     string `json:"how,omitempty"` // over
-	RetryMS int64  `json:"retry_ms,omitempty"`
+	Outcome      string `json:"how,omitempty"` // over
+	RetryAfterMS int64  `json:"retry_ms,omitempty"`
 
 	At time.Duration `json:"at,omitempty"` // over, told, past: when the message ended
 }
@@ -75,119 +76,119 @@
 // rules are those that a message was taken under. The settings may name its class no more, or otherwise, by the
 // time that the record is read.
 type rules struct {
-	Effect    brain.Effect  `json:"e,omitempty"`
-	InZone    bool          `json:"z,omitempty"`
-	Ordered   bool          `json:"o,omitempty"`
-	Attempts  int           `json:"n,omitempty"`
-	Aim       time.Duration `json:"a,omitempty"`
-	Deadline  time.Duration `json:"d,omitempty"`
-	Window    time.Duration `json:"w,omitempty"`
-	Worth     float64       `json:"v,omitempty"`
-	LateWorth float64       `json:"l,omitempty"`
+	Effect            dispatch.Effect `json:"e,omitempty"`
+	KeyScopedToZone   bool            `json:"z,omitempty"`
+	Ordered           bool            `json:"o,omitempty"`
+	MaxAttempts       int             `json:"n,omitempty"`
+	LatencyObjective  time.Duration   `json:"a,omitempty"`
+	Deadline          time.Duration   `json:"d,omitempty"`
+	IdempotencyWindow time.Duration   `json:"w,omitempty"`
+	PriorityWeight    float64         `json:"v,omitempty"`
+	LateWeight        float64         `json:"l,omitempty"`
 }
 
-func rulesOf(c brain.Class, attempts int) *rules {
-	return &rules{c.Effect, c.KeyInZone, c.Ordered, attempts, c.Aim, c.Deadline, c.KeyWindow, c.Worth, c.LateWorth}
+func rulesOf(c dispatch.Class, attempts int) *rules {
+	return &rules{c.Effect, c.KeyScopedToZone, c.Ordered, attempts, c.LatencyObjective, c.Deadline, c.IdempotencyWindow, c.PriorityWeight, c.LateWeight}
 }
 
 // forBrain is nil where a record from before rules were written has none: then the settings decide by its class.
-func (r *rules) forBrain() *brain.Rules {
+func (r *rules) forBrain() *dispatch.Rules {
 	if r == nil {
 		return nil
 	}
-	return &brain.Rules{MaxAttempts: r.Attempts, Class: brain.Class{Aim: r.Aim, Deadline: r.Deadline, Effect: r.Effect,
-		KeyInZone: r.InZone, KeyWindow: r.Window, Ordered: r.Ordered, Worth: r.Worth, LateWorth: r.LateWorth}}
+	return &dispatch.Rules{MaxAttempts: r.MaxAttempts, Class: dispatch.Class{LatencyObjective: r.LatencyObjective, Deadline: r.Deadline, Effect: r.Effect,
+		KeyScopedToZone: r.KeyScopedToZone, IdempotencyWindow: r.IdempotencyWindow, Ordered: r.Ordered, PriorityWeight: r.PriorityWeight, LateWeight: r.LateWeight}}
 }
 
 // try is an attempt of a message. One without an outcome may have run.
-type try struct {
-	At       time.Duration `json:"at"`
+type attempt struct {
+	SentAt   time.Duration `json:"at"`
 	Endpoint string        `json:"endpoint"`
 	Zone     int           `json:"zone,omitempty"`
-	Never    bool          `json:"never,omitempty"` // it surely never ran
+	NeverRan bool          `json:"never,omitempty"` // it surely never ran
 }
 
 // Ends of a message. Those that a notice tells of carry the notice's word.
 const (
-	delivered  = "delivered"
-	answered   = "answered" // refused or failed in the answer to its client, or withdrawn
-	givenUp    = "given_up"
-	handedBack = "handed_back"
+	delivered = "delivered"
+	answered  = "answered" // refused or failed in the answer to its client, or withdrawn
+	givenUp   = "given_up"
+	returned  = "handed_back"
 )
 
 // stored is a message as the journal holds it.
-type stored struct {
-	record        // of op take
-	how    string // its end, if a notice of it is still owed
-	retry  int64
-	cost   int64 // what it may take in a compacted file
+type storedMessage struct {
+	record              // of op take
+	outcome      string // its end, if a notice of it is still owed
+	retryAfterMS int64
+	cost         int64 // what it may take in a compacted file
 }
 
-func (m *stored) apply(r *record) {
+func (m *storedMessage) apply(r *record) {
 	switch r.Op {
 	case "send":
 		// Where the record of an attempt before this one is damaged, it may have run, nobody knows when.
-		for r.Sent != nil && len(m.Tries) < min(r.Try, mostTries) {
-			m.Tries = append(m.Tries, try{})
+		for r.Sent != nil && len(m.Attempts) < min(r.Attempt, mostTries) {
+			m.Attempts = append(m.Attempts, attempt{})
 		}
 		if r.Sent != nil {
-			m.Tries = append(m.Tries, *r.Sent)
+			m.Attempts = append(m.Attempts, *r.Sent)
 		}
 	case "end":
-		if r.Try >= 0 && r.Try < len(m.Tries) {
-			m.Tries[r.Try].Never = r.Never
+		if r.Attempt >= 0 && r.Attempt < len(m.Attempts) {
+			m.Attempts[r.Attempt].NeverRan = r.NeverRan
 		}
 	case "over":
-		m.how, m.retry, m.Body = r.How, r.RetryMS, nil
+		m.outcome, m.retryAfterMS, m.Body = r.Outcome, r.RetryAfterMS, nil
 	}
 }
 
 // takeBackTry forgets an attempt that was never begun, as its record could not be written.
 func (m *message) takeBackTry(place int) {
-	if place == len(m.Tries)-1 {
-		m.Tries = m.Tries[:place]
+	if place == len(m.Attempts)-1 {
+		m.Attempts = m.Attempts[:place]
 		m.base--
 	}
 }
 
 // firstRun is the first attempt that may have run.
-func (m *stored) firstRun() (try, bool) {
-	for _, t := range m.Tries {
-		if !t.Never {
+func (m *storedMessage) firstRun() (attempt, bool) {
+	for _, t := range m.Attempts {
+		if !t.NeverRan {
 			return t, true
 		}
 	}
-	return try{}, false
+	return attempt{}, false
 }
 
-var errNoRoom = errors.New("no room in the journal")
+var errJournalFull = errors.New("no room in the journal")
 
 // journal keeps what was taken on. It belongs to the loop.
 type journal struct {
-	path   string
-	files  FileSystem
-	clock  *clock
-	file   File
-	budget int64 // bytes that old and new file may hold together
-	size   int64
-	live   int64 // the sum of costs: an upper bound of a compacted file, now and until its messages end
-	buf    bytes.Buffer
-	failed bool      // the last write failed: nothing more is written until a compaction succeeds
-	tried  time.Time // the last compaction
-	list   listMemory
-	outage outageMemory
-	byID   map[string]*stored
-	order  []*stored // in the order taken; ended ones are dropped when compacting
+	path         string
+	files        FileSystem
+	clock        *clock.Clock
+	file         File
+	budget       int64 // bytes that old and new file may hold together
+	size         int64
+	liveBytes    int64 // the sum of costs: an upper bound of a compacted file, now and until its messages end
+	buf          bytes.Buffer
+	failed       bool      // the last write failed: nothing more is written until a compaction succeeds
+	compactedAt  time.Time // the last compaction
+	endpointList endpointListStore
+	outages      outageStore
+	byID         map[string]*storedMessage
+	order        []*storedMessage // in the order taken; ended ones are dropped when compacting
 
 	damaged int // lines that could not be read
 
 	// Messages that have ended lately, in two generations. A client whose connection is closed across its request writes it
 	// once more, under the same id, within the time that it waits for an answer.
-	ended, endedBefore generation
+	ended, endedBefore idGeneration
 }
 
 // generation is the ids of messages that ended one after another, and when each did.
-type generation struct {
+type idGeneration struct {
 	at    map[string]time.Duration
 	since time.Time
 	cost  int64 // what they take in a compacted file
@@ -201,28 +202,28 @@
 
 // remember keeps the id of a message that has ended after it was taken on. One that was refused, in the answer or by a
 // notice, may come again.
-func (j *journal) remember(m *stored, last *record) {
-	if last.How != answered && m.how != handedBack {
-		j.keep(m.ID, last.At)
+func (j *journal) rememberEnded(m *storedMessage, last *record) {
+	if last.Outcome != answered && m.outcome != returned {
+		j.rememberID(m.ID, last.At)
 	}
 }
 
-func (j *journal) keep(id string, at time.Duration) {
+func (j *journal) rememberID(id string, at time.Duration) {
 	g := &j.ended
 	if g.at == nil || time.Since(g.since) > endedFor || len(g.at) >= endedMost || g.cost > j.budget/endedPart {
-		j.live -= j.endedBefore.cost
-		j.endedBefore, *g = *g, generation{at: map[string]time.Duration{}, since: time.Now()}
+		j.liveBytes -= j.endedBefore.cost
+		j.endedBefore, *g = *g, idGeneration{at: map[string]time.Duration{}, since: time.Now()}
 	}
 	if _, again := g.at[id]; !again {
 		line, _ := encode(io.Discard, &record{Op: "past", ID: id, At: at})
 		g.cost += int64(line)
-		j.live += int64(line)
+		j.liveBytes += int64(line)
 	}
 	g.at[id] = at
 }
 
 // has reports whether a message is held, or has ended lately after it was taken on.
-func (j *journal) has(id string) bool {
+func (j *journal) knows(id string) bool {
 	_, now := j.ended.at[id]
 	_, before := j.endedBefore.at[id]
 	return j.byID[id] != nil || now || before
@@ -236,34 +237,34 @@
 	return fmt.Fprintf(w, "%08x %s\n", crc32.ChecksumIEEE(text), text)
 }
 
-func (j *journal) add(m *stored) {
+func (j *journal) add(m *storedMessage) {
 	j.byID[m.ID] = m
 	j.order = append(j.order, m)
-	j.live += m.cost
+	j.liveBytes += m.cost
 }
 
-func (j *journal) remove(m *stored) {
+func (j *journal) remove(m *storedMessage) {
 	if j.byID[m.ID] == m {
 		delete(j.byID, m.ID)
-		j.live -= m.cost
+		j.liveBytes -= m.cost
 		m.Body = nil
 	}
 }
 
 // take writes down a message that is about to be taken on; without room for it, it does not.
-func (j *journal) take(rec record) (*stored, error) {
+func (j *journal) take(rec record) (*storedMessage, error) {
 	rec.Op = "take"
 	var line bytes.Buffer
 	if _, err := encode(&line, &rec); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	m := &stored{record: rec, cost: int64(line.Len()) + overhead}
-	fits := func(size int64) bool { return size+j.live+2*m.cost <= j.budget-j.budget/slackPart }
-	if !fits(j.live) && !fits(j.size+int64(j.buf.Len())) {
-		return nil, errNoRoom
+	m := &storedMessage{record: rec, cost: int64(line.Len()) + overhead}
+	fits := func(size int64) bool { return size+j.liveBytes+2*m.cost <= j.budget-j.budget/slackPart }
+	if !fits(j.liveBytes) && !fits(j.size+int64(j.buf.Len())) {
+		return nil, errJournalFull
 	}
-	if j.failed && time.Since(j.tried) < tryAgain {
-		return nil, errNoRoom
+	if j.failed && time.Since(j.compactedAt) < journalRetryInterval {
+		return nil, errJournalFull
 	}
 	if j.failed || !fits(j.size+int64(j.buf.Len())) {
 		if err := j.compact(); err != nil {
@@ -280,36 +281,36 @@
 }
 
 // note adds a record on a message; flush writes it.
-func (j *journal) note(m *stored, rec record) {
+func (j *journal) append(m *storedMessage, rec record) {
 	rec.ID = m.ID
 	if rec.Op == "told" || rec.Op == "over" {
-		rec.At = j.clock.now()
+		rec.At = j.clock.Now()
 	}
 	if _, err := encode(&j.buf, &rec); err != nil {
 		j.failed = true
 	}
 	m.apply(&rec)
-	if rec.Op == "told" || rec.Op == "over" && (rec.How == delivered || rec.How == answered) {
+	if rec.Op == "told" || rec.Op == "over" && (rec.Outcome == delivered || rec.Outcome == answered) {
 		j.remove(m)
-		j.remember(m, &rec)
+		j.rememberEnded(m, &rec)
 	}
 }
 
 // noteList adds a record on changes of the endpoint list; flush writes it.
-func (j *journal) noteList(version int64, changes []Target) {
+func (j *journal) appendEndpointList(version int64, changes []Target) {
 	if len(changes) == 0 {
 		return
 	}
 	j.tookList(version, changes)
 	// Of more than there is room for only the last are kept; the file need not have them either.
-	kept := j.list.changes[max(0, len(j.list.changes)-len(changes)):]
+	kept := j.endpointList.changes[max(0, len(j.endpointList.changes)-len(changes)):]
 	if _, err := encode(&j.buf, &record{Op: "list", Version: version, Targets: kept}); err != nil {
 		j.failed = true
 	}
 }
 
 // noteOutages adds a record on changes of outages; flush writes it.
-func (j *journal) noteOutages(changes []storedOutage) {
+func (j *journal) appendOutages(changes []storedOutage) {
 	if _, err := encode(&j.buf, &record{Op: "outages", Outages: changes}); err != nil {
 		j.failed = true
 	}
@@ -317,15 +318,15 @@
 }
 
 func (j *journal) tookOutages(changes []storedOutage) {
-	j.live -= j.outage.cost
-	j.outage.note(changes)
-	j.live += j.outage.cost
+	j.liveBytes -= j.outages.cost
+	j.outages.note(changes)
+	j.liveBytes += j.outages.cost
 }
 
 func (j *journal) tookList(version int64, changes []Target) {
-	j.live -= j.list.cost
-	j.list.note(version, changes)
-	j.live += j.list.cost
+	j.liveBytes -= j.endpointList.cost
+	j.endpointList.note(version, changes)
+	j.liveBytes += j.endpointList.cost
 }
 
 // flush writes what was noted. After a failed write the file may lack records, so nothing more is added
@@ -334,11 +335,11 @@
 	if j.buf.Len() == 0 {
 		return nil
 	}
-	if j.failed && time.Since(j.tried) < tryAgain {
+	if j.failed && time.Since(j.compactedAt) < journalRetryInterval {
 		j.buf.Reset()
-		return errNoRoom
+		return errJournalFull
 	}
-	if j.failed || j.size+int64(j.buf.Len())+j.live > j.budget {
+	if j.failed || j.size+int64(j.buf.Len())+j.liveBytes > j.budget {
 		j.buf.Reset()
 		return j.compact() // it holds what was noted, too
 	}
@@ -356,7 +357,7 @@
 // leaves the old file whole, and beside it at most a new one that nobody reads.
 func (j *journal) compact() error {
 	err := j.rewrite()
-	j.failed, j.tried = err != nil, time.Now()
+	j.failed, j.compactedAt = err != nil, time.Now()
 	if err != nil {
 		j.files.Remove(j.path + ".new")
 		return fmt.Errorf("journal: %w", err)
@@ -370,30 +371,30 @@
 		return err
 	}
 	w := bufio.NewWriterSize(f, 1<<16)
-	first, err := encode(w, &record{Op: "clock", Clock: j.clock.epoch()})
+	first, err := encode(w, &record{Op: "clock", Clock: j.clock.Epoch()})
 	if err != nil {
 		f.Close()
 		return err
 	}
 	size := int64(first)
-	if len(j.list.changes) > 0 {
-		n, err := encode(w, &record{Op: "list", Version: j.list.version, Targets: j.list.changes})
+	if len(j.endpointList.changes) > 0 {
+		n, err := encode(w, &record{Op: "list", Version: j.endpointList.version, Targets: j.endpointList.changes})
 		size += int64(n)
 		if err != nil {
 			f.Close()
 			return err
 		}
 	}
-	if len(j.outage.outages) > 0 {
-		n, err := encode(w, &record{Op: "outages", Outages: j.outage.outages})
+	if len(j.outages.outages) > 0 {
+		n, err := encode(w, &record{Op: "outages", Outages: j.outages.outages})
 		size += int64(n)
 		if err != nil {
 			f.Close()
 			return err
 		}
 	}
-	kept := make([]*stored, 0, len(j.byID))
-	for _, g := range []generation{j.endedBefore, j.ended} {
+	kept := make([]*storedMessage, 0, len(j.byID))
+	for _, g := range []idGeneration{j.endedBefore, j.ended} {
 		for id, at := range g.at {
 			n, err := encode(w, &record{Op: "past", ID: id, At: at})
 			size += int64(n)
@@ -409,7 +410,7 @@
 		}
 		kept = append(kept, m)
 		rec := m.record
-		rec.How, rec.RetryMS = m.how, m.retry
+		rec.Outcome, rec.RetryAfterMS = m.outcome, m.retryAfterMS
 		n, err := encode(w, &rec)
 		size += int64(n)
 		if err != nil {
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -10,20 +10,22 @@
 	"strings"
 	"testing"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/clock"
 )
 
 func openTest(t *testing.T, dir string, budget int64) *journal {
 	t.Helper()
-	j, err := openJournal(osFiles{}, newClock(time.Now()), dir, budget)
+	j, err := openJournal(osFiles{}, clock.New(time.Now()), dir, budget)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return j
 }
 
-func takeTest(t *testing.T, j *journal, id string) *stored {
+func takeTest(t *testing.T, j *journal, id string) *storedMessage {
 	t.Helper()
-	m, err := j.take(record{ID: id, Class: "keyed", Key: "k" + id, Dest: 3, Deadline: 99, Body: []byte("body " + id)})
+	m, err := j.take(record{ID: id, Class: "keyed", Key: "k" + id, Destination: 3, Deadline: 99, Body: []byte("body " + id)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,14 +36,14 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	a, b, c, d := takeTest(t, j, "a"), takeTest(t, j, "b"), takeTest(t, j, "c"), takeTest(t, j, "d")
-	j.note(a, record{Op: "send", Sent: &try{At: 10, Endpoint: "s"}})
-	j.note(a, record{Op: "end", Try: 0, Never: true})
-	j.note(a, record{Op: "send", Sent: &try{At: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
-	j.note(a, record{Op: "send", Sent: &try{At: 30, Endpoint: "s"}})
-	j.note(b, record{Op: "over", How: delivered})
-	j.note(c, record{Op: "over", How: handedBack, RetryMS: 500})
-	j.note(d, record{Op: "over", How: givenUp})
-	j.note(d, record{Op: "told"})
+	j.append(a, record{Op: "send", Sent: &attempt{SentAt: 10, Endpoint: "s"}})
+	j.append(a, record{Op: "end", Attempt: 0, NeverRan: true})
+	j.append(a, record{Op: "send", Sent: &attempt{SentAt: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
+	j.append(a, record{Op: "send", Sent: &attempt{SentAt: 30, Endpoint: "s"}})
+	j.append(b, record{Op: "over", Outcome: delivered})
+	j.append(c, record{Op: "over", Outcome: returned, RetryAfterMS: 500})
+	j.append(d, record{Op: "over", Outcome: givenUp})
+	j.append(d, record{Op: "told"})
 	if err := j.flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -52,10 +54,10 @@
 		}
 		m := j.byID["a"]
 		first, may := m.firstRun()
-		if !may || first.At != 20 || first.Zone != 1 || len(m.Tries) != 3 || string(m.Body) != "body a" || m.Key != "ka" || m.Dest != 3 || m.Deadline != 99 {
+		if !may || first.SentAt != 20 || first.Zone != 1 || len(m.Attempts) != 3 || string(m.Body) != "body a" || m.Key != "ka" || m.Destination != 3 || m.Deadline != 99 {
 			t.Errorf("a is %+v", m)
 		}
-		if m := j.byID["c"]; m.how != handedBack || m.retry != 500 {
+		if m := j.byID["c"]; m.outcome != returned || m.retryAfterMS != 500 {
 			t.Errorf("c is %+v", m)
 		}
 	}
@@ -135,9 +137,9 @@
 	j := openTest(t, dir, 1<<20)
 	m := takeTest(t, j, "a")
 	for n, never := range []bool{false, true} {
-		j.note(m, record{Op: "send", Try: n, Sent: &try{At: time.Duration(n + 1), Endpoint: "s"}})
+		j.append(m, record{Op: "send", Attempt: n, Sent: &attempt{SentAt: time.Duration(n + 1), Endpoint: "s"}})
 		if never {
-			j.note(m, record{Op: "end", Try: n, Never: true})
+			j.append(m, record{Op: "end", Attempt: n, NeverRan: true})
 		}
 	}
 	if err := j.flush(); err != nil {
@@ -152,7 +154,7 @@
 		t.Fatal(err)
 	}
 	again := openTest(t, dir, 1<<20)
-	if got := again.byID["a"]; again.damaged != 1 || got == nil || len(got.Tries) != 2 {
+	if got := again.byID["a"]; again.damaged != 1 || got == nil || len(got.Attempts) != 2 {
 		t.Fatalf("%d damaged, came back as %+v", again.damaged, got)
 	} else if _, may := got.firstRun(); !may {
 		t.Error("an attempt whose record is damaged is taken for one that never ran")
@@ -167,7 +169,7 @@
 	j := openTest(t, dir, 1<<20)
 	m := takeTest(t, j, "a")
 	from := int(j.size)
-	j.note(m, record{Op: "send", Sent: &try{At: 1, Endpoint: "s"}})
+	j.append(m, record{Op: "send", Sent: &attempt{SentAt: 1, Endpoint: "s"}})
 	if err := j.flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +195,7 @@
 			}
 			again := openTest(t, dir, 1<<20)
 			got := again.byID["a"]
-			if got == nil || again.byID["b"] == nil || len(again.byID["b"].Tries) > 0 {
+			if got == nil || again.byID["b"] == nil || len(again.byID["b"].Attempts) > 0 {
 				t.Fatalf("byte %d made %q: holds %v", n-from, wrong, again.byID)
 			}
 			if _, may := got.firstRun(); !may {
@@ -236,29 +238,29 @@
 	const budget = 64 << 10
 	dir := t.TempDir()
 	j := openTest(t, dir, budget)
-	var held []*stored
+	var held []*storedMessage
 	refused := 0
 	for i := range 3000 {
 		m, err := j.take(record{ID: fmt.Sprint(i), Body: bytes.Repeat([]byte("x"), i%700)})
-		if errors.Is(err, errNoRoom) {
+		if errors.Is(err, errJournalFull) {
 			refused++
 		} else if err != nil {
 			t.Fatal(err)
 		} else {
 			held = append(held, m)
 			for n := range 6 {
-				j.note(m, record{Op: "send", Sent: &try{At: 1 << 60, Endpoint: "s-5be2a07c"}})
-				j.note(m, record{Op: "end", Try: n, Never: true})
+				j.append(m, record{Op: "send", Sent: &attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"}})
+				j.append(m, record{Op: "end", Attempt: n, NeverRan: true})
 			}
 			if err := j.flush(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if j.size+j.live > budget {
-			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.live)
+		if j.size+j.liveBytes > budget {
+			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.liveBytes)
 		}
 		if i%3 == 0 && len(held) > 0 {
-			j.note(held[0], record{Op: "over", How: delivered})
+			j.append(held[0], record{Op: "over", Outcome: delivered})
 			held = held[1:]
 		}
 	}
@@ -281,28 +283,28 @@
 func TestJournalHoldsWhatTheSettingsAllow(t *testing.T) {
 	const most, body, budget = 650, 600, 2_880_000 // 3 MB of disk
 	j := openTest(t, t.TempDir(), budget)
-	compacted, last := 0, j.tried
+	compacted, last := 0, j.compactedAt
 	for i := range 4 * most {
 		m, err := j.take(record{ID: fmt.Sprintf("%016x", i), Key: fmt.Sprintf("%032x", i), Class: "application-forward",
-			Dest: 10, Deadline: 1 << 60, Body: bytes.Repeat([]byte{255}, body)})
+			Destination: 10, Deadline: 1 << 60, Body: bytes.Repeat([]byte{255}, body)})
 		if err != nil {
 			t.Fatalf("after %d, %d held: %v", i, len(j.byID), err)
 		}
 		for n := range 3 {
-			j.note(m, record{Op: "send", Sent: &try{At: 1 << 60, Endpoint: "s-5be2a07c"}})
-			j.note(m, record{Op: "end", Try: n, Never: true})
+			j.append(m, record{Op: "send", Sent: &attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"}})
+			j.append(m, record{Op: "end", Attempt: n, NeverRan: true})
 			if err := j.flush(); err != nil {
 				t.Fatal(err)
 			}
-			if j.tried != last {
-				compacted, last = compacted+1, j.tried
+			if j.compactedAt != last {
+				compacted, last = compacted+1, j.compactedAt
 			}
-			if j.size+j.live > budget {
-				t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.live)
+			if j.size+j.liveBytes > budget {
+				t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.liveBytes)
 			}
 		}
 		if len(j.byID) == most {
-			j.note(j.byID[fmt.Sprintf("%016x", i-most+1)], record{Op: "over", How: delivered})
+			j.append(j.byID[fmt.Sprintf("%016x", i-most+1)], record{Op: "over", Outcome: delivered})
 		}
 	}
 	if compacted > most/10 {
@@ -326,7 +328,7 @@
 	if err := os.MkdirAll(filepath.Join(j.path+".new", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	j.note(a, record{Op: "send", Sent: &try{At: 5}})
+	j.append(a, record{Op: "send", Sent: &attempt{SentAt: 5}})
 	if err := j.flush(); err == nil {
 		t.Fatal("a full disk took a record")
 	}
@@ -338,10 +340,10 @@
 	if err := os.RemoveAll(j.path + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	j.tried = j.tried.Add(-tryAgain)
+	j.compactedAt = j.compactedAt.Add(-journalRetryInterval)
 	takeTest(t, j, "c")
 	again := openTest(t, dir, 1<<20)
-	if m := again.byID["a"]; len(again.byID) != 2 || m == nil || len(m.Tries) != 1 {
+	if m := again.byID["a"]; len(again.byID) != 2 || m == nil || len(m.Attempts) != 1 {
 		t.Errorf("came back with %d messages, a is %+v", len(again.byID), m)
 	}
 }
@@ -352,19 +354,19 @@
 	t.Parallel()
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
-	for _, how := range []string{delivered, givenUp, handedBack, answered} {
+	for _, how := range []string{delivered, givenUp, returned, answered} {
 		m, err := j.take(record{ID: how, Class: "safe"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.note(m, record{Op: "over", How: how})
-		if how == givenUp || how == handedBack {
-			j.note(m, record{Op: "told"})
+		j.append(m, record{Op: "over", Outcome: how})
+		if how == givenUp || how == returned {
+			j.append(m, record{Op: "told"})
 		}
 	}
 	check := func(j *journal) {
-		for how, want := range map[string]bool{delivered: true, givenUp: true, handedBack: false, answered: false} {
-			if j.has(how) != want {
+		for how, want := range map[string]bool{delivered: true, givenUp: true, returned: false, answered: false} {
+			if j.knows(how) != want {
 				t.Errorf("%s is known: %v", how, !want)
 			}
 		}
@@ -392,18 +394,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.note(m, record{Op: "over", How: how})
+		j.append(m, record{Op: "over", Outcome: how})
 		if err := j.compact(); err != nil {
 			t.Fatal(err)
 		}
 		if how == delivered { // it is forgotten
-			j.ended, j.endedBefore = generation{}, generation{}
+			j.ended, j.endedBefore = idGeneration{}, idGeneration{}
 		}
 	}
 	if err := j.close(); err != nil {
 		t.Fatal(err)
 	}
-	if openTest(t, dir, 1<<20).has("a") {
+	if openTest(t, dir, 1<<20).knows("a") {
 		t.Error("a message that was refused is taken for one that has ended")
 	}
 }
@@ -419,7 +421,7 @@
 		if err != nil {
 			t.Fatalf("message %d: %v", i, err)
 		}
-		j.note(m, record{Op: "over", How: delivered})
+		j.append(m, record{Op: "over", Outcome: delivered})
 		if err := j.flush(); err != nil {
 			t.Fatalf("message %d: %v", i, err)
 		}
@@ -427,7 +429,7 @@
 			t.Fatalf("%d bytes after message %d", size, i)
 		}
 	}
-	if !j.has(strings.Repeat("<", maxName-5) + "4999") {
+	if !j.knows(strings.Repeat("<", maxName-5) + "4999") {
 		t.Error("the last one is forgotten")
 	}
 }
--- a/internal/sender/leaving_test.go
+++ b/internal/sender/leaving_test.go
@@ -18,8 +18,9 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // leaver is a sender whose end a test brings about.
@@ -35,7 +36,7 @@
 	l := &leaver{Sender: newTest(t, p, edit), done: make(chan error, 1)}
 	addr := make(chan string, 1)
 	listen := func() (net.Listener, error) {
-		nl, err := net.Listen("tcp", l.c.Listen)
+		nl, err := net.Listen("tcp", l.config.Listen)
 		if err == nil {
 			addr <- nl.Addr().String()
 		}
@@ -49,12 +50,12 @@
 }
 
 // left waits for the end, and gives the messages that the next process finds.
-func (l *leaver) left(t *testing.T) map[string]*stored {
+func (l *leaver) left(t *testing.T) map[string]*storedMessage {
 	t.Helper()
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	j, err := openJournal(osFiles{}, newClock(time.Now()), l.folder, 1<<20)
+	j, err := openJournal(osFiles{}, clock.New(time.Now()), l.stateDir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,8 +68,8 @@
 func TestEachRequestWhileLeavingGetsAWholeAnswer(t *testing.T) {
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
-	l := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *Config) { c.Settings.MostHeld = 1e6; c.Limits.DiskMB = 100 })
-	l.grace, l.leaveAfter = 150*time.Millisecond, 400*time.Millisecond
+	l := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 100 })
+	l.gracePeriod, l.drainTimeout = 150*time.Millisecond, 400*time.Millisecond
 	var mu sync.Mutex
 	taken, open := map[string]bool{}, map[string]bool{} // answered 202, and not answered
 	var clients sync.WaitGroup
@@ -134,7 +135,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Limits.Sockets = 4 }) // two clients at once
-	l.grace, l.leaveAfter = 0, 5*time.Second
+	l.gracePeriod, l.drainTimeout = 0, 5*time.Second
 	st.HandIn(t, l.addr, "out", "unsafe", 0, 15*time.Second) // keeps it from leaving at once
 	e.Next(t)
 	var conns []net.Conn
@@ -171,7 +172,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, e.Addr), nil)
-	l.grace, l.leaveAfter = 0, 2*time.Second
+	l.gracePeriod, l.drainTimeout = 0, 2*time.Second
 	st.HandIn(t, l.addr, "held", "safe", 0, 15*time.Second)
 	e.Next(t)
 	l.stop()
@@ -228,9 +229,9 @@
 	hung := st.NewEndpoint(t, st.Silent)
 	addr, told := silentAtFirst(t, 3) // the list, and notices before and after the restart
 	open := map[string]bool{}
-	edit := func(c *Config) { c.Settings.MostHeld = 1e6; c.Limits.DiskMB = 10; c.Discovery = addr }
+	edit := func(c *Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 10; c.Discovery = addr }
 	l := startLeaver(t, st.NewPlatform(t, hung.Addr), edit)
-	l.grace, l.leaveAfter = 500*time.Millisecond, 700*time.Millisecond
+	l.gracePeriod, l.drainTimeout = 500*time.Millisecond, 700*time.Millisecond
 	hand := func(from, to int, class string, left time.Duration) {
 		for i := from; i < to; i++ {
 			id := class + strconv.Itoa(i)
@@ -246,10 +247,10 @@
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(began); took > l.leaveAfter+queueTime+answersEnd+500*time.Millisecond { // with room for a slow machine
+	if took := time.Since(began); took > l.drainTimeout+queueTime+answersEnd+500*time.Millisecond { // with room for a slow machine
 		t.Errorf("it left after %v", took)
 	}
-	next := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *Config) { edit(c); c.State = l.folder })
+	next := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *Config) { edit(c); c.State = l.stateDir })
 	ready := time.Now()
 	for len(open) > 0 {
 		delete(open, st.Receive(t, told))
@@ -268,7 +269,7 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, hung.Addr), nil)
-	l.grace, l.leaveAfter = 100*time.Millisecond, 300*time.Millisecond
+	l.gracePeriod, l.drainTimeout = 100*time.Millisecond, 300*time.Millisecond
 	for _, text := range []string{"", "POST /api HT", "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"} {
 		c, err := net.Dial("tcp", l.addr)
 		if err != nil {
@@ -282,7 +283,7 @@
 	l.stop()
 	began := time.Now()
 	left := l.left(t)
-	if took := time.Since(began); took < l.leaveAfter || took > l.leaveAfter+queueTime+answersEnd+500*time.Millisecond {
+	if took := time.Since(began); took < l.drainTimeout || took > l.drainTimeout+queueTime+answersEnd+500*time.Millisecond {
 		t.Errorf("it left after %v", took)
 	}
 	if left["out"] == nil || len(left) != 1 {
@@ -309,7 +310,7 @@
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	next := startLeaver(t, p, func(c *Config) { c.State = l.folder })
+	next := startLeaver(t, p, func(c *Config) { c.State = l.stateDir })
 	again(next.addr)
 	if n := st.Receive(t, p.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
@@ -360,7 +361,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, e.Addr), nil)
-	l.grace, l.leaveAfter = 2*time.Second, 2*time.Second
+	l.gracePeriod, l.drainTimeout = 2*time.Second, 2*time.Second
 	st.HandIn(t, l.addr, "out", "safe", 0, 15*time.Second)
 	e.Next(t)
 	l.stop()
@@ -389,7 +390,7 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, hung.Addr), nil)
-	l.grace, l.leaveAfter = 0, 5*time.Second
+	l.gracePeriod, l.drainTimeout = 0, 5*time.Second
 	st.HandIn(t, l.addr, "out", "unsafe", 0, 15*time.Second)
 	hung.Next(t)
 	type client struct {
@@ -428,25 +429,25 @@
 // A message that comes twice in one step has one fate: where the first is refused the second is not taken on.
 func TestARequestThatComesTwiceAtOnceHasOneAnswer(t *testing.T) {
 	t.Parallel()
-	s := newTest(t, st.NewPlatform(t, "127.0.0.1:1"), func(c *Config) { c.Settings.MostHeld = 20 })
+	s := newTest(t, st.NewPlatform(t, "127.0.0.1:1"), func(c *Config) { c.Settings.MaxPendingMessages = 20 })
 	defer s.journal.close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	hand := func(id string) submission {
-		return submission{record: record{ID: id, Class: "safe", Tenant: "acme", Dest: 5, Deadline: s.clock.now() + time.Minute},
-			answer: make(chan answerLine, 1)}
+		return submission{record: record{ID: id, Class: "safe", Tenant: "acme", Destination: 5, Deadline: s.clock.Now() + time.Minute},
+			answer: make(chan clientResponse, 1)}
 	}
 	for i := range 19 {
-		s.turn(ctx, hand("m"+strconv.Itoa(i)))
+		s.processEvents(ctx, hand("m"+strconv.Itoa(i)))
 	}
 	first, second := hand("x"), hand("x")
 	s.events <- second
-	s.turn(ctx, first)
+	s.processEvents(ctx, first)
 	if a, b := st.Receive(t, first.answer), st.Receive(t, second.answer); a.status != http.StatusServiceUnavailable || b != a {
 		t.Errorf("answered %+v and %+v", a, b)
 	}
-	if s.held != 19 {
-		t.Errorf("%d messages are held", s.held)
+	if s.pending != 19 {
+		t.Errorf("%d messages are held", s.pending)
 	}
 }
 
@@ -456,14 +457,14 @@
 	t.Parallel()
 	for name, end := range map[string]func(t *testing.T, l *leaver) *gob.Decoder{
 		"after the grace": func(t *testing.T, l *leaver) *gob.Decoder { l.stop(); return nil },
-		"hand-over":       func(t *testing.T, l *leaver) *gob.Decoder { _, dec, _ := takeOver(t, l.folder); return dec },
+		"hand-over":       func(t *testing.T, l *leaver) *gob.Decoder { _, dec, _ := takeOver(t, l.stateDir); return dec },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := st.NewEndpoint(t, st.Status(200))
 			p := st.NewPlatform(t, e.Addr)
 			l := &leaver{Sender: newTest(t, p, nil), done: make(chan error, 1)}
-			l.grace, l.leaveAfter = 0, 5*time.Second
+			l.gracePeriod, l.drainTimeout = 0, 5*time.Second
 			dialing, up := make(chan struct{}, 1), make(chan struct{})
 			l.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 				dialing <- struct{}{}
@@ -485,9 +486,9 @@
 			successor := end(t, l)
 			st.Receive(t, withheld)
 			close(up)
-			var told packet
 			if successor != nil {
-				if err := successor.Decode(&told); err != nil || told.Ended == nil || told.Ended.End.Outcome != brain.NotSent {
+				told, err := readPacket(successor)
+				if err != nil || told.AttemptEnded == nil || told.AttemptEnded.Result.Outcome != dispatch.NotSent {
 					t.Errorf("the successor is told %+v, %v", told, err)
 				}
 			}
@@ -501,7 +502,7 @@
 			if successor != nil {
 				return
 			}
-			run(t, p, func(c *Config) { c.State = l.folder })
+			run(t, p, func(c *Config) { c.State = l.stateDir })
 			if c := e.Next(t); c.ID != "m" {
 				t.Errorf("the endpoint got %s", c.ID)
 			}
@@ -531,14 +532,14 @@
 		j := openTest(t, c.State, 1<<20)
 		for i := range many {
 			if _, err := j.take(record{ID: strconv.Itoa(i), Key: "k" + strconv.Itoa(i), Class: classes[i%3], Tenant: "acme",
-				Deadline: newClock(time.Now()).now() + 15*time.Second}); err != nil {
+				Deadline: clock.New(time.Now()).Now() + 15*time.Second}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if err := j.close(); err != nil {
 			t.Fatal(err)
 		}
-		c.Settings.MostHeld, c.Discovery = 50, "127.0.0.1:1" // less room than before
+		c.Settings.MaxPendingMessages, c.Discovery = 50, "127.0.0.1:1" // less room than before
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -563,7 +564,7 @@
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, func(c *Config) {
 		j := openTest(t, c.State, 1<<20)
-		if _, err := j.take(record{ID: "m", Class: "unsafe", Tenant: "acme", Deadline: newClock(time.Now()).now() + time.Minute}); err != nil {
+		if _, err := j.take(record{ID: "m", Class: "unsafe", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + time.Minute}); err != nil {
 			t.Fatal(err)
 		}
 		if err := j.close(); err != nil {
@@ -575,12 +576,12 @@
 	if err := s.Run(ctx, func() (net.Listener, error) { t.Error("it listens"); return nil, net.ErrClosed }); err != nil {
 		t.Error(err)
 	}
-	j := openTest(t, s.folder, 1<<20)
-	if m := j.byID["m"]; m == nil || len(m.Tries) > 0 {
+	j := openTest(t, s.stateDir, 1<<20)
+	if m := j.byID["m"]; m == nil || len(m.Attempts) > 0 {
 		t.Errorf("it leaves %+v", m)
 	}
 	j.close()
-	run(t, p, func(c *Config) { c.State = s.folder })
+	run(t, p, func(c *Config) { c.State = s.stateDir })
 	if c := e.Next(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
--- a/internal/sender/link.go
+++ b/internal/sender/link.go
@@ -6,20 +6,20 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
 )
 
 // What two processes tell one another in a hand-over, and the connection between them.
 
 // packet is what the processes tell one another; each sets one field.
 type packet struct {
-	Hello  *hello       // newcomer: hand over
-	Estate *snapshot    // holder: here it is (the name is that of the first version, which may be on the other side)
-	Submit *relayed     // old one: a request that came on one of my connections
-	Answer *relayAnswer // newcomer: its answer
-	Ended  *flightEnd   // old one: how an attempt ended
-	Wait   *relayedWait // old one: a wait told to a call that has not ended
-	Cancel *flightID    // newcomer: call it off
+	Hello        *hello               // newcomer: hand over
+	Snapshot     *snapshot            // holder: here it is (the name is that of the first version, which may be on the other side)
+	Submit       *forwardedSubmission // old one: a request that came on one of my connections
+	Answer       *forwardedResponse   // newcomer: its answer
+	AttemptEnded *attemptReport       // old one: how an attempt ended
+	RetryAfter   *retryAfterReport    // old one: a wait told to a call that has not ended
+	Cancel       *attemptID           // newcomer: call it off
 
 	flush chan struct{} // not sent: closed when all before it has been
 }
@@ -28,49 +28,49 @@
 
 // snapshot is what a process hands over beside the journal.
 type snapshot struct {
-	ListVersion int64
-	Endpoints   []Target // by the module's number, those that are gone as DELETED
-	Flights     []flight
-	Rests       map[string]time.Duration // until when messages rest after a failed attempt
-	Memory      brain.Memory
+	ListVersion  int64
+	Endpoints    []Target // by the module's number, those that are gone as DELETED
+	InFlight     []inFlightAttempt
+	BackoffUntil map[string]time.Duration // until when messages rest after a failed attempt
+	Dispatcher   dispatch.Snapshot
 }
 
 // flightID names an attempt: both processes know a message by its id, and its attempts by their place.
-type flightID struct {
-	ID  string
-	Try int
+type attemptID struct {
+	Message string
+	Attempt int
 }
 
 // flight is an attempt that is out.
-type flight struct {
-	ID       flightID
+type inFlightAttempt struct {
+	ID       attemptID
 	Call     uint64 // attempts of one call share it
-	Endpoint brain.EndpointID
-	At       time.Duration
+	Endpoint dispatch.EndpointID
+	SentAt   time.Duration
 	Timeout  time.Duration
 }
 
-type flightEnd struct {
-	Flight flightID
-	End    brain.AttemptEnd
+type attemptReport struct {
+	Attempt attemptID
+	Result  dispatch.AttemptResult
 }
 
 // relayedWait is a wait that an endpoint has told, by the endpoint's id and from now on.
-type relayedWait struct {
-	Endpoint string
-	Wait     time.Duration
+type retryAfterReport struct {
+	Endpoint   string
+	RetryAfter time.Duration
 }
 
-type relayed struct {
-	Seq    uint64
-	Record record
+type forwardedSubmission struct {
+	Sequence uint64
+	Record   record
 }
 
-type relayAnswer struct {
-	Seq    uint64
-	Status int
-	Retry  time.Duration
-	Text   string
+type forwardedResponse struct {
+	Sequence   uint64
+	Status     int
+	RetryAfter time.Duration
+	Text       string
 }
 
 // link is the connection to the other process.
@@ -82,7 +82,7 @@
 }
 
 func newLink(c net.Conn) *link {
-	l := &link{conn: c, out: make(chan packet, linkRoom), gone: make(chan struct{})}
+	l := &link{conn: c, out: make(chan packet, linkQueue), gone: make(chan struct{})}
 	go func() {
 		enc := gob.NewEncoder(c)
 		for {
@@ -92,7 +92,7 @@
 					close(p.flush)
 					continue
 				}
-				c.SetWriteDeadline(time.Now().Add(handTime))
+				c.SetWriteDeadline(time.Now().Add(linkTimeout))
 				if enc.Encode(freeze(p)) != nil {
 					l.close()
 					return
@@ -138,7 +138,7 @@
 	select {
 	case <-done:
 	case <-l.gone:
-	case <-time.After(cutTime):
+	case <-time.After(cancelTimeout):
 	}
 	l.close()
 }
@@ -153,6 +153,6 @@
 		post(linkEvent{link: l, packet: p})
 	}
 	l.close()
-	time.Sleep(deathTime)
+	time.Sleep(peerDeathDelay)
 	post(linkEvent{link: l, lost: true})
 }
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -1,33 +1,36 @@
 package sender
 
-import "dockshift.example/dockshift/brain"
+import (
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/metrics"
+)
 
 // What the loop does with news of the endpoint list.
 
 // relist is the list as news for a module that knows nothing yet: each endpoint once, so that the calls that are
 // out have theirs even if it drains or is gone, and then the list as it is.
-func (s *Sender) relist() []brain.Event {
-	var all, now brain.ListNews
-	all.Whole, now.Whole = true, true
+func (s *Sender) endpointListEvents() []dispatch.Event {
+	var all, now dispatch.EndpointListUpdate
+	all.Full, now.Full = true, true
 	for _, e := range s.list.byNumber {
-		line := s.list.line(e.target, s.c, s.pool)
+		line := s.list.line(e.target, s.config, s.pool)
 		ready := line
 		ready.Ready = true
 		all.Endpoints, now.Endpoints = append(all.Endpoints, ready), append(now.Endpoints, line)
 	}
-	return []brain.Event{all, now}
+	return []dispatch.Event{all, now}
 }
 
 // listStale books whether the list is stale. What has not been written by then is not written any more.
-func (s *Sender) listStale(stale bool) brain.Event {
+func (s *Sender) setEndpointListStale(stale bool) dispatch.Event {
 	if stale {
-		s.figures.reason(reasonDiscovery, staleList)
+		s.metrics.CountReason(metrics.ReasonDiscovery, staleList)
 		s.log.Warn("the list is stale: discovery cannot be asked, and nothing is sent")
-		s.withhold(func(*outCall) bool { return true })
+		s.abortUnsent(func(*outCall) bool { return true })
 	} else {
 		s.log.Info("the list is fresh again")
 	}
-	return brain.ListStale{Stale: stale}
+	return dispatch.EndpointListStale{Stale: stale}
 }
 
 // logList logs what a list changes: one line, and where the log level asks for it one for each endpoint that takes nothing
@@ -46,23 +49,23 @@
 	s.log.Info("list changed", "version", version, "endpoints", len(changes), "not_serving", stopped)
 }
 
-func (s *Sender) news(t Targets, whole bool) brain.Event {
-	news := brain.ListNews{Whole: whole}
+func (s *Sender) applyEndpointList(t Targets, whole bool) dispatch.Event {
+	news := dispatch.EndpointListUpdate{Full: whole}
 	s.listVersion = t.Version
 	if whole {
 		s.list.clear()
 	}
 	for _, line := range t.Servers {
-		news.Endpoints = append(news.Endpoints, s.list.line(line, s.c, s.pool))
+		news.Endpoints = append(news.Endpoints, s.list.line(line, s.config, s.pool))
 	}
 	return news
 }
 
 // ask begins a watch of the list. Where the settings have the list pushed, the module asks for nothing, and the
 // sender watches by itself from its start on: on sockets a change comes to nobody unasked.
-func (s *Sender) ask() {
+func (s *Sender) requestEndpointList() {
 	select {
-	case s.asked <- struct{}{}:
+	case s.watchRequests <- struct{}{}:
 	default:
 	}
 }
--- a/internal/sender/listmemory.go
+++ b/internal/sender/listmemory.go
@@ -8,7 +8,7 @@
 // listMemory is what discovery has told beyond the endpoint list of the configuration. It is kept in the journal, as
 // a process that starts while discovery is silent has nothing else: the configuration's list may be older, and what an
 // earlier process was told of drains binds all the same.
-type listMemory struct {
+type endpointListStore struct {
 	version int64    // of the last change
 	changes []Target // one for each endpoint, in the order last told
 	cost    int64    // bytes that they take in a compacted file, at most
@@ -43,7 +43,7 @@
 
 // note takes in changes. Beyond the bound the oldest go; endpoints that serve go first, as without them some service is
 // lost, and without the others a rule is broken.
-func (m *listMemory) note(version int64, changes []Target) {
+func (m *endpointListStore) note(version int64, changes []Target) {
 	m.version = max(m.version, version)
 	last := make(map[string]int, len(changes)) // place of the last change of each
 	for i, t := range changes {
@@ -67,7 +67,7 @@
 }
 
 // trim drops the oldest of some changes until the rest keeps to the bound.
-func (m *listMemory) trim(which func(Target) bool) {
+func (m *endpointListStore) trim(which func(Target) bool) {
 	if m.cost <= m.most {
 		return
 	}
@@ -81,7 +81,7 @@
 }
 
 // applyTo is a list of the configuration with the changes, unless it is as new as they are.
-func (m *listMemory) applyTo(known Targets) Targets {
+func (m *endpointListStore) applyTo(known Targets) Targets {
 	if len(known.Servers) > 0 && known.Version >= m.version {
 		return known
 	}
--- a/internal/sender/listmemory_test.go
+++ b/internal/sender/listmemory_test.go
@@ -14,7 +14,7 @@
 
 func TestListMemoryGoesOnTopOfTheConfiguration(t *testing.T) {
 	t.Parallel()
-	m := listMemory{most: 1 << 20}
+	m := endpointListStore{most: 1 << 20}
 	m.note(5, []Target{draining("a"), serving("new")})
 	m.note(7, []Target{deleted("b"), deleted("never known")})
 	m.note(8, []Target{serving("a2"), deleted("a2"), serving("c")})
@@ -32,7 +32,7 @@
 // Where there is no room for all changes, those that forbid calls stay longest.
 func TestListMemoryStaysWithinItsBound(t *testing.T) {
 	t.Parallel()
-	m := listMemory{most: 20 * costOf(deleted("x10"))}
+	m := endpointListStore{most: 20 * costOf(deleted("x10"))}
 	for n := range 100 {
 		m.note(int64(n), []Target{deleted("x" + strconv.Itoa(n)), serving("y" + strconv.Itoa(n))})
 	}
@@ -53,17 +53,17 @@
 	t.Parallel()
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
-	j.noteList(3, []Target{deleted("a"), serving("b")})
+	j.appendEndpointList(3, []Target{deleted("a"), serving("b")})
 	if err := j.flush(); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
 		j = openTest(t, dir, 1<<20)
-		if !reflect.DeepEqual(j.list.changes, []Target{deleted("a"), serving("b")}) || j.list.version != 3 {
-			t.Fatalf("%+v", j.list)
+		if !reflect.DeepEqual(j.endpointList.changes, []Target{deleted("a"), serving("b")}) || j.endpointList.version != 3 {
+			t.Fatalf("%+v", j.endpointList)
 		}
-		if j.size > j.live {
-			t.Errorf("the file has %d bytes, and %d at most are counted", j.size, j.live)
+		if j.size > j.liveBytes {
+			t.Errorf("the file has %d bytes, and %d at most are counted", j.size, j.liveBytes)
 		}
 	}
 }
--- a/internal/sender/listwatch.go
+++ b/internal/sender/listwatch.go
@@ -15,6 +15,9 @@
 	"errors"
 	"net/http/httptrace"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/metrics"
+	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
 const (
@@ -66,9 +69,9 @@
 func (d *discovery) pause(ctx context.Context, n int, err error) bool {
 	var refused refusedError
 	if !d.asks && !errors.As(err, &refused) {
-		return rest(ctx, silencePass)
+		return retry.WaitJittered(ctx, silencePass)
 	}
-	return rest(ctx, max(d.pace, min(backOff<<min(n-1, 10), backOffTop)))
+	return retry.WaitJittered(ctx, max(d.pace, min(backOff<<min(n-1, 10), backOffTop)))
 }
 
 // patience is how long an answer to a call is waited for, after so many failures in a row: to one for the whole list no
@@ -135,7 +138,7 @@
 			return Targets{}, ctx.Err()
 		case <-hedge.C:
 			if d.mayHedge() {
-				d.figures.reason(reasonDiscovery, hedgedCall)
+				d.figures.CountReason(metrics.ReasonDiscovery, hedgedCall)
 				if d.silentSince.IsZero() {
 					d.silentSince = time.Now()
 				}
@@ -149,7 +152,7 @@
 			switch {
 			case errors.As(a.err, &refused):
 				d.crowdedUntil = time.Now().Add(crowdedFor)
-				d.figures.reason(reasonDiscovery, refusedCall)
+				d.figures.CountReason(metrics.ReasonDiscovery, refusedCall)
 			case a.err == nil:
 				d.answered(a.late)
 			}
@@ -211,7 +214,7 @@
 	failures := 0
 	d.held = version
 	d.heard()
-	if d.first > 0 && !wait(ctx, d.first) {
+	if d.first > 0 && !retry.Wait(ctx, d.first) {
 		return
 	}
 	for {
@@ -233,7 +236,7 @@
 			}
 			silent := errors.Is(err, context.DeadlineExceeded)
 			if silent {
-				d.figures.reason(reasonDiscovery, silentCall)
+				d.figures.CountReason(metrics.ReasonDiscovery, silentCall)
 			}
 			if failures++; d.pace > 0 || failures > 1 && (d.asks || !silent) {
 				d.pause(here, max(1, failures-1), err)
--- a/internal/sender/notifier.go
+++ b/internal/sender/notifier.go
@@ -12,6 +12,8 @@
 	"net"
 	"net/http"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
 const (
@@ -58,7 +60,7 @@
 			if d.postBefore(here, err, lines.Bytes()) {
 				pause = noticeBefore
 			}
-			if failures++; !rest(here, pause) {
+			if failures++; !retry.WaitJittered(here, pause) {
 				failures = 0 // it has moved
 			}
 		}
--- a/internal/sender/pool.go
+++ b/internal/sender/pool.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
 type conn struct {
@@ -33,8 +35,8 @@
 
 // drop ends a connection whose call is abandoned. What it has written and the other side, cut off, has not received is
 // thrown away: it would arrive when the cut ends, after its message's end.
-func (c *conn) drop(f *figures, why string) {
-	f.reason(reasonDropped, why)
+func (c *conn) drop(f *metrics.Registry, why string) {
+	f.CountReason(metrics.ReasonDropped, why)
 	c.stop()
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -75,7 +77,7 @@
 	fields         []string
 	forwarded      func(messages int) // called when a call is written whole
 	dialer         net.Dialer
-	guard          *guard
+	guard          *invariantChecker
 	// waitTold is called when a wait has been told in an answer whose rest is still to come.
 	waitTold func(e *endpoint, wait time.Duration)
 }
@@ -83,8 +85,8 @@
 func newPool(c *Config) *pool {
 	// An endpoint closes an idle connection at IdleConnections at the latest, and what is written to one
 	// that it has closed is a reset that may have run: ours are closed a good deal before.
-	p := &pool{connectTimeout: c.ConnectTimeout, keep: c.Settings.IdleConnections * 9 / 10, fields: c.Fields, forwarded: func(int) {},
-		waitTold: func(*endpoint, time.Duration) {}, guard: newGuard(slog.New(slog.DiscardHandler), newFigures(nil))}
+	p := &pool{connectTimeout: c.ConnectTimeout, keep: c.Settings.IdleConnectionTimeout * 9 / 10, fields: c.Fields, forwarded: func(int) {},
+		waitTold: func(*endpoint, time.Duration) {}, guard: newInvariantChecker(slog.New(slog.DiscardHandler), metrics.New(nil))}
 	p.most.Store(int64(c.idleMost()))
 	return p
 }
--- a/internal/sender/process.go
+++ b/internal/sender/process.go
@@ -10,6 +10,8 @@
 	"runtime"
 	"runtime/debug"
 	"syscall"
+
+	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
 // memoryPart of the machine's memory is what the collector aims to stay under; the journal's pages and
@@ -46,7 +48,7 @@
 		debug.SetMemoryLimit(int64(c.Limits.MemoryMB * 1e6 * memoryPart))
 	}
 	var listen func() (net.Listener, error)
-	err = keepTrying(ctx, log, "the passed socket", func() (err error) {
+	err = retry.OnTransient(ctx, log, "the passed socket", func() (err error) {
 		listen, err = c.Listener()
 		return err
 	})
--- a/internal/sender/relay.go
+++ b/internal/sender/relay.go
@@ -5,67 +5,67 @@
 	"net/http"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
 )
 
 // What passes between the processes after a hand-over: requests and their answers, waits, and the ends of calls.
 
 // relay handles an event after the hand-over: nothing is decided here any more.
-func (s *Sender) relay(ctx context.Context, e any) {
+func (s *Sender) handleAfterHandOver(ctx context.Context, e any) {
 	switch e := e.(type) {
 	case submission:
-		s.passOn(e)
-	case callEnd:
-		if e.over {
-			s.out--
+		s.forwardRequest(e)
+	case callEndedEvent:
+		if e.callDone {
+			s.callsInFlight--
 		}
 		for _, end := range e.ends {
-			s.relayEnd(end)
+			s.reportAttemptEnd(end)
 		}
-	case toldEvent:
-		s.telling = false // the successor tells them once more, which does no harm
-	case waitEvent:
+	case noticesDeliveredEvent:
+		s.deliveringNotices = false // the successor tells them once more, which does no harm
+	case retryAfterEvent:
 		if at := s.endpoint(e.endpoint); at != nil && s.successor != nil {
-			s.successor.send(packet{Wait: &relayedWait{at.id, max(0, time.Until(e.until))}})
+			s.successor.send(packet{RetryAfter: &retryAfterReport{at.id, max(0, time.Until(e.until))}})
 		}
 	case reloadEvent:
 		s.applyConfig(e.Config)
-	case listEvent:
-		s.news(e.Targets, e.Full)
-	case failedEvent:
-		if !s.c.Settings.AsksForList {
-			s.ask()
+	case endpointListEvent:
+		s.applyEndpointList(e.Targets, e.Full)
+	case discoveryFailedEvent:
+		if !s.config.Settings.PollsEndpointList {
+			s.requestEndpointList()
 		}
-	case helloEvent:
+	case successorEvent:
 		e.link.close() // who owns the journal now is to be asked
-	case lockEvent:
-		s.regain(ctx, e.lock)
+	case lockAcquiredEvent:
+		s.reclaimOwnership(ctx, e.lock)
 	case linkEvent:
 		switch {
 		case e.link != s.successor && e.lost:
-			s.predecessorGone(e.link)
+			s.predecessorLost(e.link)
 		case e.link != s.successor && e.Submit != nil:
-			s.passOn(s.relayedSubmission(ctx, e.link, e.Submit))
-		case e.link != s.successor && e.Ended != nil:
-			if m := s.byID[e.Ended.Flight.ID]; m != nil {
-				s.relayEnd(itemEnd{m, e.Ended.Flight.Try - m.base, e.Ended.End})
+			s.forwardRequest(s.receivedRequest(ctx, e.link, e.Submit))
+		case e.link != s.successor && e.AttemptEnded != nil:
+			if m := s.byID[e.AttemptEnded.Attempt.Message]; m != nil {
+				s.reportAttemptEnd(attemptEnd{m, e.AttemptEnded.Attempt.Attempt - m.base, e.AttemptEnded.Result})
 			}
 		case e.lost:
 			s.successor = nil
 			s.log.Warn("the successor is gone")
-			if !s.quitting {
-				go s.relock(ctx)
+			if !s.dispatchStopped {
+				go s.waitForLock(ctx)
 			} else {
-				s.abandonPassedOn()
+				s.abandonForwarded()
 			}
 		case e.Answer != nil:
-			if sub, ok := s.passed[e.Answer.Seq]; ok {
-				delete(s.passed, e.Answer.Seq)
-				sub.answer <- answerLine{e.Answer.Status, e.Answer.Retry, e.Answer.Text}
+			if sub, ok := s.forwarded[e.Answer.Sequence]; ok {
+				delete(s.forwarded, e.Answer.Sequence)
+				sub.answer <- clientResponse{e.Answer.Status, e.Answer.RetryAfter, e.Answer.Text}
 			}
 		case e.Cancel != nil:
-			if m := s.byID[e.Cancel.ID]; m != nil {
-				if c := m.calls[e.Cancel.Try-m.base]; c != nil {
+			if m := s.byID[e.Cancel.Message]; m != nil {
+				if c := m.calls[e.Cancel.Attempt-m.base]; c != nil {
 					c.cancel()
 				}
 			}
@@ -75,55 +75,55 @@
 
 // passOn hands a request to the successor. Without one it waits: if this process takes the lock again, it is ours. Where it
 // does not any more, nobody can have taken the request on.
-func (s *Sender) passOn(sub submission) {
-	if s.successor == nil && s.quitting {
-		s.refuseLeaving(sub)
+func (s *Sender) forwardRequest(sub submission) {
+	if s.successor == nil && s.dispatchStopped {
+		s.rejectShuttingDown(sub)
 		return
 	}
-	s.seq++
+	s.lastForwarded++
 	to := s.successor
 	if to != nil && to.isGone() { // its death is about to be told
 		to = nil
 	}
-	s.passed[s.seq] = passedOn{sub, to != nil}
+	s.forwarded[s.lastForwarded] = forwardedRequest{sub, to != nil}
 	if to != nil {
-		to.send(packet{Submit: &relayed{s.seq, sub.record}})
+		to.send(packet{Submit: &forwardedSubmission{s.lastForwarded, sub.record}})
 	}
 }
 
 // abandonPassedOn answers what was kept for a successor that is gone, where this process does not go on either. The
 // dead one may have taken on what was sent to it, so nothing is promised of that.
-func (s *Sender) abandonPassedOn() {
-	for seq, p := range s.passed {
-		delete(s.passed, seq)
-		if p.sent {
-			s.figures.aborted(p.Class)
-			p.answer <- answerLine{http.StatusInternalServerError, 0, givenUp}
+func (s *Sender) abandonForwarded() {
+	for seq, p := range s.forwarded {
+		delete(s.forwarded, seq)
+		if p.delivered {
+			s.metrics.MessageAborted(p.Class)
+			p.answer <- clientResponse{http.StatusInternalServerError, 0, givenUp}
 			continue
 		}
-		s.refuseLeaving(p.submission)
+		s.rejectShuttingDown(p.submission)
 	}
 }
 
 // refuseLeaving answers a request that nobody has taken on, as the process ends.
-func (s *Sender) refuseLeaving(sub submission) {
-	s.figures.declined(sub.Class)
-	sub.answer <- answerLine{http.StatusServiceUnavailable, s.c.Settings.MaxHoldOff, "shutting down"}
+func (s *Sender) rejectShuttingDown(sub submission) {
+	s.metrics.MessageDeclined(sub.Class)
+	sub.answer <- clientResponse{http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter, "shutting down"}
 }
 
 // passedOn is a request that waits for the successor's answer.
-type passedOn struct {
+type forwardedRequest struct {
 	submission
-	sent bool // to it
+	delivered bool // to it
 }
 
 // relayedSubmission is a request that came to the process before this one. Its answer goes back there.
-func (s *Sender) relayedSubmission(ctx context.Context, from *link, r *relayed) submission {
-	sub := submission{record: r.Record, answer: make(chan answerLine, 1)}
+func (s *Sender) receivedRequest(ctx context.Context, from *link, r *forwardedSubmission) submission {
+	sub := submission{record: r.Record, answer: make(chan clientResponse, 1)}
 	go func() {
 		select {
 		case a := <-sub.answer:
-			from.send(packet{Answer: &relayAnswer{r.Seq, a.status, a.retry, a.text}})
+			from.send(packet{Answer: &forwardedResponse{r.Sequence, a.status, a.retryAfter, a.text}})
 		case <-from.gone:
 		case <-ctx.Done():
 		}
@@ -132,58 +132,58 @@
 }
 
 // predecessorGone ends the attempts that the process before this one had out: they may have run.
-func (s *Sender) predecessorGone(from *link) []itemEnd {
-	var ends []itemEnd
+func (s *Sender) predecessorLost(from *link) []attemptEnd {
+	var ends []attemptEnd
 	for _, m := range s.messages {
 		for attempt, c := range m.calls {
 			if c.at == from && c.end == nil {
-				ends = append(ends, itemEnd{m, attempt, brain.AttemptEnd{Endpoint: c.endpoint, Outcome: brain.Broken,
-					Elapsed: max(0, s.clock.now()-m.Tries[m.base+attempt].At)}})
+				ends = append(ends, attemptEnd{m, attempt, dispatch.AttemptResult{Endpoint: c.endpoint, Outcome: dispatch.ConnectionBroken,
+					Elapsed: max(0, s.clock.Now()-m.Attempts[m.base+attempt].SentAt)}})
 			}
 		}
 	}
 	if s.predecessor == from {
 		s.predecessor = nil
 	}
-	if !s.handed {
+	if !s.handedOver {
 		return ends
 	}
 	for _, e := range ends {
-		s.relayEnd(e)
+		s.reportAttemptEnd(e)
 	}
 	return nil
 }
 
 // relayEnd tells the successor how an attempt ended, and keeps that: should it die before it has written it down, nobody else
 // will tell it again.
-func (s *Sender) relayEnd(e itemEnd) {
+func (s *Sender) reportAttemptEnd(e attemptEnd) {
 	c := e.message.calls[e.attempt]
 	if c == nil || c.end != nil {
 		return
 	}
-	c.end = &e.AttemptEnd
+	c.end = &e.AttemptResult
 	if s.successor != nil {
-		s.successor.send(packet{Ended: &flightEnd{flightID{e.message.ID, e.message.base + e.attempt}, e.AttemptEnd}})
+		s.successor.send(packet{AttemptEnded: &attemptReport{attemptID{e.message.ID, e.message.base + e.attempt}, e.AttemptResult}})
 	}
 }
 
 // fromPredecessor takes in what the process before this one says.
-func (s *Sender) fromPredecessor(ctx context.Context, e linkEvent) []brain.Event {
+func (s *Sender) handlePredecessor(ctx context.Context, e linkEvent) []dispatch.Event {
 	switch {
 	case e.lost:
-		return s.callEnded(callEnd{ends: s.predecessorGone(e.link)})
+		return s.handleCallEnd(callEndedEvent{ends: s.predecessorLost(e.link)})
 	case e.Submit != nil:
-		sub := s.relayedSubmission(ctx, e.link, e.Submit)
-		if ev := s.submitted(sub); ev != nil {
-			return []brain.Event{ev}
+		sub := s.receivedRequest(ctx, e.link, e.Submit)
+		if ev := s.acceptSubmission(sub); ev != nil {
+			return []dispatch.Event{ev}
 		}
-	case e.Wait != nil:
-		if at := s.list.byID[e.Wait.Endpoint]; at != nil {
-			return []brain.Event{brain.WaitTold{Endpoint: at.number, Wait: e.Wait.Wait}}
+	case e.RetryAfter != nil:
+		if at := s.list.byID[e.RetryAfter.Endpoint]; at != nil {
+			return []dispatch.Event{dispatch.RetryAfterReceived{Endpoint: at.number, RetryAfter: e.RetryAfter.RetryAfter}}
 		}
-	case e.Ended != nil:
-		if m := s.byID[e.Ended.Flight.ID]; m != nil {
-			return s.callEnded(callEnd{ends: []itemEnd{{m, e.Ended.Flight.Try - m.base, e.Ended.End}}})
+	case e.AttemptEnded != nil:
+		if m := s.byID[e.AttemptEnded.Attempt.Message]; m != nil {
+			return s.handleCallEnd(callEndedEvent{ends: []attemptEnd{{m, e.AttemptEnded.Attempt.Attempt - m.base, e.AttemptEnded.Result}}})
 		}
 	}
 	return nil
--- a/internal/sender/reload.go
+++ b/internal/sender/reload.go
@@ -4,7 +4,8 @@
 	"context"
 	"strings"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
 // New configurations in service.
@@ -13,15 +14,15 @@
 // the settings. A file that cannot be used changes nothing.
 func (s *Sender) Reload(ctx context.Context, getenv func(string) string) error {
 	var c *Config
-	err := keepTrying(ctx, s.log, "the new configuration", func() (err error) {
+	err := retry.OnTransient(ctx, s.log, "the new configuration", func() (err error) {
 		c, err = s.server.conf.Load().reload(s.env, getenv)
 		return err
 	})
 	if err != nil {
-		s.figures.reloaded(false)
+		s.metrics.ConfigReloaded(false)
 		return err
 	}
-	s.disc.move(c.Discovery)
+	s.discovery.move(c.Discovery)
 	if s.post(ctx, reloadEvent{c}) {
 		s.server.conf.Store(c) // from here on requests are read by it; the loop has it first
 	}
@@ -29,11 +30,11 @@
 }
 
 // applyConfig goes on by a new configuration. Messages held keep the rules that they were taken under.
-func (s *Sender) applyConfig(c *Config) []brain.Event {
-	s.c = c
+func (s *Sender) applyConfig(c *Config) []dispatch.Event {
+	s.config = c
 	s.pool.most.Store(int64(c.idleMost()))
-	s.figures.name(c.Classes)
-	s.figures.reloaded(true)
+	s.metrics.RegisterClasses(c.Classes)
+	s.metrics.ConfigReloaded(true)
 	s.log.Info("reloaded", "discovery", c.Discovery, "classes", strings.Join(c.Classes, ","), "attempts", c.Settings.MaxAttempts)
-	return []brain.Event{brain.NewSettings{Settings: c.Settings}, s.relist()[1]}
+	return []dispatch.Event{dispatch.SettingsChanged{Settings: c.Settings}, s.endpointListEvents()[1]}
 }
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // reloadable is a running sender whose configuration can be replaced.
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -15,13 +15,15 @@
 	"regexp"
 	"slices"
 	"strconv"
+
+	"onyxdyke.example/onyxdyke/internal/clock"
 )
 
 // openJournal reads what an earlier process left and begins a compacted file.
 // It sets the clock to that of the earlier process.
-func openJournal(files FileSystem, clock *clock, dir string, budget int64) (*journal, error) {
-	j := &journal{files: files, clock: clock, path: filepath.Join(dir, journalName), budget: budget, byID: map[string]*stored{}, live: clockCost + 2*lineCost,
-		list: listMemory{most: budget / listPart}, outage: outageMemory{most: budget / outagePart}}
+func openJournal(files FileSystem, clock *clock.Clock, dir string, budget int64) (*journal, error) {
+	j := &journal{files: files, clock: clock, path: filepath.Join(dir, journalName), budget: budget, byID: map[string]*storedMessage{}, liveBytes: clockCost + 2*lineCost,
+		endpointList: endpointListStore{most: budget / listPart}, outages: outageStore{most: budget / outagePart}}
 	old, err := files.OpenFile(j.path, os.O_RDONLY, 0)
 	if err == nil {
 		err = j.replay(old)
@@ -33,7 +35,7 @@
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	// What has ended is dropped here and not by the compaction only, which may fail: this process must not take it up again.
-	j.order = slices.DeleteFunc(j.order, func(m *stored) bool { return j.byID[m.ID] != m })
+	j.order = slices.DeleteFunc(j.order, func(m *storedMessage) bool { return j.byID[m.ID] != m })
 	// On a full disk it goes on without: the old file stays as it is, and nothing new is taken or sent
 	// until a compacted one can be written.
 	j.compact()
@@ -61,15 +63,15 @@
 		switch m := j.byID[rec.ID]; {
 		case rec.Op == "clock":
 			if rec.Clock != nil {
-				j.clock.follow(*rec.Clock)
+				j.clock.Follow(*rec.Clock)
 			}
 		case rec.Op == "list":
 			j.tookList(rec.Version, rec.Targets)
 		case rec.Op == "outages":
 			j.tookOutages(rec.Outages)
 		case rec.Op == "past":
-			if age := j.clock.now() - rec.At; age < 2*endedFor {
-				j.keep(rec.ID, rec.At)
+			if age := j.clock.Now() - rec.At; age < 2*endedFor {
+				j.rememberID(rec.ID, rec.At)
 			}
 		case rec.Op == "take":
 			delete(j.ended.at, rec.ID) // it came again, when it was no longer known
@@ -77,11 +79,11 @@
 			if m != nil { // an id is used again only once its message is over
 				j.remove(m)
 			}
-			j.add(&stored{record: rec, how: rec.How, retry: rec.RetryMS, cost: int64(len(line)) + overhead})
+			j.add(&storedMessage{record: rec, outcome: rec.Outcome, retryAfterMS: rec.RetryAfterMS, cost: int64(len(line)) + overhead})
 		case m == nil:
-		case rec.Op == "told" || rec.Op == "over" && (rec.How == delivered || rec.How == answered):
+		case rec.Op == "told" || rec.Op == "over" && (rec.Outcome == delivered || rec.Outcome == answered):
 			j.remove(m)
-			j.remember(m, &rec)
+			j.rememberEnded(m, &rec)
 		default:
 			m.apply(&rec)
 		}
@@ -118,7 +120,7 @@
 			continue
 		}
 		if m := j.byID[id]; m != nil {
-			m.Tries = append(m.Tries, try{})
+			m.Attempts = append(m.Attempts, attempt{})
 		}
 	}
 }
--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -14,7 +14,8 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	"onyxdyke.example/onyxdyke/internal/clock"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // The last of 1,024 senders with 1,024 endpoints, on the smallest machine: whole lists and changes of all lines are
@@ -140,10 +141,10 @@
 			getenv := func(name string) string { return map[string]string{"EDGE_CONFIG": file}[name] }
 			fits := func(c *Config) {
 				t.Helper()
-				clients, callers := newServer(c, newClock(time.Now()), slog.New(slog.DiscardHandler), nil).most, newAdmin(nil, sockets, nil, nil).most
+				clients, callers := newServer(c, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil).most, newAdmin(nil, sockets, nil, nil).most
 				idle := int(newPool(c).most.Load())
-				if sum := clients + callers + idle + c.Settings.Slots + spareDescriptors; sum > sockets || c.Settings.Slots < 3 || clients < sockets/3 {
-					t.Errorf("of %d: %d clients, %d operators, %d calls, %d idle", sockets, clients, callers, c.Settings.Slots, idle)
+				if sum := clients + callers + idle + c.Settings.MaxConcurrentCalls + spareDescriptors; sum > sockets || c.Settings.MaxConcurrentCalls < 3 || clients < sockets/3 {
+					t.Errorf("of %d: %d clients, %d operators, %d calls, %d idle", sockets, clients, callers, c.Settings.MaxConcurrentCalls, idle)
 				}
 			}
 			write(3)
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -22,8 +22,9 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 // newTest makes a sender that leaves quickly; edit may change its configuration.
@@ -50,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.grace, s.leaveAfter = 0, 100*time.Millisecond
+	s.gracePeriod, s.drainTimeout = 0, 100*time.Millisecond
 	return s
 }
 
@@ -259,7 +260,7 @@
 // and nobody whose request is being answered.
 func TestHeldConnectionsMakeRoom(t *testing.T) {
 	t.Parallel()
-	s := newServer(&Config{Limits: Limits{Sockets: 6}}, newClock(time.Now()), slog.New(slog.DiscardHandler), nil)
+	s := newServer(&Config{Limits: Limits{Sockets: 6}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
 	conns := map[string]*clientConn{}
 	open := func(name string) {
 		conns[name] = visitor(t)
@@ -291,7 +292,7 @@
 // that has been read whole, nor a client's further one, nor one that has only just begun to come.
 func TestHalfSpokenPeersMakeRoom(t *testing.T) {
 	t.Parallel()
-	s := newServer(&Config{Limits: Limits{Sockets: 8}}, newClock(time.Now()), slog.New(slog.DiscardHandler), nil)
+	s := newServer(&Config{Limits: Limits{Sockets: 8}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
 	conns := map[string]*clientConn{}
 	for _, name := range []string{"client", "whole", "half"} {
 		conns[name] = visitor(t)
@@ -323,7 +324,7 @@
 // however long the answer takes.
 func TestARequestReadWholeAsItMakesRoomIsAnswered(t *testing.T) {
 	t.Parallel()
-	s := newServer(&Config{Limits: Limits{Sockets: 4}}, newClock(time.Now()), slog.New(slog.DiscardHandler), nil)
+	s := newServer(&Config{Limits: Limits{Sockets: 4}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
 	half, other := visitor(t), visitor(t)
 	for _, g := range []*clientConn{half, other} {
 		s.track(g, http.StateNew)
@@ -384,7 +385,7 @@
 func TestNoRoomIsARefusal(t *testing.T) {
 	t.Parallel()
 	for name, edit := range map[string]func(*Config){
-		"held limit": func(c *Config) { c.Settings.MostHeld = 3 },
+		"held limit": func(c *Config) { c.Settings.MaxPendingMessages = 3 },
 		"disk":       func(c *Config) { c.Limits.DiskMB = 0.012 },
 	} {
 		e := st.NewEndpoint(t, st.Silent)
@@ -447,7 +448,7 @@
 	addr := run(t, p, nil)
 	st.HandIn(t, addr, "early", "safe", 0, 20*time.Second)
 	e.Next(t)
-	st.HandIn(t, addr, "close", "safe", 0, slack-10*time.Millisecond)
+	st.HandIn(t, addr, "close", "safe", 0, clockSlack-10*time.Millisecond)
 	if n := st.Receive(t, p.Notices); n.Message != "close" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
 	}
@@ -461,7 +462,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
-	addr := run(t, p, func(c *Config) { c.Settings.MostHeld = 20 })
+	addr := run(t, p, func(c *Config) { c.Settings.MaxPendingMessages = 20 })
 	for i := range 20 { // the module makes room from 95% on
 		resp, body := st.Do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, ""))
 		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
@@ -519,7 +520,7 @@
 		}
 		return st.Text(200, "["+strings.Join(states, ",")+"]")(c, nc)
 	})
-	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Settings.Kinds[0].PerCall = 20 })
+	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
 	st.HandIn(t, addr, "m0", "keyed", 0, 15*time.Second)
 	if c := e.Next(t); c.Path != "/hook" || c.ID != "m0" {
 		t.Errorf("one message goes to %s as %s", c.Path, c.ID)
@@ -551,7 +552,7 @@
 		}
 		return st.Silent(c, nc)
 	})
-	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Settings.Kinds[0].PerCall = 20 })
+	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
 	st.HandIn(t, addr, "holds", "unsafe", 0, 15*time.Second)
 	e.Next(t)
 	for id, left := range map[string]time.Duration{"short": 16, "long": 20, "middle": 18} {
@@ -569,30 +570,30 @@
 	t.Parallel()
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		items []item
-		want  [][]brain.Outcome // of the events in turn, by message
+		items []batchItem
+		want  [][]dispatch.Outcome // of the events in turn, by message
 		over  []bool
 	}{
-		"time up": {[]item{{timeout: 50 * ms, last: true}, {timeout: 150 * ms, last: true}},
-			[][]brain.Outcome{{brain.TimedOut}, {brain.TimedOut, brain.TimedOut}}, []bool{false, true}},
-		"restart": {[]item{{timeout: 50 * ms}, {timeout: time.Hour, last: true}},
-			[][]brain.Outcome{{brain.TimedOut, brain.Cancelled}}, []bool{true}},
+		"time up": {[]batchItem{{timeout: 50 * ms, lastAttempt: true}, {timeout: 150 * ms, lastAttempt: true}},
+			[][]dispatch.Outcome{{dispatch.TimedOut}, {dispatch.TimedOut, dispatch.TimedOut}}, []bool{false, true}},
+		"restart": {[]batchItem{{timeout: 50 * ms}, {timeout: time.Hour, lastAttempt: true}},
+			[][]dispatch.Outcome{{dispatch.TimedOut, dispatch.Cancelled}}, []bool{true}},
 	} {
 		e := st.NewEndpoint(t, st.Silent)
 		s := newTest(t, st.NewPlatform(t), nil)
 		for i := range c.items {
 			c.items[i].ID = "m" + strconv.Itoa(i)
-			c.items[i].message = &message{stored: &stored{}, ended: true, calls: map[int]*outCall{}}
+			c.items[i].message = &message{storedMessage: &storedMessage{}, ended: true, calls: map[int]*outCall{}}
 		}
-		s.call(context.Background(), &endpoint{addr: e.Addr}, c.items, true)
+		s.startCall(context.Background(), &endpoint{addr: e.Addr}, c.items, true)
 		for i, want := range c.want {
-			end := st.Receive(t, s.events).(callEnd)
-			var got []brain.Outcome
+			end := st.Receive(t, s.events).(callEndedEvent)
+			var got []dispatch.Outcome
 			for _, it := range end.ends {
 				got = append(got, it.Outcome)
 			}
-			if !slices.Equal(got, want) || end.over != c.over[i] {
-				t.Errorf("%s: event %d: %v, over %v", name, i, got, end.over)
+			if !slices.Equal(got, want) || end.callDone != c.over[i] {
+				t.Errorf("%s: event %d: %v, over %v", name, i, got, end.callDone)
 			}
 		}
 	}
@@ -612,7 +613,7 @@
 	for name, asks := range map[string]bool{"on request": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			test(t, func(c *Config) { c.Settings.AsksForList = asks })
+			test(t, func(c *Config) { c.Settings.PollsEndpointList = asks })
 		})
 	}
 }
@@ -694,7 +695,7 @@
 	run(t, p, func(c *Config) {
 		c.Known = Targets{Version: 1, Full: true, Servers: []Target{{ID: "s-0", Addr: old.Addr, State: "SERVING", Zone: "a", Kind: "plain"}}}
 		j := openTest(t, c.State, 1<<20)
-		if _, err := j.take(record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: newClock(time.Now()).now() + 15*time.Second}); err != nil {
+		if _, err := j.take(record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + 15*time.Second}); err != nil {
 			t.Fatal(err)
 		}
 		if err := j.close(); err != nil {
@@ -746,12 +747,12 @@
 	began := time.Now()
 	end := callOnce(s.pool, at, 30*time.Millisecond, "")
 	end.Elapsed = time.Since(began)
-	m := &message{stored: &stored{}, ended: true, calls: map[int]*outCall{0: {cancel: func() {}}}}
-	s.callEnded(callEnd{[]itemEnd{{m, 0, end}}, true})
+	m := &message{storedMessage: &storedMessage{}, ended: true, calls: map[int]*outCall{0: {cancel: func() {}}}}
+	s.handleCallEnd(callEndedEvent{[]attemptEnd{{m, 0, end}}, true})
 	if n := s.pool.idle.Load(); n != 0 {
 		t.Errorf("%d idle connections after a time-out", n)
 	}
-	if got := callOnce(s.pool, at, st.Wait, ""); !got.Over {
+	if got := callOnce(s.pool, at, st.Wait, ""); !got.Final {
 		t.Errorf("the next call: %+v", got)
 	}
 }
@@ -766,16 +767,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.journal.note(m, record{Op: "over", How: givenUp})
-		s.owed = append(s.owed, m.notice())
+		s.journal.append(m, record{Op: "over", Outcome: givenUp})
+		s.pendingNotices = append(s.pendingNotices, m.notice())
 		if id == "c" {
-			s.tell()
+			s.deliverNotices()
 		}
 	}
-	batch := st.Receive(t, s.notices)
-	s.take(context.Background(), toldEvent{batch})
-	if len(s.owed) != 1 || s.owed[0].Message != "d" || s.journal.byID["d"] == nil || len(s.journal.byID) != 1 {
-		t.Errorf("told %v, still owed %v, in the journal %d", batch, s.owed, len(s.journal.byID))
+	batch := st.Receive(t, s.noticeBatches)
+	s.handleEvent(context.Background(), noticesDeliveredEvent{batch})
+	if len(s.pendingNotices) != 1 || s.pendingNotices[0].Message != "d" || s.journal.byID["d"] == nil || len(s.journal.byID) != 1 {
+		t.Errorf("told %v, still owed %v, in the journal %d", batch, s.pendingNotices, len(s.journal.byID))
 	}
 }
 
@@ -787,7 +788,7 @@
 	e := st.NewEndpoint(t, st.Status(500, "Connection: close"))
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, func(c *Config) {
-		c.Settings.Classes[1].KeyWindow = window
+		c.Settings.Classes[1].IdempotencyWindow = window
 		c.Settings.MaxAttempts = 2 // the repeat is the last, and has all the time that is left
 	})
 	var dials atomic.Int32
@@ -825,13 +826,13 @@
 // decided before: it could arrive when the drain binds.
 func TestACallThatWaitsForItsConnectionIsWithheld(t *testing.T) {
 	t.Parallel()
-	for name, news := range map[string]func(s *Sender, list Targets) []brain.Event{
-		"the endpoint drains": func(s *Sender, list Targets) []brain.Event {
+	for name, news := range map[string]func(s *Sender, list Targets) []dispatch.Event{
+		"the endpoint drains": func(s *Sender, list Targets) []dispatch.Event {
 			list.Servers[0].State = "DRAINING"
-			return []brain.Event{s.news(list, false)}
+			return []dispatch.Event{s.applyEndpointList(list, false)}
 		},
-		"the endpoint is gone": func(s *Sender, list Targets) []brain.Event {
-			return []brain.Event{s.news(Targets{Servers: list.Servers[1:]}, true)}
+		"the endpoint is gone": func(s *Sender, list Targets) []dispatch.Event {
+			return []dispatch.Event{s.applyEndpointList(Targets{Servers: list.Servers[1:]}, true)}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -844,16 +845,16 @@
 				<-up
 				return nil
 			}
-			ctx, list := context.Background(), s.c.Known
+			ctx, list := context.Background(), s.config.Known
 			list.Servers[1].Cell = 0
-			s.step(ctx, []brain.Event{s.news(list, true)})
-			r := record{ID: "m1", Class: "safe", Tenant: "acme", Deadline: s.clock.now() + st.Wait}
-			s.step(ctx, s.take(ctx, submission{record: r, answer: make(chan answerLine, 1)}))
+			s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(list, true)})
+			r := record{ID: "m1", Class: "safe", Tenant: "acme", Deadline: s.clock.Now() + st.Wait}
+			s.dispatch(ctx, s.handleEvent(ctx, submission{record: r, answer: make(chan clientResponse, 1)}))
 			st.Receive(t, dialing)
-			s.step(ctx, news(s, list))
+			s.dispatch(ctx, news(s, list))
 			close(up)
-			end := st.Receive(t, s.events).(callEnd)
-			if got := end.ends[0]; got.message.ID != "m1" || got.Outcome != brain.NotSent {
+			end := st.Receive(t, s.events).(callEndedEvent)
+			if got := end.ends[0]; got.message.ID != "m1" || got.Outcome != dispatch.NotSent {
 				t.Errorf("%+v", got)
 			}
 			if len(e.Calls) > 0 {
@@ -871,8 +872,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newServer(c, newClock(time.Now()), slog.New(slog.DiscardHandler), func(ctx context.Context, sub submission) bool {
-		sub.answer <- answerLine{status: http.StatusAccepted}
+	s := newServer(c, clock.New(time.Now()), slog.New(slog.DiscardHandler), func(ctx context.Context, sub submission) bool {
+		sub.answer <- clientResponse{status: http.StatusAccepted}
 		return ctx.Err() == nil
 	})
 	ended, cancel := context.WithCancel(context.Background())
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -14,7 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
 const (
@@ -46,22 +48,22 @@
 type submission struct {
 	record
 	class, tenant int
-	answer        chan answerLine // buffered: the loop never waits for a client
+	answer        chan clientResponse // buffered: the loop never waits for a client
 }
 
 // answerLine is the answer to a client.
-type answerLine struct {
-	status int
-	retry  time.Duration // Retry-After of a refusal, 0 for the usual
-	text   string
+type clientResponse struct {
+	status     int
+	retryAfter time.Duration // Retry-After of a refusal, 0 for the usual
+	text       string
 }
 
 // server takes messages in from clients.
 type server struct {
 	conf    atomic.Pointer[Config]
 	log     *slog.Logger
-	clock   *clock
-	guard   *guard // nil for none
+	clock   *clock.Clock
+	guard   *invariantChecker // nil for none
 	submit  func(context.Context, submission) bool
 	ready   atomic.Bool
 	closing atomic.Bool     // answers say that the connection ends
@@ -83,7 +85,7 @@
 	calm     chan struct{} // while it leaves: no request is open
 }
 
-func newServer(c *Config, k *clock, log *slog.Logger, submit func(context.Context, submission) bool) *server {
+func newServer(c *Config, k *clock.Clock, log *slog.Logger, submit func(context.Context, submission) bool) *server {
 	s := &server{log: log, clock: k, submit: submit, most: clientsMost(c.Limits.Sockets), quiet: map[*clientConn]time.Time{}, half: map[*clientConn]time.Time{}, known: map[*clientConn]bool{}, calm: make(chan struct{}, 1)}
 	s.life, s.endLife = context.WithCancel(context.Background())
 	s.conf.Store(c)
@@ -137,7 +139,7 @@
 	now := time.Now()
 	s.failedAt.Store(&now)
 	if s.guard != nil {
-		s.guard.figures.reason(reasonAccept, "failed")
+		s.guard.figures.CountReason(metrics.ReasonAccept, "failed")
 	}
 }
 
@@ -334,7 +336,7 @@
 // reject answers a request that is not sound, and reads nothing more from its peer: where it ends is not sure.
 func (s *server) reject(w http.ResponseWriter, err error, status int) {
 	if s.guard != nil {
-		s.guard.figures.reason(reasonRefused, "status_"+strconv.Itoa(status))
+		s.guard.figures.CountReason(metrics.ReasonRejected, "status_"+strconv.Itoa(status))
 	}
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
@@ -343,7 +345,7 @@
 // take hands one message to the loop and writes the answer. Nothing of a request that is not sound goes
 // further than here.
 func (s *server) take(w http.ResponseWriter, r *http.Request) {
-	arrived := s.clock.now()
+	arrived := s.clock.Now()
 	sub, status, err := s.parse(w, r, arrived)
 	if err != nil {
 		s.reject(w, err, status)
@@ -354,18 +356,18 @@
 	// Once handed over the message may be held, so its answer is waited for even if the client goes away. The request's context
 	// would not do: it also ends where its connection has to make room once it is answered.
 	if !s.submit(s.life, *sub) {
-		writeAnswer(w, answerLine{http.StatusServiceUnavailable, 0, "shutting down"})
+		writeAnswer(w, clientResponse{http.StatusServiceUnavailable, 0, "shutting down"})
 		return
 	}
 	writeAnswer(w, <-sub.answer)
 }
 
-func writeAnswer(w http.ResponseWriter, a answerLine) {
+func writeAnswer(w http.ResponseWriter, a clientResponse) {
 	if a.status == http.StatusServiceUnavailable {
-		if a.retry <= 0 {
-			a.retry = refusedRetry
+		if a.retryAfter <= 0 {
+			a.retryAfter = refusedRetry
 		}
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.retry.Seconds(), 'f', 3, 64))
+		w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	if a.status == http.StatusAccepted {
 		w.WriteHeader(a.status)
@@ -392,7 +394,7 @@
 	bad := func(format string, args ...any) (*submission, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
-	sub := &submission{answer: make(chan answerLine, 1), tenant: -1}
+	sub := &submission{answer: make(chan clientResponse, 1), tenant: -1}
 	conf := s.conf.Load()
 	for header, field := range map[string]*string{"X-Request-Id": &sub.ID, "X-Class": &sub.Class,
 		"X-Tenant": &sub.Tenant, "Idempotency-Key": &sub.Key} {
@@ -414,7 +416,7 @@
 	if sub.tenant = place(conf.Tenants, sub.Tenant, -1); sub.tenant < 0 && len(conf.Tenants) > 0 {
 		return bad("X-Tenant %q is not among the settings", sub.Tenant)
 	}
-	if conf.Settings.Classes[sub.class].Effect == brain.Keyed && sub.Key == "" {
+	if conf.Settings.Classes[sub.class].Effect == dispatch.IdempotentByKey && sub.Key == "" {
 		return bad("Idempotency-Key is missing, and class %s is keyed", sub.Class)
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
@@ -422,7 +424,7 @@
 		return bad("X-Deadline-Ms %q is not a sensible time", r.Header.Get("X-Deadline-Ms"))
 	}
 	sub.Deadline = arrived + time.Duration(ms)*time.Millisecond
-	if sub.Dest, err = destination(r.Header.Get("X-Addressing")); err != nil {
+	if sub.Destination, err = destination(r.Header.Get("X-Addressing")); err != nil {
 		return bad("%v", err)
 	}
 	if sub.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
--- a/internal/sender/spareconn.go
+++ b/internal/sender/spareconn.go
@@ -10,7 +10,7 @@
 // spareDialer opens connections and keeps one ready that nobody uses yet: what is due within 0.3 s cannot wait until a
 // machine that is short of something lets a socket be opened again. After a move the one to the previous address is kept, too,
 // until that closes it. It is safe for concurrent use.
-type spareDialer struct {
+type reservedConnection struct {
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu           sync.Mutex
@@ -29,7 +29,7 @@
 )
 
 // DialContext gives a connection that is kept if it still stands, or opens one.
-func (d *spareDialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
+func (d *reservedConnection) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	if c := d.take(addr); c != nil {
 		go d.refill()
 		return c, nil
@@ -38,7 +38,7 @@
 }
 
 // take takes the connection that is kept to addr, nil if there is none that stands.
-func (d *spareDialer) take(addr string) (c net.Conn) {
+func (d *reservedConnection) take(addr string) (c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch addr {
@@ -55,7 +55,7 @@
 }
 
 // lead makes addr the address to which a connection is kept. It opens none: see refill.
-func (d *spareDialer) lead(addr string) {
+func (d *reservedConnection) lead(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.addr == addr {
@@ -71,7 +71,7 @@
 }
 
 // refill sees to it that there is a spare connection that stands, as soon as a socket can be had.
-func (d *spareDialer) refill() {
+func (d *reservedConnection) refill() {
 	d.mu.Lock()
 	if d.spare != nil && !quiet(d.spare) {
 		d.spare.Close()
@@ -86,7 +86,7 @@
 }
 
 // fill tries once to open the spare connection, and reports whether that is over: it stands, or none is wanted any more.
-func (d *spareDialer) fill() bool {
+func (d *reservedConnection) fill() bool {
 	d.mu.Lock()
 	addr := d.addr
 	d.mu.Unlock()
@@ -107,14 +107,14 @@
 }
 
 // previousAddress is the address before the last move to which a connection has stood, "" for none.
-func (d *spareDialer) previousAddress() string {
+func (d *reservedConnection) previousAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.previousAddr
 }
 
 // close ends the connections that are kept, for good.
-func (d *spareDialer) close() {
+func (d *reservedConnection) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.closed = true
--- a/internal/sender/statelock.go
+++ b/internal/sender/statelock.go
@@ -9,12 +9,14 @@
 	"path/filepath"
 	"syscall"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
 // The lock on the state folder, and where its holder listens for a newcomer.
 
 // lockFolder takes the lock on the state folder; nil if another process holds it.
-func lockFolder(dir string) (*os.File, error) {
+func lockStateDir(dir string) (*os.File, error) {
 	f, err := os.Open(dir)
 	if err != nil {
 		return nil, err
@@ -32,8 +34,8 @@
 
 // tryLock takes the lock on the state folder, nil if another process holds it.
 func (s *Sender) tryLock(ctx context.Context) (lock *os.File, err error) {
-	err = keepTrying(ctx, s.log, "the lock on the state folder", func() (err error) {
-		lock, err = lockFolder(s.folder)
+	err = retry.OnTransient(ctx, s.log, "the lock on the state folder", func() (err error) {
+		lock, err = lockStateDir(s.stateDir)
 		return err
 	})
 	return lock, err
@@ -41,7 +43,7 @@
 
 // socketAt calls use with the path of the holder's socket. It stands in the temporary folder, as what stands in
 // the state folder is kept and counted. A socket's path is short, so a long one is reached through its folder.
-func socketAt(state string, use func(path string) error) error {
+func withHandOverSocket(state string, use func(path string) error) error {
 	if abs, err := filepath.Abs(state); err == nil {
 		state = abs
 	}
@@ -56,14 +58,14 @@
 }
 
 // relock waits for the lock that a dead successor has left, and gives it to the loop.
-func (s *Sender) relock(ctx context.Context) {
+func (s *Sender) waitForLock(ctx context.Context) {
 	for {
 		if lock, err := s.tryLock(ctx); lock != nil || err != nil {
-			s.post(ctx, lockEvent{lock})
+			s.post(ctx, lockAcquiredEvent{lock})
 			return
 		}
 		select {
-		case <-time.After(askEvery):
+		case <-time.After(lockPollInterval):
 		case <-ctx.Done():
 			return
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/wire"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
 // Span turns milliseconds into a duration, to the microsecond that the simulator counts in.
@@ -26,52 +26,52 @@
 }
 
 // Translate reads the settings; unknown keys are skipped. Unreadable ones show in env.Err.
-func Translate(env *wire.Env) brain.Settings {
+func Translate(env *simprotocol.Env) dispatch.Settings {
 	ms := func(key string) time.Duration { return Span(env.Float(key)) }
-	s := brain.Settings{
-		Senders: env.Int("balancers"), Number: env.Int("slotNo"), Zone: env.Int("zone"), Slots: env.Int("familyInfo.callsOut"),
-		MostHeld: env.Int("limits.mostHeld"), MaxAttempts: env.Int("limits.maxAttempts"),
-		MayCancel: env.Bool("limits.cancel"), IdleConnections: ms("limits.connIdle"),
-		TellsHoldOff: env.Bool("limits.retryAfter"), MaxHoldOff: ms("limits.maxRetryAfter"),
-		AsksForList: env.Word("discovery", "pushed", "on_request") == 1, Step: ms("step"),
-		SettleAfterDoubt: ms("rules.settleAfterDoubt"), FallMultiple: env.Float("rules.fallMultiple"),
-		StartCapacity: env.Float("rules.startCapacity"), OverloadFor: ms("rules.overloadFor"), Cold: ms("rules.cold"),
-		WholeWeight:    env.Float("blend.whole") + env.Float("blend.worstWindow"),
-		ClassWeight:    env.Float("blend.worstClass"),
-		OverShareWorth: env.Float("overShareWorth"),
-		CrossZonePrice: env.Float("costs.crossZone"),
-		Halving:        env.Word("familyInfo.fades", "linear", "halving") == 1,
-		RatedLimits:    env.Word("weights", "none", "nominal", "rough", "live")%3 != 0,
-		ZoneFees:       env.Floats("familyInfo.toll"),
+	s := dispatch.Settings{
+		Senders: env.Int("balancers"), Number: env.Int("slotNo"), Zone: env.Int("zone"), MaxConcurrentCalls: env.Int("familyInfo.callsOut"),
+		MaxPendingMessages: env.Int("limits.mostHeld"), MaxAttempts: env.Int("limits.maxAttempts"),
+		CanCancelAttempts: env.Bool("limits.cancel"), IdleConnectionTimeout: ms("limits.connIdle"),
+		SendsRetryAfter: env.Bool("limits.retryAfter"), MaxRetryAfter: ms("limits.maxRetryAfter"),
+		PollsEndpointList: env.Word("discovery", "pushed", "on_request") == 1, StepInterval: ms("step"),
+		OrderedKeySettleTime: ms("rules.settleAfterDoubt"), CollapseLoadFactor: env.Float("rules.fallMultiple"),
+		SlowStartCapacity: env.Float("rules.startCapacity"), OverloadWindow: ms("rules.overloadFor"), SlowStartDuration: ms("rules.cold"),
+		TotalWeight:       env.Float("blend.whole") + env.Float("blend.worstWindow"),
+		WorstClassWeight:  env.Float("blend.worstClass"),
+		OverQuotaWeight:   env.Float("overShareWorth"),
+		CrossZoneCost:     env.Float("costs.crossZone"),
+		LateWeightHalves:  env.Word("familyInfo.fades", "linear", "halving") == 1,
+		RatingIsRateLimit: env.Word("weights", "none", "nominal", "rough", "live")%3 != 0,
+		ZoneFees:          env.Floats("familyInfo.toll"),
 	}
 	apart, calls := env.Bools("familyInfo.routesApart"), env.Floats("familyInfo.perCall")
 	for i := range env.List("models") {
-		k := brain.Kind{PerCall: 1}
+		k := dispatch.Kind{MaxBatchSize: 1}
 		if i < len(apart) {
-			k.Apart = apart[i]
+			k.PerEndpoint = apart[i]
 		}
 		if i < len(calls) {
-			k.PerCall = int(calls[i])
+			k.MaxBatchSize = int(calls[i])
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
 	for i := range env.Count("services") {
 		p := fmt.Sprintf("services.%d.", i)
-		s.Classes = append(s.Classes, brain.Class{Aim: ms(p + "slo"), Deadline: ms(p + "giveUp"),
-			Effect:    brain.Effect(env.Word(p+"effect", "read_like", "idempotency_key", "non_idempotent")),
-			KeyInZone: env.Word(p+"dedupScope", "all", "zone", "cell") != 0, KeyWindow: ms(p + "dedupWindow"),
-			Ordered: env.Bool(p + "oneAtATime"), Worth: env.Float(p + "worth"), LateWorth: env.Float(p + "lateValue")})
+		s.Classes = append(s.Classes, dispatch.Class{LatencyObjective: ms(p + "slo"), Deadline: ms(p + "giveUp"),
+			Effect:          dispatch.Effect(env.Word(p+"effect", "read_like", "idempotency_key", "non_idempotent")),
+			KeyScopedToZone: env.Word(p+"dedupScope", "all", "zone", "cell") != 0, IdempotencyWindow: ms(p + "dedupWindow"),
+			Ordered: env.Bool(p + "oneAtATime"), PriorityWeight: env.Float(p + "worth"), LateWeight: env.Float(p + "lateValue")})
 	}
 	for i := range env.Count("orgs") {
 		p := fmt.Sprintf("orgs.%d.", i)
-		s.Tenants = append(s.Tenants, brain.Tenant{Share: env.Float(p + "share"), Allowance: env.Float(p + "allowancePerS")})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{Quota: env.Float(p + "share"), QuotaRate: env.Float(p + "allowancePerS")})
 	}
 	return s
 }
 
 // Flatten turns nested JSON into the simulator's path=value form: a list of plain values is joined by
 // commas, a list of objects states its length under .count and its items under .0, .1 and so forth.
-func Flatten(raw []byte) (*wire.Env, error) {
+func Flatten(raw []byte) (*simprotocol.Env, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	var root map[string]any
@@ -81,7 +81,7 @@
 	var lines []string
 	flatten("", root, &lines)
 	sort.Strings(lines)
-	return wire.ParseEnv(strings.Join(lines, "\n"))
+	return simprotocol.ParseEnv(strings.Join(lines, "\n"))
 }
 
 // plain replaces what separates lines and list items.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/wire"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
 // The configuration's JSON and the simulator's lines give the same settings.
@@ -45,7 +45,7 @@
 "limits":{"cancel":true,"connIdle":15000.0,"maxRetryAfter":2000.5},"models":["processor","retailer"],
 "orgs":[{"allowancePerS":14.0,"name":"a","share":0.38},{"allowancePerS":9.0,"name":"b","share":0.62}],
 "services":[{"effect":"idempotency_key","giveUp":28000.0,"name":"card-event"}],"zones":["x","y z"],"unknown":null}`
-	want, err := wire.ParseEnv(lines)
+	want, err := simprotocol.ParseEnv(lines)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,9 +57,9 @@
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	s := Translate(got)
-	if got.Err() != nil || s.Slots != 18 || s.MaxHoldOff != 2000500*time.Microsecond || !s.Halving || !s.Kinds[1].Apart ||
-		s.Kinds[1].PerCall != 3 || s.Classes[0].Effect != brain.Keyed || s.Tenants[1].Allowance != 9 || !s.AsksForList ||
-		s.WholeWeight != 0.75 || s.ClassWeight != 0.2 {
+	if got.Err() != nil || s.MaxConcurrentCalls != 18 || s.MaxRetryAfter != 2000500*time.Microsecond || !s.LateWeightHalves || !s.Kinds[1].PerEndpoint ||
+		s.Kinds[1].MaxBatchSize != 3 || s.Classes[0].Effect != dispatch.IdempotentByKey || s.Tenants[1].QuotaRate != 9 || !s.PollsEndpointList ||
+		s.TotalWeight != 0.75 || s.WorstClassWeight != 0.2 {
 		t.Errorf("%v: %+v", got.Err(), s)
 	}
 }
--- a/internal/wire/frame.go
+++ b/internal/simprotocol/frame.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the simulator's frames. It knows layouts only and decides nothing.
-package wire
+// Package simprotocol reads and writes the simulator's frames. It knows layouts only and decides nothing.
+package simprotocol
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
