--- a/internal/sender/listmemory.go
+++ b/internal/journal/endpointlist.go
@@ -1,18 +1,20 @@
-package sender
+package journal
 
 import (
 	"encoding/json"
 	"slices"
+
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
 )
 
 // listMemory is what discovery has told beyond the endpoint list of the configuration. It is kept in the journal, as
 // a process that starts while discovery is silent has nothing else: the configuration's list may be older, and what an
 // earlier process was told of drains binds all the same.
 type endpointListStore struct {
-	version int64    // of the last change
-	changes []Target // one for each endpoint, in the order last told
-	cost    int64    // bytes that they take in a compacted file, at most
-	most    int64    // bound of cost
+	version int64                   // of the last change
+	changes []endpointlist.Endpoint // one for each endpoint, in the order last told
+	cost    int64                   // bytes that they take in a compacted file, at most
+	most    int64                   // bound of cost
 }
 
 const (
@@ -23,7 +25,7 @@
 )
 
 // costOf is what a change takes in the journal.
-func costOf(t Target) int64 {
+func costOf(t endpointlist.Endpoint) int64 {
 	text, err := json.Marshal(t)
 	if err != nil {
 		return lineCost // plain values only: it cannot fail
@@ -31,25 +33,15 @@
 	return int64(len(text)) + 1
 }
 
-// sameButRating reports whether two lines of one endpoint differ in nothing that decides whether and how it may be called.
-// Ratings may change with every answer, and come again with the next one.
-func (t Target) sameButRating(other Target) bool {
-	t.Weight = other.Weight
-	return t == other
-}
-
-// isDeleted reports whether t is a line that only says that its endpoint has gone.
-func (t Target) isDeleted() bool { return t.State == stateDeleted }
-
 // note takes in changes. Beyond the bound the oldest go; endpoints that serve go first, as without them some service is
 // lost, and without the others a rule is broken.
-func (m *endpointListStore) note(version int64, changes []Target) {
+func (m *endpointListStore) note(version int64, changes []endpointlist.Endpoint) {
 	m.version = max(m.version, version)
 	last := make(map[string]int, len(changes)) // place of the last change of each
 	for i, t := range changes {
 		last[t.ID] = i
 	}
-	m.changes = slices.DeleteFunc(m.changes, func(t Target) bool {
+	m.changes = slices.DeleteFunc(m.changes, func(t endpointlist.Endpoint) bool {
 		_, again := last[t.ID]
 		if again {
 			m.cost -= costOf(t)
@@ -62,16 +54,16 @@
 			m.cost += costOf(t)
 		}
 	}
-	m.trim(func(t Target) bool { return t.State == stateServing })
-	m.trim(func(Target) bool { return true })
+	m.trim(func(t endpointlist.Endpoint) bool { return t.State == endpointlist.StateServing })
+	m.trim(func(endpointlist.Endpoint) bool { return true })
 }
 
 // trim drops the oldest of some changes until the rest keeps to the bound.
-func (m *endpointListStore) trim(which func(Target) bool) {
+func (m *endpointListStore) trim(which func(endpointlist.Endpoint) bool) {
 	if m.cost <= m.most {
 		return
 	}
-	m.changes = slices.DeleteFunc(m.changes, func(t Target) bool {
+	m.changes = slices.DeleteFunc(m.changes, func(t endpointlist.Endpoint) bool {
 		drop := m.cost > m.most && which(t)
 		if drop {
 			m.cost -= costOf(t)
@@ -81,27 +73,27 @@
 }
 
 // applyTo is a list of the configuration with the changes, unless it is as new as they are.
-func (m *endpointListStore) applyTo(known Targets) Targets {
-	if len(known.Servers) > 0 && known.Version >= m.version {
+func (m *endpointListStore) applyTo(known endpointlist.Update) endpointlist.Update {
+	if len(known.Endpoints) > 0 && known.Version >= m.version {
 		return known
 	}
-	changed := make(map[string]Target, len(m.changes))
+	changed := make(map[string]endpointlist.Endpoint, len(m.changes))
 	for _, t := range m.changes {
 		changed[t.ID] = t
 	}
-	merged := Targets{Version: known.Version, Full: known.Full}
-	for _, t := range known.Servers {
+	merged := endpointlist.Update{Version: known.Version, Full: known.Full}
+	for _, t := range known.Endpoints {
 		if now, told := changed[t.ID]; told {
 			delete(changed, t.ID)
 			t = now
 		}
-		if !t.isDeleted() {
-			merged.Servers = append(merged.Servers, t)
+		if !t.IsDeleted() {
+			merged.Endpoints = append(merged.Endpoints, t)
 		}
 	}
 	for _, t := range m.changes {
-		if _, fresh := changed[t.ID]; fresh && !t.isDeleted() {
-			merged.Servers = append(merged.Servers, t)
+		if _, fresh := changed[t.ID]; fresh && !t.IsDeleted() {
+			merged.Endpoints = append(merged.Endpoints, t)
 		}
 	}
 	return merged
--- a/internal/sender/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -1,4 +1,4 @@
-package sender
+package journal
 
 import (
 	"bytes"
@@ -14,18 +14,18 @@
 	"onyxdyke.example/onyxdyke/internal/clock"
 )
 
-func openTest(t *testing.T, dir string, budget int64) *journal {
+func openTest(t *testing.T, dir string, budget int64) *Journal {
 	t.Helper()
-	j, err := openJournal(osFiles{}, clock.New(time.Now()), dir, budget)
+	j, err := Open(OSFileSystem{}, clock.New(time.Now()), dir, budget)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return j
 }
 
-func takeTest(t *testing.T, j *journal, id string) *storedMessage {
+func takeTest(t *testing.T, j *Journal, id string) *Message {
 	t.Helper()
-	m, err := j.take(record{ID: id, Class: "keyed", Key: "k" + id, Destination: 3, Deadline: 99, Body: []byte("body " + id)})
+	m, err := j.Accept(Record{ID: id, Class: "keyed", Key: "k" + id, Destination: 3, Deadline: 99, Body: []byte("body " + id)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,28 +36,28 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	a, b, c, d := takeTest(t, j, "a"), takeTest(t, j, "b"), takeTest(t, j, "c"), takeTest(t, j, "d")
-	j.append(a, record{Op: "send", Sent: &attempt{SentAt: 10, Endpoint: "s"}})
-	j.append(a, record{Op: "end", Attempt: 0, NeverRan: true})
-	j.append(a, record{Op: "send", Sent: &attempt{SentAt: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
-	j.append(a, record{Op: "send", Sent: &attempt{SentAt: 30, Endpoint: "s"}})
-	j.append(b, record{Op: "over", Outcome: delivered})
-	j.append(c, record{Op: "over", Outcome: returned, RetryAfterMS: 500})
-	j.append(d, record{Op: "over", Outcome: givenUp})
-	j.append(d, record{Op: "told"})
-	if err := j.flush(); err != nil {
+	j.Append(a, Record{Op: "send", Sent: &Attempt{SentAt: 10, Endpoint: "s"}})
+	j.Append(a, Record{Op: "end", Attempt: 0, NeverRan: true})
+	j.Append(a, Record{Op: "send", Sent: &Attempt{SentAt: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
+	j.Append(a, Record{Op: "send", Sent: &Attempt{SentAt: 30, Endpoint: "s"}})
+	j.Append(b, Record{Op: "over", Outcome: OutcomeDelivered})
+	j.Append(c, Record{Op: "over", Outcome: OutcomeReturned, RetryAfterMS: 500})
+	j.Append(d, Record{Op: "over", Outcome: OutcomeGivenUp})
+	j.Append(d, Record{Op: "told"})
+	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	check := func(j *journal) {
+	check := func(j *Journal) {
 		t.Helper()
 		if len(j.byID) != 2 || len(j.order) != 2 {
 			t.Fatalf("holds %d messages", len(j.byID))
 		}
 		m := j.byID["a"]
-		first, may := m.firstRun()
+		first, may := m.FirstRun()
 		if !may || first.SentAt != 20 || first.Zone != 1 || len(m.Attempts) != 3 || string(m.Body) != "body a" || m.Key != "ka" || m.Destination != 3 || m.Deadline != 99 {
 			t.Errorf("a is %+v", m)
 		}
-		if m := j.byID["c"]; m.outcome != returned || m.retryAfterMS != 500 {
+		if m := j.byID["c"]; m.PendingOutcome != OutcomeReturned || m.PendingRetryAfterMS != 500 {
 			t.Errorf("c is %+v", m)
 		}
 	}
@@ -137,12 +137,12 @@
 	j := openTest(t, dir, 1<<20)
 	m := takeTest(t, j, "a")
 	for n, never := range []bool{false, true} {
-		j.append(m, record{Op: "send", Attempt: n, Sent: &attempt{SentAt: time.Duration(n + 1), Endpoint: "s"}})
+		j.Append(m, Record{Op: "send", Attempt: n, Sent: &Attempt{SentAt: time.Duration(n + 1), Endpoint: "s"}})
 		if never {
-			j.append(m, record{Op: "end", Attempt: n, NeverRan: true})
+			j.Append(m, Record{Op: "end", Attempt: n, NeverRan: true})
 		}
 	}
-	if err := j.flush(); err != nil {
+	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(j.path)
@@ -156,7 +156,7 @@
 	again := openTest(t, dir, 1<<20)
 	if got := again.byID["a"]; again.damaged != 1 || got == nil || len(got.Attempts) != 2 {
 		t.Fatalf("%d damaged, came back as %+v", again.damaged, got)
-	} else if _, may := got.firstRun(); !may {
+	} else if _, may := got.FirstRun(); !may {
 		t.Error("an attempt whose record is damaged is taken for one that never ran")
 	}
 }
@@ -169,8 +169,8 @@
 	j := openTest(t, dir, 1<<20)
 	m := takeTest(t, j, "a")
 	from := int(j.size)
-	j.append(m, record{Op: "send", Sent: &attempt{SentAt: 1, Endpoint: "s"}})
-	if err := j.flush(); err != nil {
+	j.Append(m, Record{Op: "send", Sent: &Attempt{SentAt: 1, Endpoint: "s"}})
+	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	to := int(j.size)
@@ -198,7 +198,7 @@
 			if got == nil || again.byID["b"] == nil || len(again.byID["b"].Attempts) > 0 {
 				t.Fatalf("byte %d made %q: holds %v", n-from, wrong, again.byID)
 			}
-			if _, may := got.firstRun(); !may {
+			if _, may := got.FirstRun(); !may {
 				t.Fatalf("byte %d made %q: it is taken for one that was never sent", n-from, wrong)
 			}
 		}
@@ -223,7 +223,7 @@
 		if len(again.byID) != 1 || again.byID["a"] == nil {
 			t.Fatalf("%d bytes of a new file: holds %v", n, again.byID)
 		}
-		if err := again.close(); err != nil {
+		if err := again.Close(); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := os.Stat(j.path + ".new"); err == nil {
@@ -238,21 +238,21 @@
 	const budget = 64 << 10
 	dir := t.TempDir()
 	j := openTest(t, dir, budget)
-	var held []*storedMessage
+	var held []*Message
 	refused := 0
 	for i := range 3000 {
-		m, err := j.take(record{ID: fmt.Sprint(i), Body: bytes.Repeat([]byte("x"), i%700)})
-		if errors.Is(err, errJournalFull) {
+		m, err := j.Accept(Record{ID: fmt.Sprint(i), Body: bytes.Repeat([]byte("x"), i%700)})
+		if errors.Is(err, ErrFull) {
 			refused++
 		} else if err != nil {
 			t.Fatal(err)
 		} else {
 			held = append(held, m)
 			for n := range 6 {
-				j.append(m, record{Op: "send", Sent: &attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"}})
-				j.append(m, record{Op: "end", Attempt: n, NeverRan: true})
+				j.Append(m, Record{Op: "send", Sent: &Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"}})
+				j.Append(m, Record{Op: "end", Attempt: n, NeverRan: true})
 			}
-			if err := j.flush(); err != nil {
+			if err := j.Flush(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -260,20 +260,20 @@
 			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.liveBytes)
 		}
 		if i%3 == 0 && len(held) > 0 {
-			j.append(held[0], record{Op: "over", Outcome: delivered})
+			j.Append(held[0], Record{Op: "over", Outcome: OutcomeDelivered})
 			held = held[1:]
 		}
 	}
 	if refused == 0 || len(held) == 0 || refused == 3000 {
 		t.Errorf("%d refused, %d held", refused, len(held))
 	}
-	if err := j.close(); err != nil {
+	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if again := openTest(t, dir, budget); len(again.byID) != len(held) {
 		t.Errorf("%d of %d came back", len(again.byID), len(held))
 	}
-	if _, err := os.Stat(filepath.Join(dir, journalName+".new")); !os.IsNotExist(err) {
+	if _, err := os.Stat(filepath.Join(dir, FileName+".new")); !os.IsNotExist(err) {
 		t.Errorf("the new file is left: %v", err)
 	}
 }
@@ -285,15 +285,15 @@
 	j := openTest(t, t.TempDir(), budget)
 	compacted, last := 0, j.compactedAt
 	for i := range 4 * most {
-		m, err := j.take(record{ID: fmt.Sprintf("%016x", i), Key: fmt.Sprintf("%032x", i), Class: "application-forward",
+		m, err := j.Accept(Record{ID: fmt.Sprintf("%016x", i), Key: fmt.Sprintf("%032x", i), Class: "application-forward",
 			Destination: 10, Deadline: 1 << 60, Body: bytes.Repeat([]byte{255}, body)})
 		if err != nil {
 			t.Fatalf("after %d, %d held: %v", i, len(j.byID), err)
 		}
 		for n := range 3 {
-			j.append(m, record{Op: "send", Sent: &attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"}})
-			j.append(m, record{Op: "end", Attempt: n, NeverRan: true})
-			if err := j.flush(); err != nil {
+			j.Append(m, Record{Op: "send", Sent: &Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"}})
+			j.Append(m, Record{Op: "end", Attempt: n, NeverRan: true})
+			if err := j.Flush(); err != nil {
 				t.Fatal(err)
 			}
 			if j.compactedAt != last {
@@ -304,7 +304,7 @@
 			}
 		}
 		if len(j.byID) == most {
-			j.append(j.byID[fmt.Sprintf("%016x", i-most+1)], record{Op: "over", Outcome: delivered})
+			j.Append(j.byID[fmt.Sprintf("%016x", i-most+1)], Record{Op: "over", Outcome: OutcomeDelivered})
 		}
 	}
 	if compacted > most/10 {
@@ -328,19 +328,19 @@
 	if err := os.MkdirAll(filepath.Join(j.path+".new", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	j.append(a, record{Op: "send", Sent: &attempt{SentAt: 5}})
-	if err := j.flush(); err == nil {
+	j.Append(a, Record{Op: "send", Sent: &Attempt{SentAt: 5}})
+	if err := j.Flush(); err == nil {
 		t.Fatal("a full disk took a record")
 	}
 	for range 2 {
-		if _, err := j.take(record{ID: "b"}); err == nil {
+		if _, err := j.Accept(Record{ID: "b"}); err == nil {
 			t.Fatal("a message was taken on a full disk")
 		}
 	}
 	if err := os.RemoveAll(j.path + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	j.compactedAt = j.compactedAt.Add(-journalRetryInterval)
+	j.compactedAt = j.compactedAt.Add(-RetryInterval)
 	takeTest(t, j, "c")
 	again := openTest(t, dir, 1<<20)
 	if m := again.byID["a"]; len(again.byID) != 2 || m == nil || len(m.Attempts) != 1 {
@@ -354,31 +354,31 @@
 	t.Parallel()
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
-	for _, how := range []string{delivered, givenUp, returned, answered} {
-		m, err := j.take(record{ID: how, Class: "safe"})
+	for _, how := range []string{OutcomeDelivered, OutcomeGivenUp, OutcomeReturned, OutcomeAnswered} {
+		m, err := j.Accept(Record{ID: how, Class: "safe"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.append(m, record{Op: "over", Outcome: how})
-		if how == givenUp || how == returned {
-			j.append(m, record{Op: "told"})
+		j.Append(m, Record{Op: "over", Outcome: how})
+		if how == OutcomeGivenUp || how == OutcomeReturned {
+			j.Append(m, Record{Op: "told"})
 		}
 	}
-	check := func(j *journal) {
-		for how, want := range map[string]bool{delivered: true, givenUp: true, returned: false, answered: false} {
-			if j.knows(how) != want {
+	check := func(j *Journal) {
+		for how, want := range map[string]bool{OutcomeDelivered: true, OutcomeGivenUp: true, OutcomeReturned: false, OutcomeAnswered: false} {
+			if j.Knows(how) != want {
 				t.Errorf("%s is known: %v", how, !want)
 			}
 		}
 	}
 	check(j)
-	if err := j.close(); err != nil {
+	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 { // a restart within a restart: each start compacts the file
 		j = openTest(t, dir, 1<<20)
 		check(j)
-		if err := j.close(); err != nil {
+		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -389,23 +389,23 @@
 	t.Parallel()
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
-	for _, how := range []string{delivered, answered} {
-		m, err := j.take(record{ID: "a", Class: "safe"})
+	for _, how := range []string{OutcomeDelivered, OutcomeAnswered} {
+		m, err := j.Accept(Record{ID: "a", Class: "safe"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.append(m, record{Op: "over", Outcome: how})
-		if err := j.compact(); err != nil {
+		j.Append(m, Record{Op: "over", Outcome: how})
+		if err := j.Compact(); err != nil {
 			t.Fatal(err)
 		}
-		if how == delivered { // it is forgotten
+		if how == OutcomeDelivered { // it is forgotten
 			j.ended, j.endedBefore = idGeneration{}, idGeneration{}
 		}
 	}
-	if err := j.close(); err != nil {
+	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if openTest(t, dir, 1<<20).knows("a") {
+	if openTest(t, dir, 1<<20).Knows("a") {
 		t.Error("a message that was refused is taken for one that has ended")
 	}
 }
@@ -417,19 +417,19 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, budget)
 	for i := range 5000 {
-		m, err := j.take(record{ID: strings.Repeat("<", maxName-5) + strconv.Itoa(i), Class: "safe"})
+		m, err := j.Accept(Record{ID: strings.Repeat("<", MaxNameLength-5) + strconv.Itoa(i), Class: "safe"})
 		if err != nil {
 			t.Fatalf("message %d: %v", i, err)
 		}
-		j.append(m, record{Op: "over", Outcome: delivered})
-		if err := j.flush(); err != nil {
+		j.Append(m, Record{Op: "over", Outcome: OutcomeDelivered})
+		if err := j.Flush(); err != nil {
 			t.Fatalf("message %d: %v", i, err)
 		}
 		if size := folderSize(t, dir); size > budget {
 			t.Fatalf("%d bytes after message %d", size, i)
 		}
 	}
-	if !j.knows(strings.Repeat("<", maxName-5) + "4999") {
+	if !j.Knows(strings.Repeat("<", MaxNameLength-5) + "4999") {
 		t.Error("the last one is forgotten")
 	}
 }
--- a/internal/sender/replay.go
+++ b/internal/journal/replay.go
@@ -1,4 +1,4 @@
-package sender
+package journal
 
 // How the journal of an earlier process is read, damaged as it may be.
 
@@ -21,8 +21,8 @@
 
 // openJournal reads what an earlier process left and begins a compacted file.
 // It sets the clock to that of the earlier process.
-func openJournal(files FileSystem, clock *clock.Clock, dir string, budget int64) (*journal, error) {
-	j := &journal{files: files, clock: clock, path: filepath.Join(dir, journalName), budget: budget, byID: map[string]*storedMessage{}, liveBytes: clockCost + 2*lineCost,
+func Open(files FileSystem, clock *clock.Clock, dir string, budget int64) (*Journal, error) {
+	j := &Journal{files: files, clock: clock, path: filepath.Join(dir, FileName), budget: budget, byID: map[string]*Message{}, liveBytes: clockCost + 2*lineCost,
 		endpointList: endpointListStore{most: budget / listPart}, outages: outageStore{most: budget / outagePart}}
 	old, err := files.OpenFile(j.path, os.O_RDONLY, 0)
 	if err == nil {
@@ -35,14 +35,14 @@
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	// What has ended is dropped here and not by the compaction only, which may fail: this process must not take it up again.
-	j.order = slices.DeleteFunc(j.order, func(m *storedMessage) bool { return j.byID[m.ID] != m })
+	j.order = slices.DeleteFunc(j.order, func(m *Message) bool { return j.byID[m.ID] != m })
 	// On a full disk it goes on without: the old file stays as it is, and nothing new is taken or sent
 	// until a compacted one can be written.
-	j.compact()
+	j.Compact()
 	return j, nil
 }
 
-func (j *journal) replay(r io.Reader) error {
+func (j *Journal) replay(r io.Reader) error {
 	lines := bufio.NewReaderSize(r, 1<<16)
 	for {
 		line, err := lines.ReadBytes('\n')
@@ -79,9 +79,9 @@
 			if m != nil { // an id is used again only once its message is over
 				j.remove(m)
 			}
-			j.add(&storedMessage{record: rec, outcome: rec.Outcome, retryAfterMS: rec.RetryAfterMS, cost: int64(len(line)) + overhead})
+			j.add(&Message{Record: rec, PendingOutcome: rec.Outcome, PendingRetryAfterMS: rec.RetryAfterMS, cost: int64(len(line)) + overhead})
 		case m == nil:
-		case rec.Op == "told" || rec.Op == "over" && (rec.Outcome == delivered || rec.Outcome == answered):
+		case rec.Op == "told" || rec.Op == "over" && (rec.Outcome == OutcomeDelivered || rec.Outcome == OutcomeAnswered):
 			j.remove(m)
 			j.rememberEnded(m, &rec)
 		default:
@@ -92,9 +92,9 @@
 
 // salvage reads a line, or the record at the end of a damaged one: where the end of a line is lost, the record
 // after it still stands whole, behind its own checksum. What cannot be read is given back.
-func salvage(line []byte) (rec record, lost []byte, ok bool) {
+func salvage(line []byte) (rec Record, lost []byte, ok bool) {
 	for from := 0; ; {
-		rec = record{}
+		rec = Record{}
 		if decode(line[from:], &rec) {
 			return rec, line[:from], true
 		}
@@ -108,7 +108,7 @@
 
 // doubt books an attempt for the message that a damaged record names, if that may be the record of one: it may have run,
 // nobody knows when.
-func (j *journal) doubt(line []byte) {
+func (j *Journal) doubt(line []byte) {
 	for _, op := range []string{"take", "end", "over", "told", "past"} {
 		if bytes.Contains(line, []byte(`"op":"`+op+`"`)) {
 			return
@@ -120,14 +120,14 @@
 			continue
 		}
 		if m := j.byID[id]; m != nil {
-			m.Attempts = append(m.Attempts, attempt{})
+			m.Attempts = append(m.Attempts, Attempt{})
 		}
 	}
 }
 
 var damagedID = regexp.MustCompile(`"id":("(?:[^"\\]|\\.)*")`)
 
-func decode(line []byte, rec *record) bool {
+func decode(line []byte, rec *Record) bool {
 	if len(line) < 10 {
 		return false
 	}
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -56,7 +56,7 @@
 		if m == nil || e == nil {
 			continue
 		}
-		it := batchItem{record: m.record, message: m, attempt: m.sends, permit: sendPermitFor(m, m.calls, s.clock.Now()), timeout: a.Timeout, startWithin: max(1, now+a.StartWithin-s.clock.Now()), lastAttempt: now+a.Timeout >= m.Deadline}
+		it := batchItem{Record: m.Record, message: m, attempt: m.sends, permit: sendPermitFor(m, m.calls, s.clock.Now()), timeout: a.Timeout, startWithin: max(1, now+a.StartWithin-s.clock.Now()), lastAttempt: now+a.Timeout >= m.Deadline}
 		m.sends++
 		s.trace("attempt", m.ID, "attempt", m.base+it.attempt, "endpoint", e.id, "timeout", a.Timeout, "written", written)
 		size := base64.StdEncoding.EncodedLen(len(m.Body)) + len(m.ID) + len(m.Key) + 64
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/retry"
 	"onyxdyke.example/onyxdyke/internal/settings"
 	"onyxdyke.example/onyxdyke/internal/simprotocol"
@@ -41,7 +42,7 @@
 	State     string // the folder that outlasts the process
 	Seed      uint64
 	Limits    Limits
-	Known     Targets // the endpoint list as last had
+	Known     endpointlist.Update // the endpoint list as last had
 	Settings  dispatch.Settings
 
 	Classes, Tenants, Kinds, Zones []string // names, in the order of the settings
@@ -220,15 +221,15 @@
 // ParseConfig reads the configuration's JSON.
 func ParseConfig(raw []byte) (*Config, error) {
 	var file struct {
-		Name      string          `json:"name"`
-		Listen    string          `json:"listen"`
-		Discovery string          `json:"discovery"`
-		Admin     string          `json:"admin_addr"`
-		State     string          `json:"state"`
-		Seed      string          `json:"seed"`
-		Limits    Limits          `json:"limits"`
-		Known     Targets         `json:"known"`
-		Settings  json.RawMessage `json:"settings"`
+		Name      string              `json:"name"`
+		Listen    string              `json:"listen"`
+		Discovery string              `json:"discovery"`
+		Admin     string              `json:"admin_addr"`
+		State     string              `json:"state"`
+		Seed      string              `json:"seed"`
+		Limits    Limits              `json:"limits"`
+		Known     endpointlist.Update `json:"known"`
+		Settings  json.RawMessage     `json:"settings"`
 	}
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, err
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -14,6 +14,7 @@
 	"sync"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
@@ -35,30 +36,6 @@
 	dialTime  = 1 * time.Second // for a connection to discovery to come up
 )
 
-// Target is an endpoint in discovery's list.
-type Target struct {
-	ID     string  `json:"id"`
-	Addr   string  `json:"addr"`
-	Zone   string  `json:"zone"`
-	Kind   string  `json:"kind"`
-	Cell   uint32  `json:"cell"`
-	State  string  `json:"state"`
-	Weight float64 `json:"weight"`
-}
-
-// The states of an endpoint. Any other is one in which it takes nothing new.
-const (
-	stateServing = "SERVING"
-	stateDeleted = "DELETED"
-)
-
-// Targets is discovery's answer.
-type Targets struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Target `json:"servers"`
-}
-
 // discovery speaks with the platform: the list and its changes, and notices.
 type discovery struct {
 	client   *http.Client // of the list
@@ -161,9 +138,9 @@
 
 // list makes one call for the list: for the whole of it, or after a version for what is newer, waiting for it. An answer that
 // is no list is an error.
-func (d *discovery) list(ctx context.Context, base string, after int64, limit time.Duration) (Targets, error) {
+func (d *discovery) list(ctx context.Context, base string, after int64, limit time.Duration) (endpointlist.Update, error) {
 	var t struct {
-		Targets
+		endpointlist.Update
 		Version *int64 `json:"version"`
 	}
 	url := base + "/api/targets"
@@ -179,38 +156,38 @@
 	}})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return t.Targets, err
+		return t.Update, err
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
 		d.fresh.failed(err)
-		return t.Targets, err
+		return t.Update, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody))
-		return t.Targets, refusedError(resp.Status)
+		return t.Update, refusedError(resp.Status)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
 	if err != nil {
-		return t.Targets, err
+		return t.Update, err
 	}
 	if err := json.Unmarshal(raw, &t); err != nil {
-		return t.Targets, fmt.Errorf("discovery's list: %w", err)
+		return t.Update, fmt.Errorf("discovery's list: %w", err)
 	}
 	switch {
 	case t.Version == nil:
-		return t.Targets, errors.New("discovery's list has no version")
-	case t.Full && t.Servers == nil:
-		return t.Targets, errors.New("discovery's list is whole, and has no servers")
+		return t.Update, errors.New("discovery's list has no version")
+	case t.Full && t.Endpoints == nil:
+		return t.Update, errors.New("discovery's list is whole, and has no servers")
 	}
-	t.Targets.Version = *t.Version
-	return t.Targets, nil
+	t.Update.Version = *t.Version
+	return t.Update, nil
 }
 
 // accept takes a list as the one that is held. One that is older than that is an error: it would bring back what has drained or
 // gone since.
-func (d *discovery) accept(t Targets) error {
+func (d *discovery) accept(t endpointlist.Update) error {
 	if t.Version < d.held {
 		return fmt.Errorf("discovery's list goes back from version %d to %d", d.held, t.Version)
 	}
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -14,6 +14,8 @@
 	"testing"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -58,7 +60,7 @@
 	asked <- struct{}{}
 	go func() {
 		defer close(done)
-		d.follow(ctx, -1, asked, func(Targets) {}, func(error) { asked <- struct{}{} })
+		d.follow(ctx, -1, asked, func(endpointlist.Update) {}, func(error) { asked <- struct{}{} })
 	}()
 	began := st.Receive(t, calls)
 	for range 2 {
@@ -136,12 +138,12 @@
 	s := newTest(t, st.NewPlatform(t), nil)
 	s.discovery.move(strings.TrimPrefix(p.URL, "http://"))
 	owe := func(id string) {
-		m, err := s.journal.take(record{ID: id, Class: "safe"})
+		m, err := s.journal.Accept(journal.Record{ID: id, Class: "safe"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.journal.append(m, record{Op: "over", Outcome: givenUp})
-		s.pendingNotices = append(s.pendingNotices, m.notice())
+		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+		s.pendingNotices = append(s.pendingNotices, noticeOf(m))
 		s.deliverNotices()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -190,14 +192,14 @@
 }
 
 // newsOf follows an agent's list from a version on, and gives what is told.
-func newsOf(t *testing.T, d *discovery, version int64) <-chan Targets {
+func newsOf(t *testing.T, d *discovery, version int64) <-chan endpointlist.Update {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	asked, done, told := make(chan struct{}, 1), make(chan struct{}), make(chan Targets, 1000)
+	asked, done, told := make(chan struct{}, 1), make(chan struct{}), make(chan endpointlist.Update, 1000)
 	asked <- struct{}{}
 	go func() {
 		defer close(done)
-		d.follow(ctx, version, asked, func(n Targets) { told <- n }, func(error) { asked <- struct{}{} })
+		d.follow(ctx, version, asked, func(n endpointlist.Update) { told <- n }, func(error) { asked <- struct{}{} })
 	}()
 	t.Cleanup(func() { cancel(); st.Receive(t, done) })
 	return told
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -17,6 +17,8 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
@@ -31,7 +33,7 @@
 	zone   int
 	most   int // messages in one call
 	listed bool
-	target Target // as last told
+	target endpointlist.Endpoint // as last told
 
 	mu      sync.Mutex
 	addr    string
@@ -62,7 +64,7 @@
 
 // item is a message's part in a call.
 type batchItem struct {
-	record
+	journal.Record
 	message     *message
 	attempt     int
 	permit      sendPermit
@@ -122,7 +124,7 @@
 }
 
 // request renders one call.
-func request(addr, path, contentType string, m record, body []byte, told time.Duration) ([]byte, error) {
+func request(addr, path, contentType string, m journal.Record, body []byte, told time.Duration) ([]byte, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -158,7 +160,7 @@
 	resp, c, outcome := p.exchange(ctx, begin, e, func(addr string) (rendered, error) {
 		told := waits(until)
 		until = time.Now().Add(told)
-		out, err := request(addr, "/hook", "", it.record, it.Body, told)
+		out, err := request(addr, "/hook", "", it.Record, it.Body, told)
 		return rendered{text: out, permits: []sendPermit{it.permit}, alone: true}, err
 	})
 	if c != nil {
@@ -233,7 +235,7 @@
 		}
 		told := waits(until)
 		until = time.Now().Add(told)
-		out, err := request(addr, "/hook/batch", "application/json", record{}, body, told)
+		out, err := request(addr, "/hook/batch", "application/json", journal.Record{}, body, told)
 		return rendered{text: out, permits: permits, by: by, way: items[0].call}, err
 	})
 	if c != nil {
--- a/internal/sender/endpoints_test.go
+++ b/internal/sender/endpoints_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -25,7 +26,7 @@
 func callOnce(p *pool, e *endpoint, timeout time.Duration, body string) dispatch.AttemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return p.call(ctx, ctx, e, batchItem{record: record{ID: "id", Key: "key", Body: []byte(body)}}, timeout)
+	return p.call(ctx, ctx, e, batchItem{Record: journal.Record{ID: "id", Key: "key", Body: []byte(body)}}, timeout)
 }
 
 func TestOutcomes(t *testing.T) {
@@ -124,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
 	p.closeIdle(at, 0)
-	p.callMany(ctx, ctx, at, []batchItem{{record: record{ID: "a"}, state: new(atomic.Int32)}}, st.Wait)
+	p.callMany(ctx, ctx, at, []batchItem{{Record: journal.Record{ID: "a"}, state: new(atomic.Int32)}}, st.Wait)
 	if told := toldTime(e.Next(t)); told > st.Wait-took {
 		t.Errorf("told %v in a shared call", told)
 	}
@@ -236,7 +237,7 @@
 			e := st.NewEndpoint(t, c.answer)
 			ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 			defer cancel()
-			items := []batchItem{{record: record{ID: "a", Key: "k", Body: []byte{0, 255, '"'}}}, {record: record{ID: "b"}}, {record: record{ID: "c"}}}
+			items := []batchItem{{Record: journal.Record{ID: "a", Key: "k", Body: []byte{0, 255, '"'}}}, {Record: journal.Record{ID: "b"}}, {Record: journal.Record{ID: "c"}}}
 			for i := range items {
 				items[i].state = new(atomic.Int32)
 			}
@@ -293,10 +294,10 @@
 			defer cancel()
 			got := []dispatch.AttemptResult{}
 			if c.shared {
-				items := []batchItem{{record: record{ID: "a"}, state: new(atomic.Int32)}, {record: record{ID: "b"}, state: new(atomic.Int32)}}
+				items := []batchItem{{Record: journal.Record{ID: "a"}, state: new(atomic.Int32)}, {Record: journal.Record{ID: "b"}, state: new(atomic.Int32)}}
 				got = p.callMany(ctx, ctx, at, items, told)
 			} else {
-				got = append(got, p.call(ctx, ctx, at, batchItem{record: record{ID: "a"}}, told))
+				got = append(got, p.call(ctx, ctx, at, batchItem{Record: journal.Record{ID: "a"}}, told))
 			}
 			for _, end := range got {
 				if end != c.want {
@@ -385,7 +386,7 @@
 	st.Receive(t, closed)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan dispatch.AttemptResult, 1)
-	go func() { ended <- p.call(ctx, ctx, at, batchItem{record: record{ID: "id"}}, st.Wait) }()
+	go func() { ended <- p.call(ctx, ctx, at, batchItem{Record: journal.Record{ID: "id"}}, st.Wait) }()
 	e.Next(t)
 	e.Next(t)
 	cancel()
@@ -486,7 +487,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), restTime+300*time.Millisecond)
 			defer cancel()
-			items := []batchItem{{record: record{ID: "a"}, state: new(atomic.Int32)}}
+			items := []batchItem{{Record: journal.Record{ID: "a"}, state: new(atomic.Int32)}}
 			if ends := testPool().callMany(ctx, ctx, &endpoint{addr: e.Addr}, items, time.Second); ends[0].Outcome == dispatch.Served || ctx.Err() == nil {
 				t.Errorf("of a shared call: %+v, %v", ends, ctx.Err())
 			}
@@ -533,7 +534,7 @@
 		for quiet(taken.Conn) { // until it has come here
 			time.Sleep(time.Millisecond)
 		}
-		text, err := request(addr, "/hook", "", record{ID: "second"}, nil, time.Second)
+		text, err := request(addr, "/hook", "", journal.Record{ID: "second"}, nil, time.Second)
 		return rendered{text: text, permits: []sendPermit{{}}}, err
 	})
 	if resp == nil || resp.StatusCode != http.StatusServiceUnavailable {
@@ -584,7 +585,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	p := newPool(&Config{ConnectTimeout: time.Second, Limits: Limits{Sockets: 64}})
-	p.call(ctx, ctx, &endpoint{addr: l.Addr().String()}, batchItem{record: record{ID: "id"}}, 50*time.Millisecond)
+	p.call(ctx, ctx, &endpoint{addr: l.Addr().String()}, batchItem{Record: journal.Record{ID: "id"}}, 50*time.Millisecond)
 	if err := st.Receive(t, ended); err == nil {
 		t.Error("the connection ended in order")
 	}
@@ -608,8 +609,8 @@
 	s.pool.dialer.Control = func(string, string, syscall.RawConn) error { <-up; return nil }
 	var items []batchItem
 	for id, it := range map[string]batchItem{"a": short, "b": {timeout: st.Wait}} {
-		it.message = &message{storedMessage: &storedMessage{record: record{ID: id}}, calls: map[int]*outCall{}}
-		it.record, it.lastAttempt = it.message.record, true
+		it.message = &message{Message: &journal.Message{Record: journal.Record{ID: id}}, calls: map[int]*outCall{}}
+		it.Record, it.lastAttempt = it.message.Record, true
 		items = append(items, it)
 	}
 	s.startCall(context.Background(), &endpoint{addr: e.Addr, most: len(items)}, items, true)
@@ -638,7 +639,7 @@
 	begin, end := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer end()
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-begin.Done(); return nil }
-	if got := p.call(ctx, begin, at, batchItem{record: record{ID: "late"}}, st.Wait); got.Outcome != dispatch.ConnectFailed {
+	if got := p.call(ctx, begin, at, batchItem{Record: journal.Record{ID: "late"}}, st.Wait); got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("begun too late: %+v", got)
 	}
 	if got := callOnce(p, at, st.Wait, "next"); got.Outcome != dispatch.Served {
@@ -664,8 +665,8 @@
 	s := newTest(t, st.NewPlatform(t), nil)
 	var items []batchItem
 	for id, timeout := range map[string]time.Duration{"a": 50 * time.Millisecond, "b": time.Hour} {
-		it := batchItem{record: record{ID: id, Body: make([]byte, 20<<10)}, timeout: timeout, lastAttempt: true}
-		it.message = &message{storedMessage: &storedMessage{record: it.record}, calls: map[int]*outCall{}}
+		it := batchItem{Record: journal.Record{ID: id, Body: make([]byte, 20<<10)}, timeout: timeout, lastAttempt: true}
+		it.message = &message{Message: &journal.Message{Record: it.Record}, calls: map[int]*outCall{}}
 		items = append(items, it)
 	}
 	s.startCall(context.Background(), &endpoint{addr: l.Addr().String(), most: len(items)}, items, true)
--- a/internal/sender/environment.go
+++ b/internal/sender/environment.go
@@ -1,11 +1,12 @@
 package sender
 
 import (
-	"io"
 	"net"
 	"os"
 	"syscall"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
 // Environment is what a sender takes from its operating system where that may fail or mislead: clocks, the state
@@ -25,34 +26,11 @@
 
 // OperatingSystem is the environment of a sender in service.
 func OperatingSystem() Environment {
-	return Environment{Wall: time.Now, Files: osFiles{}, ReadFile: os.ReadFile}
-}
-
-// File is an open file of the state folder.
-type File interface {
-	io.Reader
-	io.Writer
-	io.Closer
-}
-
-// FileSystem is the part of a file system that the journal needs. Its errors are those of package os.
-type FileSystem interface {
-	OpenFile(path string, flag int, mode os.FileMode) (File, error)
-	Rename(from, to string) error
-	Remove(path string) error
+	return Environment{Wall: time.Now, Files: journal.OSFileSystem{}, ReadFile: os.ReadFile}
 }
 
-// osFiles is the operating system's file system.
-type osFiles struct{}
-
-func (osFiles) OpenFile(path string, flag int, mode os.FileMode) (File, error) {
-	f, err := os.OpenFile(path, flag, mode)
-	if err != nil {
-		return nil, err // a nil *os.File would be a File that is not nil
-	}
-	return f, nil
-}
-
-func (osFiles) Rename(from, to string) error { return os.Rename(from, to) }
-
-func (osFiles) Remove(path string) error { return os.Remove(path) }
+// File and FileSystem are the journal's.
+type (
+	File       = journal.File
+	FileSystem = journal.FileSystem
+)
--- a/internal/sender/faults_test.go
+++ b/internal/sender/faults_test.go
@@ -19,6 +19,8 @@
 	"testing"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -222,7 +224,7 @@
 			old, kept, fresh := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 			p := st.NewPlatform(t, old.Addr, kept.Addr)
 			folder := t.TempDir()
-			var known Targets
+			var known endpointlist.Update
 			first := live(t, OperatingSystem(), p, func(c *Config) { c.State, known = folder, c.Known })
 			p.Change(st.Target("s-0", old.Addr, 0, state))
 			p.Change(st.Target("s-2", fresh.Addr, 0, "SERVING"))
@@ -376,7 +378,7 @@
 
 // failingFiles fails what a test wants to fail, and otherwise is the operating system's.
 type failingFiles struct {
-	osFiles
+	journal.OSFileSystem
 	open  func(path string, flag int) error
 	write func(b []byte) error
 }
@@ -387,7 +389,7 @@
 			return nil, err
 		}
 	}
-	file, err := f.osFiles.OpenFile(path, flag, mode)
+	file, err := f.OSFileSystem.OpenFile(path, flag, mode)
 	if err != nil || f.write == nil {
 		return file, err
 	}
--- a/internal/sender/format_test.go
+++ b/internal/sender/format_test.go
@@ -4,17 +4,15 @@
 	"bytes"
 	"encoding/gob"
 	"fmt"
-	"hash/crc32"
 	"os"
 	"path/filepath"
 	"reflect"
-	"regexp"
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
@@ -47,144 +45,6 @@
 	}
 }
 
-// farAhead is a time that no test reaches: what is dropped with age stays.
-const farAhead = 200 * 365 * 24 * time.Hour
-
-var goldenRules = rules{Effect: dispatch.IdempotentByKey, KeyScopedToZone: true, Ordered: true, MaxAttempts: 5, LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second,
-	IdempotencyWindow: 6 * time.Second, PriorityWeight: 1.5, LateWeight: 0.25}
-
-// writeGoldenJournal writes a record of every kind.
-func writeGoldenJournal(t *testing.T, j *journal) {
-	t.Helper()
-	take := func(id string, effect dispatch.Effect) *storedMessage {
-		r := goldenRules
-		r.Effect = effect
-		m, err := j.take(record{ID: id, Key: "key-" + id, Class: "class-" + id, Tenant: "tenant", Destination: 7, Deadline: farAhead,
-			Rules: &r, Body: []byte("body of " + id)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return m
-	}
-	j.appendEndpointList(41, []Target{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "z-2", Kind: "k-1", Cell: 3, State: "SERVING", Weight: 12.5},
-		{ID: "s-2", Addr: "127.0.0.1:2", Cell: 4, State: "DRAINING"}, {ID: "s-3", State: "DELETED"}})
-	j.appendOutages([]storedOutage{{Destination: 3, Since: 100, StartedAt: 90, RateBefore: 2.5}, {Destination: 4, Endpoint: "s-2", WarmingUp: true, Since: 120, StartedAt: 80, RateBefore: 0.5},
-		{Destination: 5, Since: 1, StartedAt: 1}, {Destination: 5, Resolved: true}})
-	waiting, tried := take("waiting", dispatch.Idempotent), take("tried", dispatch.IdempotentByKey)
-	j.append(tried, record{Op: "send", Attempt: 0, Sent: &attempt{SentAt: 1000, Endpoint: "s-1", Zone: 2}})
-	j.append(tried, record{Op: "end", Attempt: 0, NeverRan: true})
-	j.append(tried, record{Op: "send", Attempt: 1, Sent: &attempt{SentAt: 2000, Endpoint: "s-2"}})
-	j.append(tried, record{Op: "end", Attempt: 1})
-	for id, how := range map[string]string{"delivered": delivered, "answered": answered} {
-		j.append(take(id, dispatch.NonIdempotent), record{Op: "over", Outcome: how})
-	}
-	j.append(take("given-up", dispatch.NonIdempotent), record{Op: "over", Outcome: givenUp})
-	j.append(take("handed-back", dispatch.Idempotent), record{Op: "over", Outcome: returned, RetryAfterMS: 750})
-	told := take("told", dispatch.NonIdempotent)
-	j.append(told, record{Op: "over", Outcome: givenUp})
-	j.append(told, record{Op: "told"})
-	if err := j.flush(); err != nil || waiting == nil {
-		t.Fatal(err)
-	}
-}
-
-var (
-	journalLine = regexp.MustCompile(`(?m)^([0-9a-f]{8}) (\{.*\})$`)
-	writtenAt   = regexp.MustCompile(`"at":[0-9]{12,}`)
-	clockLine   = regexp.MustCompile(`"clock":\{"boot":"[^"]*","offset":-?[0-9]+,"uptime":[0-9]+\}`)
-)
-
-// journalText is a journal's lines without their checksums, which are checked, and without the times of writing.
-func journalText(t *testing.T, raw []byte) string {
-	t.Helper()
-	var lines []string
-	for line := range strings.Lines(string(raw)) {
-		parts := journalLine.FindStringSubmatch(strings.TrimSuffix(line, "\n"))
-		if parts == nil || parts[1] != fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(parts[2]))) {
-			t.Fatalf("a line with no right checksum: %q", line)
-		}
-		text := clockLine.ReplaceAllString(parts[2], `"clock":{"boot":"B","offset":0,"uptime":0}`)
-		lines = append(lines, writtenAt.ReplaceAllString(text, `"at":1`))
-	}
-	return strings.Join(lines, "\n") + "\n"
-}
-
-func TestJournalIsWrittenAsReleased(t *testing.T) {
-	dir := t.TempDir()
-	j := openTest(t, dir, 1<<20)
-	writeGoldenJournal(t, j)
-	raw, err := os.ReadFile(filepath.Join(dir, "messages.journal"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := strings.SplitAfter(journalText(t, raw), "\n")
-	slices.Sort(lines) // two of them are written in no fixed order
-	golden(t, "journal/written.txt", strings.Join(lines, ""))
-}
-
-// readGoldenJournal opens a copy of a journal that the release wrote.
-func readGoldenJournal(t *testing.T) (j *journal, dir string) {
-	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", "journal", "messages.journal"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	dir = t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "messages.journal"), raw, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return openTest(t, dir, 1<<20), dir
-}
-
-func TestAReleasedJournalIsReadWithEqualState(t *testing.T) {
-	j, dir := readGoldenJournal(t)
-	if j.damaged != 0 || len(j.byID) != 4 {
-		t.Fatalf("%d damaged lines, %d messages", j.damaged, len(j.byID))
-	}
-	if m := j.byID["waiting"]; m == nil || m.Key != "key-waiting" || m.Class != "class-waiting" || m.Tenant != "tenant" || m.Destination != 7 ||
-		m.Deadline != farAhead || string(m.Body) != "body of waiting" || len(m.Attempts) != 0 || m.outcome != "" {
-		t.Errorf("waiting is read as %+v", m)
-	}
-	if m := j.byID["waiting"]; m == nil || m.Rules == nil {
-		t.Errorf("waiting has no rules: %+v", m)
-	} else {
-		want := goldenRules
-		want.Effect = dispatch.Idempotent
-		if *m.Rules != want {
-			t.Errorf("waiting has the rules %+v", *m.Rules)
-		}
-	}
-	if m := j.byID["tried"]; m == nil || m.Rules.Effect != dispatch.IdempotentByKey || !slices.Equal(m.Attempts,
-		[]attempt{{SentAt: 1000, Endpoint: "s-1", Zone: 2, NeverRan: true}, {SentAt: 2000, Endpoint: "s-2"}}) {
-		t.Errorf("tried is read as %+v", m)
-	}
-	if m := j.byID["given-up"]; m == nil || m.outcome != givenUp || m.Rules.Effect != dispatch.NonIdempotent {
-		t.Errorf("given-up is read as %+v", m)
-	}
-	if m := j.byID["handed-back"]; m == nil || m.outcome != returned || m.retryAfterMS != 750 {
-		t.Errorf("handed-back is read as %+v", m)
-	}
-	if !j.knows("past") {
-		t.Error("the id of a message that ended is not known")
-	}
-	wantList := []Target{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "z-2", Kind: "k-1", Cell: 3, State: "SERVING", Weight: 12.5},
-		{ID: "s-2", Addr: "127.0.0.1:2", Cell: 4, State: "DRAINING"}, {ID: "s-3", State: "DELETED"}}
-	if j.endpointList.version != 41 || !slices.Equal(j.endpointList.changes, wantList) {
-		t.Errorf("the list is read as %+v", j.endpointList)
-	}
-	wantOutages := []storedOutage{{Destination: 3, Since: 100, StartedAt: 90, RateBefore: 2.5}, {Destination: 4, Endpoint: "s-2", WarmingUp: true, Since: 120, StartedAt: 80, RateBefore: 0.5}}
-	if !slices.Equal(j.outages.outages, wantOutages) {
-		t.Errorf("the outages are read as %+v", j.outages.outages)
-	}
-	raw, err := os.ReadFile(filepath.Join(dir, "messages.journal"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := strings.SplitAfter(journalText(t, raw), "\n")
-	slices.Sort(lines)
-	golden(t, "journal/compacted.txt", strings.Join(lines, ""))
-}
-
 func TestStoredWordsAndNumbers(t *testing.T) {
 	for effect, number := range map[dispatch.Effect]uint8{dispatch.Idempotent: 0, dispatch.IdempotentByKey: 1, dispatch.NonIdempotent: 2} {
 		if uint8(effect) != number {
@@ -199,8 +59,8 @@
 			t.Errorf("outcome %s is told as %s", word, outcome)
 		}
 	}
-	for got, want := range map[string]string{delivered: "delivered", answered: "answered", givenUp: "given_up", returned: "handed_back",
-		journalName: "messages.journal"} {
+	for got, want := range map[string]string{journal.OutcomeDelivered: "delivered", journal.OutcomeAnswered: "answered", journal.OutcomeGivenUp: "given_up", journal.OutcomeReturned: "handed_back",
+		journal.FileName: "messages.journal"} {
 		if got != want {
 			t.Errorf("%s is written as %s", want, got)
 		}
--- a/internal/sender/frozen.go
+++ b/internal/sender/frozen.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
 type frozenPacket struct {
@@ -262,7 +264,7 @@
 func (f *frozenSnapshot) thaw() *snapshot {
 	s := &snapshot{ListVersion: f.ListVersion, BackoffUntil: f.Rests, Dispatcher: f.Memory.thaw()}
 	for _, t := range f.Endpoints {
-		s.Endpoints = append(s.Endpoints, Target{ID: t.ID, Addr: t.Addr, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell,
+		s.Endpoints = append(s.Endpoints, endpointlist.Endpoint{ID: t.ID, Addr: t.Addr, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell,
 			State: t.State, Weight: t.Weight})
 	}
 	for _, l := range f.Flights {
@@ -306,7 +308,7 @@
 	return e
 }
 
-func freezeRecord(r record) frozenRecord {
+func freezeRecord(r journal.Record) frozenRecord {
 	f := frozenRecord{Op: r.Op, ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Dest: r.Destination, Deadline: r.Deadline, Body: r.Body}
 	if r.Rules != nil {
 		f.Rules = &frozenRules{Effect: uint8(r.Rules.Effect), InZone: r.Rules.KeyScopedToZone, Ordered: r.Rules.Ordered,
@@ -319,15 +321,15 @@
 	return f
 }
 
-func (f frozenRecord) thaw() record {
-	r := record{Op: f.Op, ID: f.ID, Key: f.Key, Class: f.Class, Tenant: f.Tenant, Destination: f.Dest, Deadline: f.Deadline, Body: f.Body}
+func (f frozenRecord) thaw() journal.Record {
+	r := journal.Record{Op: f.Op, ID: f.ID, Key: f.Key, Class: f.Class, Tenant: f.Tenant, Destination: f.Dest, Deadline: f.Deadline, Body: f.Body}
 	if f.Rules != nil {
-		r.Rules = &rules{Effect: dispatch.Effect(f.Rules.Effect), KeyScopedToZone: f.Rules.InZone, Ordered: f.Rules.Ordered,
+		r.Rules = &journal.Rules{Effect: dispatch.Effect(f.Rules.Effect), KeyScopedToZone: f.Rules.InZone, Ordered: f.Rules.Ordered,
 			MaxAttempts: f.Rules.Attempts, LatencyObjective: f.Rules.Aim, Deadline: f.Rules.Deadline, IdempotencyWindow: f.Rules.Window,
 			PriorityWeight: f.Rules.Worth, LateWeight: f.Rules.LateWorth}
 	}
 	for _, t := range f.Tries {
-		r.Attempts = append(r.Attempts, attempt{SentAt: t.At, Endpoint: t.Endpoint, Zone: t.Zone, NeverRan: t.Never})
+		r.Attempts = append(r.Attempts, journal.Attempt{SentAt: t.At, Endpoint: t.Endpoint, Zone: t.Zone, NeverRan: t.Never})
 	}
 	return r
 }
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -164,7 +164,7 @@
 
 // mayHandOver reports whether the journal holds all that a newcomer has to know. If not, that has to ask again.
 func (s *Sender) canHandOver(ctx context.Context, to *link) bool {
-	if !s.journal.failed || s.journal.compact() == nil {
+	if !s.journal.Failed() || s.journal.Compact() == nil {
 		return true
 	}
 	s.log.Warn("no hand-over while the journal cannot be written")
@@ -194,9 +194,9 @@
 	}
 	s.handedSnapshot, s.handedBackoff = st.Dispatcher, st.BackoffUntil
 	s.log.Info("handing over", "held", s.pending, "calls", len(st.InFlight))
-	s.journal.flush()
-	s.journal.compact() // the successor reads it while clients wait; where it fails, the longer file says the same
-	if err := s.journal.close(); err != nil {
+	s.journal.Flush()
+	s.journal.Compact() // the successor reads it while clients wait; where it fails, the longer file says the same
+	if err := s.journal.Close(); err != nil {
 		s.log.Warn("journal", "err", err)
 	}
 	s.journal = nil
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -481,12 +482,12 @@
 		defer close(took)
 		l, _, _ := takeOver(t, state)
 		defer l.close()
-		j, err := openJournal(osFiles{}, clock.New(time.Now()), state, 1<<20)
+		j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), state, 1<<20)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		if m := j.byID["m"]; m != nil {
+		if m := j.Message("m"); m != nil {
 			t.Errorf("a message that was delivered is handed over as held: %+v", m.Attempts)
 		}
 	}()
--- a/internal/sender/invariants.go
+++ b/internal/sender/invariants.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
@@ -176,11 +177,11 @@
 // permitOf is what is to be known of m, whose newest attempt in the record is the one that asks.
 func sendPermitFor(m *message, kept map[int]*outCall, now time.Duration) sendPermit {
 	p := sendPermit{id: m.ID, inFlight: len(kept)}
-	if m.storedMessage == nil || m.Rules == nil || len(m.Attempts) == 0 {
+	if m.Message == nil || m.Rules == nil || len(m.Attempts) == 0 {
 		return p
 	}
-	earlier := storedMessage{record: record{Attempts: m.Attempts[:len(m.Attempts)-1]}}
-	first, ran := earlier.firstRun()
+	earlier := journal.Message{Record: journal.Record{Attempts: m.Attempts[:len(m.Attempts)-1]}}
+	first, ran := earlier.FirstRun()
 	p.mayHaveRun = ran
 	switch m.Rules.Effect {
 	case dispatch.NonIdempotent:
--- a/internal/sender/invariants_test.go
+++ b/internal/sender/invariants_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -79,23 +80,23 @@
 	t.Parallel()
 	second, now := time.Second, 100*time.Second
 	for name, c := range map[string]struct {
-		rules rules
-		tries []attempt
+		rules journal.Rules
+		tries []journal.Attempt
 		out   int
 		want  Rule
 	}{
-		"a first attempt":              {rules: rules{Effect: dispatch.NonIdempotent}, tries: []attempt{{SentAt: now}}},
-		"a safe repeat":                {rules: rules{Effect: dispatch.Idempotent}, tries: []attempt{{SentAt: 0}, {SentAt: now}}},
-		"an unsafe repeat":             {rules: rules{Effect: dispatch.NonIdempotent}, tries: []attempt{{SentAt: now - second}, {SentAt: now}}, want: RuleRepeat},
-		"unsafe, never ran":            {rules: rules{Effect: dispatch.NonIdempotent}, tries: []attempt{{SentAt: now - second, NeverRan: true}, {SentAt: now}}},
-		"a key that is remembered":     {rules: rules{Effect: dispatch.IdempotentByKey, IdempotencyWindow: 2 * second}, tries: []attempt{{SentAt: now - second}, {SentAt: now}}},
-		"a key that is forgotten":      {rules: rules{Effect: dispatch.IdempotentByKey, IdempotencyWindow: second / 2}, tries: []attempt{{SentAt: now - second}, {SentAt: now}}, want: RuleRepeat},
-		"a second attempt at one time": {rules: rules{Effect: dispatch.Idempotent}, tries: []attempt{{SentAt: now - second}, {SentAt: now}}, out: 1, want: RuleConcurrent},
+		"a first attempt":              {rules: journal.Rules{Effect: dispatch.NonIdempotent}, tries: []journal.Attempt{{SentAt: now}}},
+		"a safe repeat":                {rules: journal.Rules{Effect: dispatch.Idempotent}, tries: []journal.Attempt{{SentAt: 0}, {SentAt: now}}},
+		"an unsafe repeat":             {rules: journal.Rules{Effect: dispatch.NonIdempotent}, tries: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, want: RuleRepeat},
+		"unsafe, never ran":            {rules: journal.Rules{Effect: dispatch.NonIdempotent}, tries: []journal.Attempt{{SentAt: now - second, NeverRan: true}, {SentAt: now}}},
+		"a key that is remembered":     {rules: journal.Rules{Effect: dispatch.IdempotentByKey, IdempotencyWindow: 2 * second}, tries: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}},
+		"a key that is forgotten":      {rules: journal.Rules{Effect: dispatch.IdempotentByKey, IdempotencyWindow: second / 2}, tries: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, want: RuleRepeat},
+		"a second attempt at one time": {rules: journal.Rules{Effect: dispatch.Idempotent}, tries: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, out: 1, want: RuleConcurrent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g, _ := testGuard()
-			m := &message{storedMessage: &storedMessage{record: record{ID: "m", Rules: &c.rules, Attempts: c.tries}}, calls: map[int]*outCall{}}
+			m := &message{Message: &journal.Message{Record: journal.Record{ID: "m", Rules: &c.rules, Attempts: c.tries}}, calls: map[int]*outCall{}}
 			for n := range c.out {
 				m.calls[n] = &outCall{}
 			}
--- a/internal/sender/leaving_test.go
+++ b/internal/sender/leaving_test.go
@@ -20,6 +20,7 @@
 
 	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -50,17 +51,31 @@
 }
 
 // left waits for the end, and gives the messages that the next process finds.
-func (l *leaver) left(t *testing.T) map[string]*storedMessage {
+func (l *leaver) left(t *testing.T) map[string]*journal.Message {
 	t.Helper()
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	j, err := openJournal(osFiles{}, clock.New(time.Now()), l.stateDir, 1<<20)
+	j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), l.stateDir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer j.close()
-	return j.byID
+	defer j.Close()
+	held := map[string]*journal.Message{}
+	for _, m := range j.Messages() {
+		held[m.ID] = m
+	}
+	return held
+}
+
+// openJournal opens a state directory's journal.
+func openJournal(t *testing.T, dir string, budget int64) *journal.Journal {
+	t.Helper()
+	j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), dir, budget)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return j
 }
 
 // While it leaves, a request that was written on a connection that stood gets a whole answer, or was never taken on and
@@ -430,11 +445,11 @@
 func TestARequestThatComesTwiceAtOnceHasOneAnswer(t *testing.T) {
 	t.Parallel()
 	s := newTest(t, st.NewPlatform(t, "127.0.0.1:1"), func(c *Config) { c.Settings.MaxPendingMessages = 20 })
-	defer s.journal.close()
+	defer s.journal.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	hand := func(id string) submission {
-		return submission{record: record{ID: id, Class: "safe", Tenant: "acme", Destination: 5, Deadline: s.clock.Now() + time.Minute},
+		return submission{Record: journal.Record{ID: id, Class: "safe", Tenant: "acme", Destination: 5, Deadline: s.clock.Now() + time.Minute},
 			answer: make(chan clientResponse, 1)}
 	}
 	for i := range 19 {
@@ -529,14 +544,14 @@
 	classes := []string{"safe", "keyed", "unsafe"}
 	began := time.Now()
 	s := newTest(t, p, func(c *Config) {
-		j := openTest(t, c.State, 1<<20)
+		j := openJournal(t, c.State, 1<<20)
 		for i := range many {
-			if _, err := j.take(record{ID: strconv.Itoa(i), Key: "k" + strconv.Itoa(i), Class: classes[i%3], Tenant: "acme",
+			if _, err := j.Accept(journal.Record{ID: strconv.Itoa(i), Key: "k" + strconv.Itoa(i), Class: classes[i%3], Tenant: "acme",
 				Deadline: clock.New(time.Now()).Now() + 15*time.Second}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := j.close(); err != nil {
+		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 		c.Settings.MaxPendingMessages, c.Discovery = 50, "127.0.0.1:1" // less room than before
@@ -563,11 +578,11 @@
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, func(c *Config) {
-		j := openTest(t, c.State, 1<<20)
-		if _, err := j.take(record{ID: "m", Class: "unsafe", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + time.Minute}); err != nil {
+		j := openJournal(t, c.State, 1<<20)
+		if _, err := j.Accept(journal.Record{ID: "m", Class: "unsafe", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + time.Minute}); err != nil {
 			t.Fatal(err)
 		}
-		if err := j.close(); err != nil {
+		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -576,11 +591,11 @@
 	if err := s.Run(ctx, func() (net.Listener, error) { t.Error("it listens"); return nil, net.ErrClosed }); err != nil {
 		t.Error(err)
 	}
-	j := openTest(t, s.stateDir, 1<<20)
-	if m := j.byID["m"]; m == nil || len(m.Attempts) > 0 {
+	j := openJournal(t, s.stateDir, 1<<20)
+	if m := j.Message("m"); m == nil || len(m.Attempts) > 0 {
 		t.Errorf("it leaves %+v", m)
 	}
-	j.close()
+	j.Close()
 	run(t, p, func(c *Config) { c.State = s.stateDir })
 	if c := e.Next(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s", c.ID)
--- a/internal/sender/link.go
+++ b/internal/sender/link.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
 // What two processes tell one another in a hand-over, and the connection between them.
@@ -29,7 +31,7 @@
 // snapshot is what a process hands over beside the journal.
 type snapshot struct {
 	ListVersion  int64
-	Endpoints    []Target // by the module's number, those that are gone as DELETED
+	Endpoints    []endpointlist.Endpoint // by the module's number, those that are gone as DELETED
 	InFlight     []inFlightAttempt
 	BackoffUntil map[string]time.Duration // until when messages rest after a failed attempt
 	Dispatcher   dispatch.Snapshot
@@ -63,7 +65,7 @@
 
 type forwardedSubmission struct {
 	Sequence uint64
-	Record   record
+	Record   journal.Record
 }
 
 type forwardedResponse struct {
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -2,6 +2,7 @@
 
 import (
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
@@ -35,13 +36,13 @@
 
 // logList logs what a list changes: one line, and where the log level asks for it one for each endpoint that takes nothing
 // new any more.
-func (s *Sender) logList(version int64, changes []Target) {
+func (s *Sender) logList(version int64, changes []endpointlist.Endpoint) {
 	if len(changes) == 0 {
 		return
 	}
 	stopped := 0
 	for _, t := range changes {
-		if t.State != stateServing {
+		if t.State != endpointlist.StateServing {
 			stopped++
 			s.log.Debug("endpoint stops", "endpoint", t.ID, "state", t.State, "version", version)
 		}
@@ -49,13 +50,13 @@
 	s.log.Info("list changed", "version", version, "endpoints", len(changes), "not_serving", stopped)
 }
 
-func (s *Sender) applyEndpointList(t Targets, whole bool) dispatch.Event {
+func (s *Sender) applyEndpointList(t endpointlist.Update, whole bool) dispatch.Event {
 	news := dispatch.EndpointListUpdate{Full: whole}
 	s.listVersion = t.Version
 	if whole {
 		s.list.clear()
 	}
-	for _, line := range t.Servers {
+	for _, line := range t.Endpoints {
 		news.Endpoints = append(news.Endpoints, s.list.line(line, s.config, s.pool))
 	}
 	return news
--- a/internal/sender/listwatch.go
+++ b/internal/sender/listwatch.go
@@ -16,6 +16,7 @@
 	"net/http/httptrace"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
@@ -98,7 +99,7 @@
 
 // listAnswer is how a call for the list ended.
 type listAnswer struct {
-	Targets
+	endpointlist.Update
 	err   error
 	first bool // it was not a hedge
 	late  time.Duration
@@ -106,7 +107,7 @@
 
 // ask makes a call for the list and hedges it while it stays unanswered. The first list that comes counts, and the failure
 // of the first call.
-func (d *discovery) ask(ctx context.Context, base string, after int64, patience time.Duration) (Targets, error) {
+func (d *discovery) ask(ctx context.Context, base string, after int64, patience time.Duration) (endpointlist.Update, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	due := time.Duration(0)
@@ -135,7 +136,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return Targets{}, ctx.Err()
+			return endpointlist.Update{}, ctx.Err()
 		case <-hedge.C:
 			if d.mayHedge() {
 				d.figures.CountReason(metrics.ReasonDiscovery, hedgedCall)
@@ -157,7 +158,7 @@
 				d.answered(a.late)
 			}
 			if a.first || a.err == nil {
-				return a.Targets, a.err
+				return a.Update, a.err
 			}
 		}
 	}
@@ -182,7 +183,7 @@
 // watch follows the list from a version on, -1 for none, until a call fails; then it returns. The next
 // call goes out as soon as an answer is passed on: a gap would end the watch. Answers without news are passed on only if
 // they are the first.
-func (d *discovery) watch(ctx context.Context, base string, version int64, failures int, news func(Targets)) error {
+func (d *discovery) watch(ctx context.Context, base string, version int64, failures int, news func(endpointlist.Update)) error {
 	for first := true; ; first = false {
 		t, err := d.ask(ctx, base, version, d.patience(version, failures))
 		if err == nil {
@@ -193,7 +194,7 @@
 		}
 		fresh := t.Version != version
 		version, failures = t.Version, 0
-		if first || fresh || len(t.Servers) > 0 {
+		if first || fresh || len(t.Endpoints) > 0 {
 			news(t)
 		}
 		d.fresh.renew() // behind the news
@@ -210,7 +211,7 @@
 // follow watches when asked to. After a failure the list is asked for whole, as changes may have been missed;
 // who asks decides when, and failures in a row are told of ever later. A first failure that is mere silence is not told: a watch
 // may be broken alone, and the next call is made at once, on a connection of its own.
-func (d *discovery) follow(ctx context.Context, version int64, asked <-chan struct{}, news func(Targets), failed func(error)) {
+func (d *discovery) follow(ctx context.Context, version int64, asked <-chan struct{}, news func(endpointlist.Update), failed func(error)) {
 	failures := 0
 	d.held = version
 	d.heard()
@@ -226,7 +227,7 @@
 		var err error
 		for again := true; again; version = -1 { // at a new address it goes on at once, from the whole list
 			base, here, cancel := d.at(ctx)
-			err = d.watch(here, base, version, failures, func(t Targets) {
+			err = d.watch(here, base, version, failures, func(t endpointlist.Update) {
 				failures = 0
 				news(t)
 			})
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -15,6 +15,8 @@
 
 	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
@@ -44,7 +46,7 @@
 	log        *slog.Logger
 	clock      *clock.Clock
 	dispatcher *dispatch.Dispatcher
-	journal    *journal
+	journal    *journal.Journal
 	pool       *pool
 	list       endpoints
 	discovery  *discovery
@@ -94,7 +96,7 @@
 }
 
 type (
-	endpointListEvent    struct{ Targets }
+	endpointListEvent    struct{ endpointlist.Update }
 	discoveryFailedEvent struct{ err error }
 	retryAfterEvent      struct {
 		endpoint dispatch.EndpointID
@@ -139,19 +141,19 @@
 }
 
 func (s *Sender) openJournal(ctx context.Context) error {
-	var j *journal
+	var j *journal.Journal
 	err := retry.OnTransient(ctx, s.log, "the journal", func() (err error) {
-		j, err = openJournal(s.env.Files, s.clock, s.config.State, int64(s.config.Limits.DiskMB*1e6*journalDiskShare))
+		j, err = journal.Open(s.env.Files, s.clock, s.config.State, int64(s.config.Limits.DiskMB*1e6*journalDiskShare))
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if j.failed {
+	if j.Failed() {
 		s.log.Warn("the journal can't be written: nothing is taken on until it can", "folder", s.config.State)
 	}
-	if j.damaged > 0 {
-		s.log.Warn("the journal holds damaged records", "lines", j.damaged)
+	if j.DamagedLines() > 0 {
+		s.log.Warn("the journal holds damaged records", "lines", j.DamagedLines())
 	}
 	s.journal = j
 	return nil
@@ -279,7 +281,7 @@
 // followDiscovery begins to watch the list, from the version that is known, and to tell notices.
 func (s *Sender) startDiscovery(work context.Context, st *snapshot) {
 	known := s.config.Known.Version
-	if len(s.config.Known.Servers) == 0 {
+	if len(s.config.Known.Endpoints) == 0 {
 		known = -1
 	}
 	if st != nil {
@@ -291,7 +293,7 @@
 	}
 	s.discovery.keepSpare()
 	go s.discovery.follow(work, known, s.watchRequests,
-		func(t Targets) { s.post(work, endpointListEvent{t}) }, func(err error) { s.post(work, discoveryFailedEvent{err}) })
+		func(t endpointlist.Update) { s.post(work, endpointListEvent{t}) }, func(err error) { s.post(work, discoveryFailedEvent{err}) })
 	go s.discovery.tell(work, s.noticeBatches, func(n []notice) { s.post(work, noticesDeliveredEvent{n}) })
 	if !s.config.Settings.PollsEndpointList {
 		s.requestEndpointList()
@@ -350,7 +352,7 @@
 	}
 	var err error
 	if s.journal != nil {
-		err = s.journal.close()
+		err = s.journal.Close()
 	}
 	if s.lock != nil {
 		withHandOverSocket(s.stateDir, os.Remove) // ours, as long as we hold the lock
@@ -378,23 +380,23 @@
 		s.dispatch(ctx, s.endpointListEvents())
 		s.dispatcher.Restore(st.Dispatcher)
 	} else {
-		s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(s.journal.endpointList.applyTo(s.config.Known), true)})
-		s.dispatch(ctx, []dispatch.Event{s.list.knownOutages(s.journal.outages.outages)})
+		s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(s.journal.MergeEndpointList(s.config.Known), true)})
+		s.dispatch(ctx, []dispatch.Event{s.list.knownOutages(s.journal.Outages())})
 		select {
 		case e := <-s.events:
 			events = append(events, s.handleEvent(ctx, e)...)
 		case <-time.After(firstListTimeout):
 		}
 	}
-	for _, m := range s.journal.order {
-		if m.outcome != "" {
-			s.pendingNotices = append(s.pendingNotices, m.notice())
+	for _, m := range s.journal.Messages() {
+		if m.PendingOutcome != "" {
+			s.pendingNotices = append(s.pendingNotices, noticeOf(m))
 			continue
 		}
-		first, may := m.firstRun()
+		first, may := m.FirstRun()
 		msg := dispatch.Message{ID: s.addMessage(m), Class: place(s.config.Classes, m.Class, -1),
 			Tenant: place(s.config.Tenants, m.Tenant, -1), Destination: dispatch.DestinationID(m.Destination), Deadline: m.Deadline,
-			PriorAttempts: len(m.Attempts), MayHaveRun: may, FirstRunAt: first.SentAt, FirstRunZone: first.Zone, Rules: m.Rules.forBrain(),
+			PriorAttempts: len(m.Attempts), MayHaveRun: may, FirstRunAt: first.SentAt, FirstRunZone: first.Zone, Rules: m.Rules.ForDispatcher(),
 			Resumed: true}
 		if st != nil {
 			msg.NotBefore = st.BackoffUntil[m.ID]
@@ -478,10 +480,10 @@
 			e.lock.Close()
 		}
 	case endpointListEvent:
-		changes := s.list.changes(e.Targets)
+		changes := s.list.changes(e.Update)
 		s.logList(e.Version, changes)
-		s.journal.appendEndpointList(e.Version, changes)
-		return one(s.applyEndpointList(e.Targets, e.Full))
+		s.journal.AppendEndpointList(e.Version, changes)
+		return one(s.applyEndpointList(e.Update, e.Full))
 	case endpointListStaleEvent:
 		return one(s.setEndpointListStale(e.stale))
 	case discoveryFailedEvent:
@@ -496,8 +498,8 @@
 		for _, n := range e.notices {
 			told[n.Message] = true
 			s.trace("notice taken", n.Message, "outcome", n.Outcome)
-			if m := s.journal.byID[n.Message]; m != nil && m.outcome != "" {
-				s.journal.append(m, record{Op: "told"})
+			if m := s.journal.Message(n.Message); m != nil && m.PendingOutcome != "" {
+				s.journal.Append(m, journal.Record{Op: "told"})
 			}
 		}
 		s.pendingNotices = slices.DeleteFunc(s.pendingNotices, func(n notice) bool { return told[n.Message] })
@@ -507,34 +509,34 @@
 
 // flush writes the journal. What fails here is tried again by and by, and with the next message, which is refused.
 func (s *Sender) flush() bool {
-	err := s.journal.flush()
-	s.journalFailing.Store(s.journal.failed)
+	err := s.journal.Flush()
+	s.journalFailing.Store(s.journal.Failed())
 	if err != nil {
 		s.log.Warn("journal", "err", err)
 	}
-	if s.journal.failed {
-		s.journalRetry.Reset(journalRetryInterval)
+	if s.journal.Failed() {
+		s.journalRetry.Reset(journal.RetryInterval)
 	}
 	return err == nil
 }
 
 // repair tries to write the journal anew after a write has failed, and tells the dispatcher whether it can be written.
 func (s *Sender) retryJournal(ctx context.Context) {
-	if s.journal == nil || !s.journal.failed && !s.storageFailing {
+	if s.journal == nil || !s.journal.Failed() && !s.storageFailing {
 		return
 	}
-	if s.journal.failed && s.journal.compact() != nil {
-		s.journalRetry.Reset(journalRetryInterval)
+	if s.journal.Failed() && s.journal.Compact() != nil {
+		s.journalRetry.Reset(journal.RetryInterval)
 	}
-	s.journalFailing.Store(s.journal.failed)
-	s.processEvents(ctx, dispatch.StorageStatus{Failing: s.journal.failed})
+	s.journalFailing.Store(s.journal.Failed())
+	s.processEvents(ctx, dispatch.StorageStatus{Failing: s.journal.Failed()})
 }
 
 // step lets the dispatcher decide, writes down what it does, and only then does it.
 func (s *Sender) dispatch(ctx context.Context, events []dispatch.Event) {
 	now := s.clock.Now()
-	if s.journal.failed != s.storageFailing { // nothing is decided in vain
-		s.storageFailing = s.journal.failed
+	if s.journal.Failed() != s.storageFailing { // nothing is decided in vain
+		s.storageFailing = s.journal.Failed()
 		events = append([]dispatch.Event{dispatch.StorageStatus{Failing: s.storageFailing}}, events...)
 	}
 	actions := s.dispatcher.Step(now, events)
@@ -543,14 +545,14 @@
 		switch a := a.(type) {
 		case dispatch.Send:
 			if m, e := s.messages[a.Message], s.endpoint(a.Endpoint); m != nil && e != nil {
-				s.journal.append(m.storedMessage, record{Op: "send", Attempt: len(m.Attempts), Sent: &attempt{SentAt: now, Endpoint: e.id[:min(len(e.id), maxTryName)], Zone: e.zone}})
+				s.journal.Append(m.Message, journal.Record{Op: "send", Attempt: len(m.Attempts), Sent: &journal.Attempt{SentAt: now, Endpoint: e.id[:min(len(e.id), journal.MaxEndpointLength)], Zone: e.zone}})
 			}
 		case dispatch.Reject:
-			closed = s.endMessage(closed, a.Message, returned, a.RetryAfter)
+			closed = s.endMessage(closed, a.Message, journal.OutcomeReturned, a.RetryAfter)
 		case dispatch.Fail:
-			closed = s.endMessage(closed, a.Message, givenUp, 0)
+			closed = s.endMessage(closed, a.Message, journal.OutcomeGivenUp, 0)
 		case dispatch.PersistOutages:
-			s.journal.appendOutages(s.list.storedOutages(a.Outages))
+			s.journal.AppendOutages(s.list.storedOutages(a.Outages))
 		}
 	}
 	written := s.flush()
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -10,12 +10,13 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
 // message is one that the dispatcher holds.
 type message struct {
-	*storedMessage
+	*journal.Message
 	number dispatch.MessageID
 	base   int                   // attempts made by earlier processes
 	sends  int                   // and by this one
@@ -25,9 +26,9 @@
 }
 
 // hold gives a message its number.
-func (s *Sender) addMessage(st *storedMessage, answer ...chan clientResponse) dispatch.MessageID {
+func (s *Sender) addMessage(st *journal.Message, answer ...chan clientResponse) dispatch.MessageID {
 	s.lastMessageID++
-	m := &message{storedMessage: st, number: s.lastMessageID, base: len(st.Attempts), answer: answer, calls: map[int]*outCall{}}
+	m := &message{Message: st, number: s.lastMessageID, base: len(st.Attempts), answer: answer, calls: map[int]*outCall{}}
 	s.messages[m.number], s.byID[st.ID] = m, m
 	s.pending++
 	return m.number
@@ -43,7 +44,7 @@
 		sub.answer <- clientResponse{http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter, why}
 		return nil
 	}
-	if s.journal.knows(sub.ID) { // handed in twice: it is ours already, and refused it would be delivered all the same
+	if s.journal.Knows(sub.ID) { // handed in twice: it is ours already, and refused it would be delivered all the same
 		if m := s.byID[sub.ID]; m != nil && m.answer != nil {
 			m.answer = append(m.answer, sub.answer) // whether the first is taken on is being decided
 		} else {
@@ -63,14 +64,14 @@
 	if most := s.config.Settings.MaxPendingMessages; most > 0 && s.pending >= most {
 		return refuse("all room for messages is taken")
 	}
-	sub.Rules = rulesOf(s.config.Settings.Classes[sub.class], s.config.Settings.MaxAttempts)
-	st, err := s.journal.take(sub.record)
+	sub.Rules = journal.NewRules(s.config.Settings.Classes[sub.class], s.config.Settings.MaxAttempts)
+	st, err := s.journal.Accept(sub.Record)
 	if err != nil {
 		return refuse("no room to keep the message")
 	}
 	s.trace("taken on", sub.ID, "class", sub.Class, "destination", sub.Destination, "left", sub.Deadline-s.clock.Now())
 	return dispatch.Message{ID: s.addMessage(st, sub.answer), Class: sub.class, Tenant: sub.tenant,
-		Destination: dispatch.DestinationID(sub.Destination), Deadline: sub.Deadline, Rules: sub.Rules.forBrain()}
+		Destination: dispatch.DestinationID(sub.Destination), Deadline: sub.Deadline, Rules: sub.Rules.ForDispatcher()}
 }
 
 func (s *Sender) handleCallEnd(c callEndedEvent) []dispatch.Event {
@@ -104,32 +105,40 @@
 		case e.Outcome == dispatch.Served && m.Deadline-s.clock.Now() < clockSlack:
 			// By the client's clock it may have come too late, and then it still needs an end. A notice of one that
 			// was delivered in time does no harm.
-			s.recordEnd(m, record{Outcome: givenUp})
-			s.pendingNotices = append(s.pendingNotices, m.notice())
+			s.recordEnd(m, journal.Record{Outcome: journal.OutcomeGivenUp})
+			s.pendingNotices = append(s.pendingNotices, noticeOf(m.Message))
 			s.metrics.MessageSucceeded(m.Class)
 		case e.Outcome == dispatch.Served:
-			s.recordEnd(m, record{Outcome: delivered})
+			s.recordEnd(m, journal.Record{Outcome: journal.OutcomeDelivered})
 			s.metrics.MessageSucceeded(m.Class)
 		case e.Final:
-			s.recordEnd(m, record{Outcome: answered})
+			s.recordEnd(m, journal.Record{Outcome: journal.OutcomeAnswered})
 		case e.Outcome == dispatch.NotStarted:
 			s.metrics.CountReason(metrics.ReasonRetried, e.Outcome.String())
-			m.takeBackTry(m.base + e.attempt)
+			m.dropUnstartedAttempt(m.base + e.attempt)
 		default:
 			s.metrics.CountReason(metrics.ReasonRetried, e.Outcome.String())
 			never := e.Outcome == dispatch.Rejected || e.Outcome == dispatch.ConnectFailed || e.Outcome == dispatch.NotSent
-			s.journal.append(m.storedMessage, record{Op: "end", Attempt: m.base + e.attempt, NeverRan: never})
+			s.journal.Append(m.Message, journal.Record{Op: "end", Attempt: m.base + e.attempt, NeverRan: never})
 		}
 	}
 	s.removeIfDone(m)
 	return e.AttemptResult
 }
 
+// takeBackTry forgets an attempt that was never begun, as its record could not be written.
+func (m *message) dropUnstartedAttempt(place int) {
+	if place == len(m.Attempts)-1 {
+		m.Attempts = m.Attempts[:place]
+		m.base--
+	}
+}
+
 // end writes down that a message is over. A client that still waits hears it from the caller.
-func (s *Sender) recordEnd(m *message, rec record) {
+func (s *Sender) recordEnd(m *message, rec journal.Record) {
 	rec.Op = "over"
 	s.trace("over", m.ID, "how", rec.Outcome)
-	s.journal.append(m.storedMessage, rec)
+	s.journal.Append(m.Message, rec)
 	m.ended = true
 	s.pending--
 }
@@ -169,7 +178,7 @@
 	if m == nil || m.ended {
 		return closed
 	}
-	if how == returned {
+	if how == journal.OutcomeReturned {
 		s.metrics.CountReason(metrics.ReasonRejected, "by_decision")
 		s.metrics.MessageDeclined(m.Class)
 	} else {
@@ -178,9 +187,9 @@
 	c := endedMessage{message: m, how: how, clients: m.answer, retryAfter: hold}
 	m.answer = nil
 	if c.clients != nil {
-		s.recordEnd(m, record{Outcome: answered})
+		s.recordEnd(m, journal.Record{Outcome: journal.OutcomeAnswered})
 	} else {
-		s.recordEnd(m, record{Outcome: how, RetryAfterMS: hold.Milliseconds()})
+		s.recordEnd(m, journal.Record{Outcome: how, RetryAfterMS: hold.Milliseconds()})
 	}
 	s.removeIfDone(m)
 	return append(closed, c)
@@ -190,19 +199,19 @@
 // on, by a notice. That the message had no effect is promised only if its end is written: else the next process,
 // which may come at any moment, would send it.
 func (s *Sender) announceEnd(c endedMessage, written bool) {
-	if c.how == returned && !written {
+	if c.how == journal.OutcomeReturned && !written {
 		s.metrics.CountReason(metrics.ReasonRejected, "not_written")
-		c.how, c.retryAfter = givenUp, 0
+		c.how, c.retryAfter = journal.OutcomeGivenUp, 0
 		if c.clients == nil {
-			s.journal.append(c.storedMessage, record{Op: "over", Outcome: givenUp})
+			s.journal.Append(c.Message, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
 		}
 	}
 	if c.clients == nil {
-		s.pendingNotices = append(s.pendingNotices, c.notice())
+		s.pendingNotices = append(s.pendingNotices, noticeOf(c.Message))
 		return
 	}
 	status := http.StatusInternalServerError
-	if c.how == returned {
+	if c.how == journal.OutcomeReturned {
 		status = http.StatusServiceUnavailable
 		s.invariants.checkPromise(c.ID, written)
 	}
@@ -211,10 +220,11 @@
 	}
 }
 
-func (m *storedMessage) notice() notice {
-	n := notice{Message: m.ID, Outcome: m.outcome}
-	if m.outcome == returned && m.retryAfterMS > 0 {
-		n.RetryMS = &m.retryAfterMS
+// noticeOf is the notice of a message that has ended.
+func noticeOf(m *journal.Message) notice {
+	n := notice{Message: m.ID, Outcome: m.PendingOutcome}
+	if m.PendingOutcome == journal.OutcomeReturned && m.PendingRetryAfterMS > 0 {
+		n.RetryMS = &m.PendingRetryAfterMS
 	}
 	return n
 }
--- a/internal/sender/relay.go
+++ b/internal/sender/relay.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
 // What passes between the processes after a hand-over: requests and their answers, waits, and the ends of calls.
@@ -31,7 +32,7 @@
 	case reloadEvent:
 		s.applyConfig(e.Config)
 	case endpointListEvent:
-		s.applyEndpointList(e.Targets, e.Full)
+		s.applyEndpointList(e.Update, e.Full)
 	case discoveryFailedEvent:
 		if !s.config.Settings.PollsEndpointList {
 			s.requestEndpointList()
@@ -87,7 +88,7 @@
 	}
 	s.forwarded[s.lastForwarded] = forwardedRequest{sub, to != nil}
 	if to != nil {
-		to.send(packet{Submit: &forwardedSubmission{s.lastForwarded, sub.record}})
+		to.send(packet{Submit: &forwardedSubmission{s.lastForwarded, sub.Record}})
 	}
 }
 
@@ -98,7 +99,7 @@
 		delete(s.forwarded, seq)
 		if p.delivered {
 			s.metrics.MessageAborted(p.Class)
-			p.answer <- clientResponse{http.StatusInternalServerError, 0, givenUp}
+			p.answer <- clientResponse{http.StatusInternalServerError, 0, journal.OutcomeGivenUp}
 			continue
 		}
 		s.rejectShuttingDown(p.submission)
@@ -119,7 +120,7 @@
 
 // relayedSubmission is a request that came to the process before this one. Its answer goes back there.
 func (s *Sender) receivedRequest(ctx context.Context, from *link, r *forwardedSubmission) submission {
-	sub := submission{record: r.Record, answer: make(chan clientResponse, 1)}
+	sub := submission{Record: r.Record, answer: make(chan clientResponse, 1)}
 	go func() {
 		select {
 		case a := <-sub.answer:
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -24,6 +24,8 @@
 
 	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -583,7 +585,7 @@
 		s := newTest(t, st.NewPlatform(t), nil)
 		for i := range c.items {
 			c.items[i].ID = "m" + strconv.Itoa(i)
-			c.items[i].message = &message{storedMessage: &storedMessage{}, ended: true, calls: map[int]*outCall{}}
+			c.items[i].message = &message{Message: &journal.Message{}, ended: true, calls: map[int]*outCall{}}
 		}
 		s.startCall(context.Background(), &endpoint{addr: e.Addr}, c.items, true)
 		for i, want := range c.want {
@@ -693,12 +695,12 @@
 	p.Change(st.Target("s-0", old.Addr, 0, "DRAINING"))
 	p.Change(st.Target("s-1", other.Addr, 0, "SERVING"))
 	run(t, p, func(c *Config) {
-		c.Known = Targets{Version: 1, Full: true, Servers: []Target{{ID: "s-0", Addr: old.Addr, State: "SERVING", Zone: "a", Kind: "plain"}}}
-		j := openTest(t, c.State, 1<<20)
-		if _, err := j.take(record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + 15*time.Second}); err != nil {
+		c.Known = endpointlist.Update{Version: 1, Full: true, Endpoints: []endpointlist.Endpoint{{ID: "s-0", Addr: old.Addr, State: "SERVING", Zone: "a", Kind: "plain"}}}
+		j := openJournal(t, c.State, 1<<20)
+		if _, err := j.Accept(journal.Record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + 15*time.Second}); err != nil {
 			t.Fatal(err)
 		}
-		if err := j.close(); err != nil {
+		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -747,7 +749,7 @@
 	began := time.Now()
 	end := callOnce(s.pool, at, 30*time.Millisecond, "")
 	end.Elapsed = time.Since(began)
-	m := &message{storedMessage: &storedMessage{}, ended: true, calls: map[int]*outCall{0: {cancel: func() {}}}}
+	m := &message{Message: &journal.Message{}, ended: true, calls: map[int]*outCall{0: {cancel: func() {}}}}
 	s.handleCallEnd(callEndedEvent{[]attemptEnd{{m, 0, end}}, true})
 	if n := s.pool.idle.Load(); n != 0 {
 		t.Errorf("%d idle connections after a time-out", n)
@@ -763,20 +765,20 @@
 	t.Parallel()
 	s := newTest(t, st.NewPlatform(t), nil)
 	for _, id := range []string{"a", "b", "c", "d"} {
-		m, err := s.journal.take(record{ID: id, Class: "safe"})
+		m, err := s.journal.Accept(journal.Record{ID: id, Class: "safe"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.journal.append(m, record{Op: "over", Outcome: givenUp})
-		s.pendingNotices = append(s.pendingNotices, m.notice())
+		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+		s.pendingNotices = append(s.pendingNotices, noticeOf(m))
 		if id == "c" {
 			s.deliverNotices()
 		}
 	}
 	batch := st.Receive(t, s.noticeBatches)
 	s.handleEvent(context.Background(), noticesDeliveredEvent{batch})
-	if len(s.pendingNotices) != 1 || s.pendingNotices[0].Message != "d" || s.journal.byID["d"] == nil || len(s.journal.byID) != 1 {
-		t.Errorf("told %v, still owed %v, in the journal %d", batch, s.pendingNotices, len(s.journal.byID))
+	if len(s.pendingNotices) != 1 || s.pendingNotices[0].Message != "d" || s.journal.Message("d") == nil || s.journal.Len() != 1 {
+		t.Errorf("told %v, still owed %v, in the journal %d", batch, s.pendingNotices, s.journal.Len())
 	}
 }
 
@@ -826,13 +828,13 @@
 // decided before: it could arrive when the drain binds.
 func TestACallThatWaitsForItsConnectionIsWithheld(t *testing.T) {
 	t.Parallel()
-	for name, news := range map[string]func(s *Sender, list Targets) []dispatch.Event{
-		"the endpoint drains": func(s *Sender, list Targets) []dispatch.Event {
-			list.Servers[0].State = "DRAINING"
+	for name, news := range map[string]func(s *Sender, list endpointlist.Update) []dispatch.Event{
+		"the endpoint drains": func(s *Sender, list endpointlist.Update) []dispatch.Event {
+			list.Endpoints[0].State = "DRAINING"
 			return []dispatch.Event{s.applyEndpointList(list, false)}
 		},
-		"the endpoint is gone": func(s *Sender, list Targets) []dispatch.Event {
-			return []dispatch.Event{s.applyEndpointList(Targets{Servers: list.Servers[1:]}, true)}
+		"the endpoint is gone": func(s *Sender, list endpointlist.Update) []dispatch.Event {
+			return []dispatch.Event{s.applyEndpointList(endpointlist.Update{Endpoints: list.Endpoints[1:]}, true)}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -846,10 +848,10 @@
 				return nil
 			}
 			ctx, list := context.Background(), s.config.Known
-			list.Servers[1].Cell = 0
+			list.Endpoints[1].Cell = 0
 			s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(list, true)})
-			r := record{ID: "m1", Class: "safe", Tenant: "acme", Deadline: s.clock.Now() + st.Wait}
-			s.dispatch(ctx, s.handleEvent(ctx, submission{record: r, answer: make(chan clientResponse, 1)}))
+			r := journal.Record{ID: "m1", Class: "safe", Tenant: "acme", Deadline: s.clock.Now() + st.Wait}
+			s.dispatch(ctx, s.handleEvent(ctx, submission{Record: r, answer: make(chan clientResponse, 1)}))
 			st.Receive(t, dialing)
 			s.dispatch(ctx, news(s, list))
 			close(up)
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -16,6 +16,7 @@
 
 	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
@@ -46,7 +47,7 @@
 
 // submission is a message that a client hands in, on its way to the loop.
 type submission struct {
-	record
+	journal.Record
 	class, tenant int
 	answer        chan clientResponse // buffered: the loop never waits for a client
 }
@@ -379,8 +380,8 @@
 // name reads a header that names something: it goes into records and calls as it is.
 func name(r *http.Request, header string) (string, error) {
 	v := r.Header.Get(header)
-	if len(v) > maxName {
-		return "", fmt.Errorf("%s is longer than %d bytes", header, maxName)
+	if len(v) > journal.MaxNameLength {
+		return "", fmt.Errorf("%s is longer than %d bytes", header, journal.MaxNameLength)
 	}
 	for _, c := range []byte(v) {
 		if c < 0x20 || c > 0x7e {
