--- a/internal/sender/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,5 @@
-package sender
+// Package discovery speaks with the platform: it follows the endpoint list and delivers notices of how messages ended.
+package discovery
 
 import (
 	"context"
@@ -12,6 +13,7 @@
 	"net/http"
 	"net/http/httptrace"
 	"sync"
+	"syscall"
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
@@ -34,21 +36,23 @@
 	perFirst  = perSender / 6
 	maxList   = 8 << 20         // bytes of a list
 	dialTime  = 1 * time.Second // for a connection to discovery to come up
+	// maxDiscardedBody bounds what is read of a body that is of no use but to keep the connection.
+	maxDiscardedBody = 64 << 10
 )
 
-// discovery speaks with the platform: the list and its changes, and notices.
-type discovery struct {
-	client   *http.Client // of the list
-	notifier *http.Client // of notices: a list that fails leaves their connections alone
-	dialer   net.Dialer
-	spare    reservedConnection
-	turns    time.Duration     // that all senders need one after another
-	first    time.Duration     // before the first call; no time at all where a single process has been replaced
-	pace     time.Duration     // this one's rest after a refusal; it belongs to the watch
-	asks     bool              // the module asks for each call after a failure; else lists are pushed
-	fresh    endpointListLease // of the list, where it is pushed
-	figures  *metrics.Registry
-	log      *slog.Logger
+// Client speaks with the platform: the list and its changes, and notices.
+type Client struct {
+	client       *http.Client // of the list
+	notifier     *http.Client // of notices: a list that fails leaves their connections alone
+	dialer       net.Dialer
+	reserved     reservedConnection
+	turns        time.Duration     // that all senders need one after another
+	initialDelay time.Duration     // before the first call; no time at all where a single process has been replaced
+	pace         time.Duration     // this one's rest after a refusal; it belongs to the watch
+	polled       bool              // the module asks for each call after a failure; else lists are pushed
+	lease        endpointListLease // of the list, where it is pushed
+	metrics      *metrics.Registry
+	log          *slog.Logger
 
 	// The fields of the watch, which is one goroutine.
 	held         int64         // version of the list held, -1 for none
@@ -56,16 +60,16 @@
 	silentSince  time.Time     // when the first call was hedged of those that have had no answer, the zero time for none
 	late         time.Duration // how late the last answers came, where they were slow
 
-	mu    sync.Mutex
-	base  string
-	here  context.Context // until the platform moves
-	leave context.CancelFunc
-	binds time.Time // by then what has not been told binds all the same
+	mu        sync.Mutex
+	base      string
+	here      context.Context // until the platform moves
+	leave     context.CancelFunc
+	bindingAt time.Time // by then what has not been told binds all the same
 }
 
 // move turns to another address. What is out at the old one is broken off and goes to the new, and so does the connection that
 // is kept ready for notices.
-func (d *discovery) move(addr string) {
+func (d *Client) Move(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.base == "http://"+addr {
@@ -76,31 +80,31 @@
 	}
 	moves := d.base != ""
 	d.base = "http://" + addr
-	d.spare.lead(addr)
+	d.reserved.lead(addr)
 	if moves {
-		d.binds = time.Now().Add(movedBy)
-		d.figures.CountReason(metrics.ReasonDiscovery, movedDiscovery)
-		go d.spare.refill()
+		d.bindingAt = time.Now().Add(movedBy)
+		d.metrics.CountReason(metrics.ReasonDiscovery, ReasonMoved)
+		go d.reserved.refill()
 	}
 	d.here, d.leave = context.WithCancel(context.Background())
 }
 
 // heard notes a sign of life: what the platform has to tell from now on binds later.
-func (d *discovery) heard() {
+func (d *Client) heard() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.binds = time.Now().Add(bindsBy)
+	d.bindingAt = time.Now().Add(bindsBy)
 }
 
 // left is the time until what has not been told binds.
-func (d *discovery) left() time.Duration {
+func (d *Client) left() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Until(d.binds)
+	return time.Until(d.bindingAt)
 }
 
 // at is where the platform is now, and a context that ends with ctx or when it moves.
-func (d *discovery) at(ctx context.Context) (base string, here context.Context, cancel context.CancelFunc) {
+func (d *Client) at(ctx context.Context) (base string, here context.Context, cancel context.CancelFunc) {
 	d.mu.Lock()
 	base, moved := d.base, d.here
 	d.mu.Unlock()
@@ -109,8 +113,8 @@
 	return base, here, func() { stop(); end() }
 }
 
-// newDiscoveryClient makes a client that opens its connections by dial.
-func newDiscoveryClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Client {
+// newHTTPClient makes a client that opens its connections by dial.
+func newHTTPClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 2, ResponseHeaderTimeout: askedWait + bindsBy},
 		CheckRedirect: func(*http.Request, []*http.Request) error {
@@ -119,26 +123,58 @@
 }
 
 // keepSpare sees to it that a connection for notices is ready. It is called now and then.
-func (d *discovery) keepSpare() { go d.spare.refill() }
+func (d *Client) ReserveConnection() { go d.reserved.refill() }
+
+// Options are what a client needs to know.
+type Options struct {
+	Address string // of the platform, host and port
+	Senders int    // in this deployment
+	// Polled says that the dispatcher asks for each call after a failure; otherwise the platform pushes lists.
+	Polled  bool
+	Metrics *metrics.Registry
+	Log     *slog.Logger
+	// Control is called for each socket before it connects; nil for none.
+	Control func(network, address string, c syscall.RawConn) error
+}
 
-func newDiscovery(addr string, senders int) *discovery {
-	others, first := time.Duration(max(0, senders-fewOfUs)), time.Duration(0)
+// New makes a client. It makes no call before Follow.
+func New(o Options) *Client {
+	others, initialDelay := time.Duration(max(0, o.Senders-fewOfUs)), time.Duration(0)
 	turns := min(others*perSender, turnsMost)
 	if turns > 0 { // after a release all come at once
-		first = rand.N(min(others*perFirst, firstMost))
+		initialDelay = rand.N(min(others*perFirst, firstMost))
+	}
+	d := &Client{turns: turns, initialDelay: initialDelay, held: -1, polled: o.Polled, metrics: o.Metrics, log: o.Log,
+		dialer: net.Dialer{Timeout: dialTime, Control: o.Control}}
+	if d.metrics == nil {
+		d.metrics = metrics.New(nil)
 	}
-	d := &discovery{turns: turns, first: first, held: -1, dialer: net.Dialer{Timeout: dialTime}, figures: metrics.New(nil), log: slog.New(slog.DiscardHandler)}
-	d.client = newDiscoveryClient(d.dialer.DialContext)
-	d.spare = reservedConnection{dial: d.dialer.DialContext}
-	d.notifier = newDiscoveryClient(d.spare.DialContext)
-	d.move(addr)
+	if d.log == nil {
+		d.log = slog.New(slog.DiscardHandler)
+	}
+	d.client = newHTTPClient(d.dialer.DialContext)
+	d.reserved = reservedConnection{dial: d.dialer.DialContext}
+	d.notifier = newHTTPClient(d.reserved.DialContext)
+	d.Move(o.Address)
 	d.heard()
 	return d
 }
 
+// SkipInitialDelay makes the first call go out at once: a single process has been replaced.
+func (d *Client) SkipInitialDelay() { d.initialDelay = 0 }
+
+// IsListStale reports whether the list is stale, see endpointListLease.
+func (d *Client) IsListStale() bool { return d.lease.isStale() }
+
+// OnStaleChange makes notify hear when the list becomes stale, and when it is fresh again. It is called before Follow.
+func (d *Client) OnStaleChange(notify func(stale bool)) { d.lease.changed = notify }
+
+// Close closes the connection that is kept for notices.
+func (d *Client) Close() { d.reserved.close() }
+
 // list makes one call for the list: for the whole of it, or after a version for what is newer, waiting for it. An answer that
 // is no list is an error.
-func (d *discovery) list(ctx context.Context, base string, after int64, limit time.Duration) (endpointlist.Update, error) {
+func (d *Client) list(ctx context.Context, base string, after int64, limit time.Duration) (endpointlist.Update, error) {
 	var t struct {
 		endpointlist.Update
 		Version *int64 `json:"version"`
@@ -151,7 +187,7 @@
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		if info.Err == nil {
-			d.fresh.called()
+			d.lease.called()
 		}
 	}})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -160,12 +196,12 @@
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		d.fresh.failed(err)
+		d.lease.failed(err)
 		return t.Update, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody))
+		io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardedBody))
 		return t.Update, refusedError(resp.Status)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
@@ -187,7 +223,7 @@
 
 // accept takes a list as the one that is held. One that is older than that is an error: it would bring back what has drained or
 // gone since.
-func (d *discovery) accept(t endpointlist.Update) error {
+func (d *Client) accept(t endpointlist.Update) error {
 	if t.Version < d.held {
 		return fmt.Errorf("discovery's list goes back from version %d to %d", d.held, t.Version)
 	}
--- a/internal/sender/freshness.go
+++ b/internal/discovery/lease.go
@@ -1,4 +1,4 @@
-package sender
+package discovery
 
 import (
 	"errors"
--- a/internal/sender/listwatch.go
+++ b/internal/discovery/listwatch.go
@@ -1,4 +1,4 @@
-package sender
+package discovery
 
 // The watch of the endpoint list.
 //
@@ -51,25 +51,25 @@
 
 // What is counted of calls for the list.
 const (
-	hedgedCall     = "hedged"  // a further call was made beside one that had no answer
-	refusedCall    = "refused" // by the platform
-	silentCall     = "silent"  // a first call had no answer in its time
-	movedDiscovery = "moved"   // to another address
-	staleList      = "stale"   // no call could be made for longer than a list is sure
+	ReasonHedged   = "hedged"  // a further call was made beside one that had no answer
+	ReasonRejected = "refused" // by the platform
+	ReasonSilent   = "silent"  // a first call had no answer in its time
+	ReasonMoved    = "moved"   // to another address
+	ReasonStale    = "stale"   // no call could be made for longer than a list is sure
 )
 
 // watchWait is how long a watch call waits for news.
-func (d *discovery) watchWait() time.Duration {
-	if d.asks {
+func (d *Client) watchWait() time.Duration {
+	if d.polled {
 		return askedWait
 	}
 	return pushedWait
 }
 
 // pause waits after the n-th failure in a row, a little less or more each time; false if ctx ended.
-func (d *discovery) pause(ctx context.Context, n int, err error) bool {
+func (d *Client) pause(ctx context.Context, n int, err error) bool {
 	var refused refusedError
-	if !d.asks && !errors.As(err, &refused) {
+	if !d.polled && !errors.As(err, &refused) {
 		return retry.WaitJittered(ctx, silencePass)
 	}
 	return retry.WaitJittered(ctx, max(d.pace, min(backOff<<min(n-1, 10), backOffTop)))
@@ -77,7 +77,7 @@
 
 // patience is how long an answer to a call is waited for, after so many failures in a row: to one for the whole list no
 // longer than half of the time until news binds.
-func (d *discovery) patience(after int64, failures int) time.Duration {
+func (d *Client) patience(after int64, failures int) time.Duration {
 	if after >= 0 {
 		return d.watchWait() + min(answerTime+d.turns, watchLate)
 	}
@@ -86,11 +86,11 @@
 
 // slowDown lengthens the rests after a refusal: the platform goes on with what it has refused meanwhile, and gets
 // to nobody while calls come faster than it takes them.
-func (d *discovery) slowDown(err error) {
+func (d *Client) slowDown(err error) {
 	var refused refusedError
 	if d.turns > 0 && errors.As(err, &refused) {
 		most := restMost
-		if d.asks {
+		if d.polled {
 			most -= answerTime
 		}
 		d.pace = min(max(2*d.pace, d.turns/4), d.turns, most)
@@ -107,7 +107,7 @@
 
 // ask makes a call for the list and hedges it while it stays unanswered. The first list that comes counts, and the failure
 // of the first call.
-func (d *discovery) ask(ctx context.Context, base string, after int64, patience time.Duration) (endpointlist.Update, error) {
+func (d *Client) ask(ctx context.Context, base string, after int64, patience time.Duration) (endpointlist.Update, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	due := time.Duration(0)
@@ -139,7 +139,7 @@
 			return endpointlist.Update{}, ctx.Err()
 		case <-hedge.C:
 			if d.mayHedge() {
-				d.figures.CountReason(metrics.ReasonDiscovery, hedgedCall)
+				d.metrics.CountReason(metrics.ReasonDiscovery, ReasonHedged)
 				if d.silentSince.IsZero() {
 					d.silentSince = time.Now()
 				}
@@ -153,7 +153,7 @@
 			switch {
 			case errors.As(a.err, &refused):
 				d.crowdedUntil = time.Now().Add(crowdedFor)
-				d.figures.CountReason(metrics.ReasonDiscovery, refusedCall)
+				d.metrics.CountReason(metrics.ReasonDiscovery, ReasonRejected)
 			case a.err == nil:
 				d.answered(a.late)
 			}
@@ -165,12 +165,12 @@
 }
 
 // mayHedge reports whether calls may be hedged.
-func (d *discovery) mayHedge() bool {
-	return !d.asks && !time.Now().Before(d.crowdedUntil)
+func (d *Client) mayHedge() bool {
+	return !d.polled && !time.Now().Before(d.crowdedUntil)
 }
 
 // answered books how late an answer came. Slow ones are not hedged as soon; that passes with prompt ones.
-func (d *discovery) answered(late time.Duration) {
+func (d *Client) answered(late time.Duration) {
 	d.late = d.late * 3 / 4
 	if late >= slowAnswer {
 		d.late = max(d.late, late)
@@ -183,7 +183,7 @@
 // watch follows the list from a version on, -1 for none, until a call fails; then it returns. The next
 // call goes out as soon as an answer is passed on: a gap would end the watch. Answers without news are passed on only if
 // they are the first.
-func (d *discovery) watch(ctx context.Context, base string, version int64, failures int, news func(endpointlist.Update)) error {
+func (d *Client) watch(ctx context.Context, base string, version int64, failures int, news func(endpointlist.Update)) error {
 	for first := true; ; first = false {
 		t, err := d.ask(ctx, base, version, d.patience(version, failures))
 		if err == nil {
@@ -197,7 +197,7 @@
 		if first || fresh || len(t.Endpoints) > 0 {
 			news(t)
 		}
-		d.fresh.renew() // behind the news
+		d.lease.renew() // behind the news
 		// Whoever is answered has had its turn: the rests that refusals have led to get shorter, for the next refusal. Here
 		// there is none, whatever work each answer is: what changes between two calls counts as told.
 		if fresh {
@@ -211,11 +211,11 @@
 // follow watches when asked to. After a failure the list is asked for whole, as changes may have been missed;
 // who asks decides when, and failures in a row are told of ever later. A first failure that is mere silence is not told: a watch
 // may be broken alone, and the next call is made at once, on a connection of its own.
-func (d *discovery) follow(ctx context.Context, version int64, asked <-chan struct{}, news func(endpointlist.Update), failed func(error)) {
+func (d *Client) Follow(ctx context.Context, version int64, asked <-chan struct{}, news func(endpointlist.Update), failed func(error)) {
 	failures := 0
 	d.held = version
 	d.heard()
-	if d.first > 0 && !retry.Wait(ctx, d.first) {
+	if d.initialDelay > 0 && !retry.Wait(ctx, d.initialDelay) {
 		return
 	}
 	for {
@@ -237,9 +237,9 @@
 			}
 			silent := errors.Is(err, context.DeadlineExceeded)
 			if silent {
-				d.figures.CountReason(metrics.ReasonDiscovery, silentCall)
+				d.metrics.CountReason(metrics.ReasonDiscovery, ReasonSilent)
 			}
-			if failures++; d.pace > 0 || failures > 1 && (d.asks || !silent) {
+			if failures++; d.pace > 0 || failures > 1 && (d.polled || !silent) {
 				d.pause(here, max(1, failures-1), err)
 			}
 			moved := here.Err() != nil
--- a/internal/sender/notifier.go
+++ b/internal/discovery/notices.go
@@ -1,4 +1,4 @@
-package sender
+package discovery
 
 // Notices: how the platform is told of messages that were taken on and not delivered.
 
@@ -24,12 +24,12 @@
 	noticeRest  = 10 * time.Millisecond // before the next try; doubles
 	noticeMost  = 40 * time.Millisecond // up to this: the agent is on this machine, and takes notices at no cost
 	// Until what an address before has taken is told at the new one.
-	noticeBefore = 100 * time.Millisecond
-	noticeBatch  = 256 // notices in one call
+	noticeBefore   = 100 * time.Millisecond
+	MaxNoticeBatch = 256 // notices in one call
 )
 
 // notice is a line on a message that was taken on and not delivered.
-type notice struct {
+type Notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS *int64 `json:"retry_in_ms,omitempty"`
@@ -37,9 +37,9 @@
 
 // tell posts batches of notices, each once, and passes on those that were taken, and none after a failure. Then all that
 // is owed by now goes out anew, and on another connection: nothing waits for a silent one longer than its try takes.
-func (d *discovery) tell(ctx context.Context, notices <-chan []notice, told func([]notice)) {
+func (d *Client) DeliverNotices(ctx context.Context, notices <-chan []Notice, told func([]Notice)) {
 	for failures := 0; ; {
-		var batch []notice
+		var batch []Notice
 		select {
 		case batch = <-notices:
 		case <-ctx.Done():
@@ -75,17 +75,17 @@
 // postBefore tells the address before the last move what could not be told at the new one, for want of a connection: open ones
 // stay there for a moment. It all goes to the new address as well, once that can be reached. A connection that failed
 // otherwise may be silent, and so may others to the same address: they are closed.
-func (d *discovery) postBefore(ctx context.Context, err error, lines []byte) (told bool) {
+func (d *Client) postBefore(ctx context.Context, err error, lines []byte) (told bool) {
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != "dial" {
 		d.notifier.CloseIdleConnections()
 		return false
 	}
-	previous := d.spare.previousAddress()
+	previous := d.reserved.previousAddress()
 	return previous != "" && d.post(ctx, "http://"+previous, lines, noticeFirst) == nil
 }
 
-func (d *discovery) post(ctx context.Context, base string, lines []byte, limit time.Duration) error {
+func (d *Client) post(ctx context.Context, base string, lines []byte, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/notices", bytes.NewReader(lines))
@@ -98,7 +98,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardedBody))
 	if resp.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("notices are answered %s", resp.Status)
 	}
--- a/internal/sender/spareconn.go
+++ b/internal/discovery/reservedconn.go
@@ -1,10 +1,12 @@
-package sender
+package discovery
 
 import (
 	"context"
 	"net"
 	"sync"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
 // spareDialer opens connections and keeps one ready that nobody uses yet: what is due within 0.3 s cannot wait until a
@@ -47,7 +49,7 @@
 	case d.previousAddr:
 		c, d.previous = d.previous, nil
 	}
-	if c != nil && !quiet(c) {
+	if c != nil && !netconn.IsQuiet(c) {
 		c.Close()
 		return nil
 	}
@@ -73,7 +75,7 @@
 // refill sees to it that there is a spare connection that stands, as soon as a socket can be had.
 func (d *reservedConnection) refill() {
 	d.mu.Lock()
-	if d.spare != nil && !quiet(d.spare) {
+	if d.spare != nil && !netconn.IsQuiet(d.spare) {
 		d.spare.Close()
 		d.spare = nil
 	}
--- /dev/null
+++ b/internal/netconn/netconn.go
@@ -0,0 +1,30 @@
+// Package netconn looks at connections without reading from them. The pool of connections to endpoints, the discovery
+// client and the clients' listener use it.
+package netconn
+
+import (
+	"errors"
+	"net"
+	"syscall"
+)
+
+// IsQuiet reports whether an idle connection is still usable: nothing has arrived on it, not even its end. A call on a
+// connection that the other side has already closed would count as one that may have run, and closing a client's
+// connection with an unread request would reset it.
+func IsQuiet(c net.Conn) bool {
+	conn, ok := c.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return false
+	}
+	quiet := false
+	err = raw.Control(func(fd uintptr) { // Read would wait for whoever is reading
+		var first [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		quiet = errors.Is(err, syscall.EAGAIN)
+	})
+	return err == nil && quiet
+}
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -20,6 +20,7 @@
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
+	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
 // Calls are written and read here on connections of our own rather than through http.Transport: whether a
@@ -326,7 +327,7 @@
 		p.put(e, c)
 		return nil, nil, unbegun(ctx, begin)
 	}
-	for c.idle > 0 && !quiet(c.Conn) { // what has come since it was taken would be read as the answer to this call
+	for c.idle > 0 && !netconn.IsQuiet(c.Conn) { // what has come since it was taken would be read as the answer to this call
 		c.Close()
 		if c, err = p.get(begin, e); err != nil {
 			return nil, nil, unbegun(ctx, begin)
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -241,7 +241,7 @@
 	go s.awaitSuccessor(ctx)
 	waiting := s.forwarded
 	s.forwarded = map[uint64]forwardedRequest{}
-	events := []dispatch.Event{dispatch.EndpointListStale{Stale: s.discovery.fresh.isStale()}}
+	events := []dispatch.Event{dispatch.EndpointListStale{Stale: s.discovery.IsListStale()}}
 	for _, m := range old {
 		for attempt, c := range m.calls {
 			if c.end != nil { // the dead one may have heard it, and then it is in the journal
--- a/internal/sender/listener.go
+++ b/internal/sender/listener.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
 // limitListener is the clients' listener. It lets in so many at once; further ones wait in its queue. What waits there when a
@@ -223,7 +225,7 @@
 	if g.closing != nil {
 		g.closing(g)
 	}
-	if g.answered.Load() && !g.cut.Load() && !quiet(g.Conn) && g.CloseWrite() == nil {
+	if g.answered.Load() && !g.cut.Load() && !netconn.IsQuiet(g.Conn) && g.CloseWrite() == nil {
 		g.Conn.SetReadDeadline(time.Now().Add(lingerTime))
 		io.Copy(io.Discard, io.LimitReader(g.Conn, lingerMost))
 	}
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -1,6 +1,7 @@
 package sender
 
 import (
+	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/metrics"
@@ -25,7 +26,7 @@
 // listStale books whether the list is stale. What has not been written by then is not written any more.
 func (s *Sender) setEndpointListStale(stale bool) dispatch.Event {
 	if stale {
-		s.metrics.CountReason(metrics.ReasonDiscovery, staleList)
+		s.metrics.CountReason(metrics.ReasonDiscovery, discovery.ReasonStale)
 		s.log.Warn("the list is stale: discovery cannot be asked, and nothing is sent")
 		s.abortUnsent(func(*outCall) bool { return true })
 	} else {
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/journal"
@@ -49,16 +50,16 @@
 	journal    *journal.Journal
 	pool       *pool
 	list       endpoints
-	discovery  *discovery
+	discovery  *discovery.Client
 	server     *server
 	metrics    *metrics.Registry
 	invariants *invariantChecker
 
 	events            chan any
 	watchRequests     chan struct{}
-	noticeBatches     chan []notice
-	pendingNotices    []notice // to be told
-	deliveringNotices bool     // a batch of them is out
+	noticeBatches     chan []discovery.Notice
+	pendingNotices    []discovery.Notice // to be told
+	deliveringNotices bool               // a batch of them is out
 	messages          map[dispatch.MessageID]*message
 	byID              map[string]*message
 	lastMessageID     dispatch.MessageID
@@ -102,7 +103,7 @@
 		endpoint dispatch.EndpointID
 		until    time.Time
 	}
-	noticesDeliveredEvent  struct{ notices []notice }
+	noticesDeliveredEvent  struct{ notices []discovery.Notice }
 	endpointListStaleEvent struct{ stale bool }
 	reloadEvent            struct{ *Config }
 )
@@ -115,15 +116,15 @@
 // NewIn is New in an environment other than the operating system's. What fails for a moment is tried again until ctx ends.
 func NewIn(ctx context.Context, env Environment, c *Config, log *slog.Logger) (*Sender, error) {
 	s := &Sender{env: env, config: c, stateDir: c.State, log: log, clock: clock.New(env.Wall()), dispatcher: dispatch.New(c.Settings, c.Seed), forwarded: map[uint64]forwardedRequest{}, pool: newPool(c), metrics: metrics.New(c.Classes, ruleNames()...),
-		list: endpoints{byID: map[string]*endpoint{}}, discovery: newDiscovery(c.Discovery, c.Settings.Senders), events: make(chan any, eventQueue),
-		watchRequests: make(chan struct{}, 1), noticeBatches: make(chan []notice, 1), messages: map[dispatch.MessageID]*message{},
+		list: endpoints{byID: map[string]*endpoint{}}, events: make(chan any, eventQueue),
+		watchRequests: make(chan struct{}, 1), noticeBatches: make(chan []discovery.Notice, 1), messages: map[dispatch.MessageID]*message{},
 		byID: map[string]*message{}, timer: time.NewTimer(time.Hour), journalRetry: time.NewTimer(time.Hour), gracePeriod: defaultGracePeriod, drainTimeout: defaultDrainTimeout}
 	s.pool.forwarded = s.metrics.MessagesForwarded
 	s.invariants = newInvariantChecker(log, s.metrics)
 	s.pool.guard = s.invariants
 	s.pool.dialer.Control = env.Control
-	s.discovery.asks, s.discovery.figures, s.discovery.log = c.Settings.PollsEndpointList, s.metrics, log
-	s.discovery.dialer.Control = env.Control
+	s.discovery = discovery.New(discovery.Options{Address: c.Discovery, Senders: c.Settings.Senders,
+		Polled: c.Settings.PollsEndpointList, Metrics: s.metrics, Log: log, Control: env.Control})
 	s.server = newServer(c, s.clock, log, func(ctx context.Context, sub submission) bool { return s.post(ctx, sub) })
 	s.server.guard = s.invariants
 	lock, err := s.tryLock(ctx)
@@ -188,7 +189,7 @@
 		}
 	}
 	s.startDiscovery(work, st)
-	defer s.discovery.spare.close()
+	defer s.discovery.Close()
 	if ctx.Err() != nil { // told to end before it has begun: nothing is taken up
 		return s.shutDown(stop)
 	}
@@ -229,7 +230,7 @@
 			s.retryJournal(work)
 		case <-idle.C:
 			s.publishMetrics()
-			s.discovery.keepSpare()
+			s.discovery.ReserveConnection()
 			for _, e := range s.list.byNumber {
 				s.pool.closeIdle(e, s.pool.keep)
 			}
@@ -285,16 +286,17 @@
 		known = -1
 	}
 	if st != nil {
-		known, s.discovery.first = st.ListVersion, 0
+		known = st.ListVersion
+		s.discovery.SkipInitialDelay()
 	}
 	s.pool.waitTold = func(e *endpoint, wait time.Duration) { s.post(work, retryAfterEvent{e.number, time.Now().Add(wait)}) }
 	if !s.config.Settings.PollsEndpointList {
-		s.discovery.fresh.changed = func(stale bool) { s.post(work, endpointListStaleEvent{stale}) }
+		s.discovery.OnStaleChange(func(stale bool) { s.post(work, endpointListStaleEvent{stale}) })
 	}
-	s.discovery.keepSpare()
-	go s.discovery.follow(work, known, s.watchRequests,
+	s.discovery.ReserveConnection()
+	go s.discovery.Follow(work, known, s.watchRequests,
 		func(t endpointlist.Update) { s.post(work, endpointListEvent{t}) }, func(err error) { s.post(work, discoveryFailedEvent{err}) })
-	go s.discovery.tell(work, s.noticeBatches, func(n []notice) { s.post(work, noticesDeliveredEvent{n}) })
+	go s.discovery.DeliverNotices(work, s.noticeBatches, func(n []discovery.Notice) { s.post(work, noticesDeliveredEvent{n}) })
 	if !s.config.Settings.PollsEndpointList {
 		s.requestEndpointList()
 	}
@@ -502,7 +504,7 @@
 				s.journal.Append(m, journal.Record{Op: "told"})
 			}
 		}
-		s.pendingNotices = slices.DeleteFunc(s.pendingNotices, func(n notice) bool { return told[n.Message] })
+		s.pendingNotices = slices.DeleteFunc(s.pendingNotices, func(n discovery.Notice) bool { return told[n.Message] })
 	}
 	return nil
 }
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -9,6 +9,7 @@
 	"strings"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
@@ -221,8 +222,8 @@
 }
 
 // noticeOf is the notice of a message that has ended.
-func noticeOf(m *journal.Message) notice {
-	n := notice{Message: m.ID, Outcome: m.PendingOutcome}
+func noticeOf(m *journal.Message) discovery.Notice {
+	n := discovery.Notice{Message: m.ID, Outcome: m.PendingOutcome}
 	if m.PendingOutcome == journal.OutcomeReturned && m.PendingRetryAfterMS > 0 {
 		n.RetryMS = &m.PendingRetryAfterMS
 	}
@@ -233,6 +234,6 @@
 func (s *Sender) deliverNotices() {
 	if !s.deliveringNotices && len(s.pendingNotices) > 0 {
 		s.deliveringNotices = true
-		s.noticeBatches <- slices.Clone(s.pendingNotices[:min(len(s.pendingNotices), noticeBatch)]) // what is owed changes meanwhile
+		s.noticeBatches <- slices.Clone(s.pendingNotices[:min(len(s.pendingNotices), discovery.MaxNoticeBatch)]) // what is owed changes meanwhile
 	}
 }
--- a/internal/sender/pool.go
+++ b/internal/sender/pool.go
@@ -16,6 +16,7 @@
 	"golang.org/x/sys/unix"
 
 	"onyxdyke.example/onyxdyke/internal/metrics"
+	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
 type conn struct {
@@ -99,7 +100,7 @@
 		c := e.idle[n]
 		e.idle = e.idle[:n]
 		p.idle.Add(-1)
-		if c.addr == addr && time.Since(c.since) < p.keep && quiet(c.Conn) {
+		if c.addr == addr && time.Since(c.since) < p.keep && netconn.IsQuiet(c.Conn) {
 			e.mu.Unlock()
 			c.idle = time.Since(c.since)
 			return c, nil
@@ -126,27 +127,6 @@
 	}
 }
 
-// quiet reports whether an idle connection still stands: nothing has come on it, not even its end. A call
-// on one that the endpoint has closed already would count as one that may have run, and a client's that is closed with
-// a request unread would be reset.
-func quiet(c net.Conn) bool {
-	sc, ok := c.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return false
-	}
-	stands := false
-	err = raw.Control(func(fd uintptr) { // Read would wait for whoever is reading
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		stands = err == syscall.EAGAIN
-	})
-	return err == nil && stands
-}
-
 func (p *pool) put(e *endpoint, c *conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/sender/reload.go
+++ b/internal/sender/reload.go
@@ -22,7 +22,7 @@
 		s.metrics.ConfigReloaded(false)
 		return err
 	}
-	s.discovery.move(c.Discovery)
+	s.discovery.Move(c.Discovery)
 	if s.post(ctx, reloadEvent{c}) {
 		s.server.conf.Store(c) // from here on requests are read by it; the loop has it first
 	}
--- a/internal/sender/room.go
+++ b/internal/sender/room.go
@@ -4,6 +4,8 @@
 
 import (
 	"time"
+
+	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
 func (s *server) evict() {
@@ -33,7 +35,7 @@
 		switch {
 		case oldest == nil:
 			return false
-		case quiet(oldest): // nearly always the first one
+		case netconn.IsQuiet(oldest): // nearly always the first one
 			delete(s.quiet, oldest)
 			oldest.dismiss(closedRoom)
 			return true
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -18,6 +18,7 @@
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
+	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
 const (
@@ -161,7 +162,7 @@
 	defer s.mu.Unlock()
 	s.leaving = true
 	for g := range s.quiet {
-		if s.known[g] && quiet(g) {
+		if s.known[g] && netconn.IsQuiet(g) {
 			g.dismiss(closedLeaving)
 		}
 	}
@@ -172,7 +173,7 @@
 // answered. The caller holds the lock.
 func (s *server) dismiss() {
 	for g := range s.quiet {
-		if quiet(g) {
+		if netconn.IsQuiet(g) {
 			g.dismiss(closedLeaving)
 		}
 	}
