--- a/internal/sender/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,4 @@
-package sender
+package admin
 
 import (
 	"bufio"
@@ -17,17 +17,14 @@
 // it answers however busy that is.
 
 const (
-	adminMost        = 64 // callers at once; where descriptors are few, a part of those
-	adminPart        = 12
-	adminLine        = 128             // bytes of a call, its end included
-	adminTime        = 5 * time.Second // a caller may take so long to complete its call
-	adminReply       = time.Second     // and to read the reply
-	adminRetry       = 500 * time.Millisecond
-	heartbeatTimeout = 5 * time.Second // a loop that has not come round for so long is stuck
+	MaxLine    = 128             // bytes of a call, its end included
+	adminTime  = 5 * time.Second // a caller may take so long to complete its call
+	adminReply = time.Second     // and to read the reply
+	adminRetry = 500 * time.Millisecond
 )
 
 // admin answers the operators' calls.
-type admin struct {
+type Server struct {
 	health func() error // nil while the process is ready to serve
 	dump   func(io.Writer)
 	log    *slog.Logger
@@ -38,12 +35,12 @@
 	open    int
 }
 
-func newAdmin(log *slog.Logger, descriptors int, health func() error, dump func(io.Writer)) *admin {
-	return &admin{most: callersMost(descriptors), health: health, dump: dump, log: log, callers: map[net.Conn]time.Time{}}
+func New(log *slog.Logger, maxConnections int, health func() error, dump func(io.Writer)) *Server {
+	return &Server{most: maxConnections, health: health, dump: dump, log: log, callers: map[net.Conn]time.Time{}}
 }
 
 // run listens until ctx ends. An address that is taken is tried again: no message should suffer for a figure.
-func (a *admin) run(ctx context.Context, addr string) {
+func (a *Server) Run(ctx context.Context, addr string) {
 	for told := false; ctx.Err() == nil; {
 		l, err := net.Listen("tcp", addr)
 		if err == nil {
@@ -62,7 +59,7 @@
 }
 
 // serve answers on l until ctx ends; then callers are cut off, too.
-func (a *admin) serve(ctx context.Context, l net.Listener) {
+func (a *Server) serve(ctx context.Context, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	for {
@@ -91,7 +88,7 @@
 }
 
 // admit finds a place for a caller. Where all are taken, the one that has been silent for longest loses its own.
-func (a *admin) admit(c net.Conn) bool {
+func (a *Server) admit(c net.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.open >= a.most {
@@ -114,7 +111,7 @@
 }
 
 // spoke takes a caller off the list of silent ones; false if it has lost its place.
-func (a *admin) spoke(c net.Conn) bool {
+func (a *Server) spoke(c net.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_, ok := a.callers[c]
@@ -122,10 +119,10 @@
 	return ok
 }
 
-func (a *admin) answer(c net.Conn) {
+func (a *Server) answer(c net.Conn) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(adminTime))
-	line, err := bufio.NewReaderSize(io.LimitReader(c, adminLine), adminLine).ReadSlice('\n')
+	line, err := bufio.NewReaderSize(io.LimitReader(c, MaxLine), MaxLine).ReadSlice('\n')
 	if !a.spoke(c) {
 		return
 	}
@@ -136,12 +133,12 @@
 	}()
 	var out bytes.Buffer
 	switch call := strings.TrimSpace(string(line)); {
-	case err != nil && len(line) < adminLine && !(errors.Is(err, io.EOF) && call != ""):
+	case err != nil && len(line) < MaxLine && !(errors.Is(err, io.EOF) && call != ""):
 		if len(line) == 0 {
 			return // it said nothing at all
 		}
 		out.WriteString("fail the call is not complete\n")
-	case err != nil && len(line) >= adminLine:
+	case err != nil && len(line) >= MaxLine:
 		out.WriteString("fail the line is too long\n")
 	case call == "HEALTH":
 		if err := a.health(); err != nil {
--- a/internal/sender/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,5 @@
-// Package sender is the real sender round the decision module: it takes messages from clients, keeps
-// them in a journal that outlasts the process, calls endpoints, watches discovery and tells the
-// platform how messages ended. What is done with a message is decided by package dispatch alone.
-package sender
+// Package config reads what a sender is told at its start and at SIGHUP: the configuration file and the environment.
+package config
 
 import (
 	"context"
@@ -52,36 +50,51 @@
 	shape any // the file as it was read
 }
 
-// The descriptors are shared out so that all uses fit at their most, whatever else goes on: clients get half (they use a third,
-// and strangers come beside them), operators a part, what follows stays free, and calls have the rest. Connections that
-// rest beside those of the calls have what the slots leave.
-const spareDescriptors = 24 // standard streams, the poller, listeners, lock, journal, discovery and its hedged calls, a successor
+// File descriptors are divided so that all uses fit at their maximum, whatever else happens: clients get half (they use a
+// third, and strangers come beside them), operators a part, ReservedDescriptors stay free, and calls have the rest. Idle
+// connections to endpoints have what the calls leave of that.
+const (
+	// AdminConnectionLimit bounds the operators' connections. Where descriptors are few, there are fewer.
+	AdminConnectionLimit = 64
+	// adminDivisor is the part of the descriptors that operators get at most.
+	adminDivisor = 12
+	// ReservedDescriptors are kept for the standard streams, the poller, listeners, the lock, the journal, discovery and
+	// its hedged calls, and a successor.
+	ReservedDescriptors = 24
+)
 
-func clientsMost(sockets int) int { return max(2, sockets/2) }
+// MaxClientConnections is how many connections of clients there may be at once.
+func (l Limits) MaxClientConnections() int { return max(2, l.Sockets/2) }
 
-func callersMost(sockets int) int { return max(4, min(adminMost, sockets/adminPart)) }
+// MaxAdminConnections is how many connections of operators there may be at once.
+func (l Limits) MaxAdminConnections() int {
+	return max(4, min(AdminConnectionLimit, l.Sockets/adminDivisor))
+}
 
-// callsMost is how many connections to endpoints there may be at once, with a call or without.
-func callsMost(sockets int) int {
-	return max(1, sockets-clientsMost(sockets)-callersMost(sockets)-spareDescriptors)
+// MaxEndpointConnections is how many connections to endpoints there may be at once, idle or not.
+func (l Limits) MaxEndpointConnections() int {
+	return max(1, l.Sockets-l.MaxClientConnections()-l.MaxAdminConnections()-ReservedDescriptors)
 }
 
-// idleMost is how many of them are kept without a call.
-func (c *Config) idleMost() int {
-	return max(0, min(c.Limits.Sockets/4, callsMost(c.Limits.Sockets)-c.Settings.MaxConcurrentCalls))
+// MaxIdleConnections is how many idle connections to endpoints are kept.
+func (c *Config) MaxIdleConnections() int {
+	return max(0, min(c.Limits.Sockets/4, c.Limits.MaxEndpointConnections()-c.Settings.MaxConcurrentCalls))
 }
 
+// ReadFile reads a whole file, as os.ReadFile does.
+type ReadFile func(path string) ([]byte, error)
+
 // LoadConfig reads the file that EDGE_CONFIG names. The other variables win over what it says.
-func LoadConfig(ctx context.Context, log *slog.Logger, env Environment, getenv func(string) string) (*Config, error) {
+func Load(ctx context.Context, log *slog.Logger, readFile ReadFile, getenv func(string) string) (*Config, error) {
 	var raw []byte
 	err := retry.OnTransient(ctx, log, "the configuration", func() (err error) {
-		raw, err = env.ReadFile(getenv("EDGE_CONFIG"))
+		raw, err = readFile(getenv("EDGE_CONFIG"))
 		return err
 	})
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := ParseConfig(raw)
+	c, err := Parse(raw)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -128,12 +141,12 @@
 // reload reads the file again and gives the configuration that follows this one. Here the file wins over the
 // variables, as those are of the start. What a process is by its start (name, addresses of its own, folder,
 // limits) stays. A file that lacks anything that the one before had was not written whole: nothing is taken of it.
-func (c *Config) reload(env Environment, getenv func(string) string) (*Config, error) {
-	raw, err := env.ReadFile(getenv("EDGE_CONFIG"))
+func (c *Config) Reload(readFile ReadFile, getenv func(string) string) (*Config, error) {
+	raw, err := readFile(getenv("EDGE_CONFIG"))
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	n, err := ParseConfig(raw)
+	n, err := Parse(raw)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -146,7 +159,7 @@
 	if c.Settings.MaxAttempts > 0 && n.Settings.MaxAttempts <= 0 {
 		return nil, errors.New("configuration: settings.limits.maxAttempts is not a positive number")
 	}
-	n.Settings.MaxConcurrentCalls = min(n.Settings.MaxConcurrentCalls, callsMost(c.Limits.Sockets))
+	n.Settings.MaxConcurrentCalls = min(n.Settings.MaxConcurrentCalls, c.Limits.MaxEndpointConnections())
 	next := *c
 	next.Discovery, next.Settings, next.Classes, next.Tenants = n.Discovery, n.Settings, n.Classes, n.Tenants
 	next.Kinds, next.Zones, next.shape = n.Kinds, n.Zones, n.shape
@@ -219,7 +232,7 @@
 }
 
 // ParseConfig reads the configuration's JSON.
-func ParseConfig(raw []byte) (*Config, error) {
+func Parse(raw []byte) (*Config, error) {
 	var file struct {
 		Name      string              `json:"name"`
 		Listen    string              `json:"listen"`
@@ -304,7 +317,7 @@
 	if c.Limits.DiskMB <= 0 {
 		c.Limits.DiskMB = 3
 	}
-	c.Settings.MaxConcurrentCalls = min(c.Settings.MaxConcurrentCalls, callsMost(c.Limits.Sockets))
+	c.Settings.MaxConcurrentCalls = min(c.Settings.MaxConcurrentCalls, c.Limits.MaxEndpointConnections())
 	if c.ConnectTimeout <= 0 {
 		c.ConnectTimeout = 1500 * time.Millisecond
 	}
@@ -327,7 +340,7 @@
 }
 
 // place is the place of a name in a list of the settings, or def if it is not there.
-func place(list []string, name string, def int) int {
+func IndexOf(list []string, name string, def int) int {
 	if i := slices.Index(list, name); i >= 0 {
 		return i
 	}
--- a/internal/sender/invariants.go
+++ b/internal/invariant/invariant.go
@@ -1,4 +1,4 @@
-package sender
+package invariant
 
 import (
 	"fmt"
@@ -7,7 +7,6 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
-	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
@@ -18,7 +17,7 @@
 // The rules that the guard checks.
 const (
 	RuleDrain      Rule = "drain"      // no call to an endpoint later than the drain grace after it was told to drain
-	RuleWait       Rule = "wait"       // no call to a destination before a wait that it told is over
+	RuleRetryAfter Rule = "wait"       // no call to a destination before a wait that it told is over
 	RuleRepeat     Rule = "repeat"     // no repeat that the message's class, or the window of its key, forbids
 	RuleConcurrent Rule = "concurrent" // no two attempts of one message out at a time
 	RuleAnswer     Rule = "answer"     // no connection closed with a request that was read whole and not answered
@@ -26,7 +25,7 @@
 	RuleOwnership  Rule = "ownership"  // no start without the lock on the state folder
 )
 
-var allRules = []Rule{RuleDrain, RuleWait, RuleRepeat, RuleConcurrent, RuleAnswer, RulePromise, RuleOwnership}
+var allRules = []Rule{RuleDrain, RuleRetryAfter, RuleRepeat, RuleConcurrent, RuleAnswer, RulePromise, RuleOwnership}
 
 const (
 	// drainGrace is how long calls may go on to an endpoint that has been told to drain (protocol: 500 ms and 50 ms of slack).
@@ -41,45 +40,45 @@
 // guard stands at the four points where a promise can be broken: before a call is written, before a message is sent
 // again, when a client's connection is closed, and when the process starts to own the journal. The decisions are made
 // elsewhere and should never come into conflict with it, so what it refuses it also counts. It is safe for concurrent use.
-type invariantChecker struct {
+type Checker struct {
 	log     *slog.Logger
-	figures *metrics.Registry
+	metrics *metrics.Registry
 
 	mu    sync.Mutex
-	waits map[waitScope]waitSpan
+	waits map[Scope]waitSpan
 }
 
 // waitScope is what a told wait binds: a destination, or one endpoint where routes are apart.
-type waitScope struct {
-	destination dispatch.DestinationID
-	endpoint    dispatch.EndpointID // only where apart
-	apart       bool
+type Scope struct {
+	Destination dispatch.DestinationID
+	Endpoint    dispatch.EndpointID // only where apart
+	PerEndpoint bool
 }
 
 // waitSpan is a told wait.
 type waitSpan struct{ from, until time.Time }
 
-func newInvariantChecker(log *slog.Logger, f *metrics.Registry) *invariantChecker {
-	return &invariantChecker{log: log, figures: f, waits: map[waitScope]waitSpan{}}
+func NewChecker(log *slog.Logger, f *metrics.Registry) *Checker {
+	return &Checker{log: log, metrics: f, waits: map[Scope]waitSpan{}}
 }
 
 // violationError is a call that the guard did not let pass.
-type violationError struct {
-	rule   Rule
-	detail string
+type ViolationError struct {
+	Rule   Rule
+	Detail string
 }
 
-func (e *violationError) Error() string { return fmt.Sprintf("rule %s: %s", e.rule, e.detail) }
+func (e *ViolationError) Error() string { return fmt.Sprintf("rule %s: %s", e.Rule, e.Detail) }
 
 // violated counts and logs a violation and returns it as an error.
-func (g *invariantChecker) violated(rule Rule, id, detail string) error {
-	g.figures.CountReason(metrics.ReasonViolation, string(rule))
+func (g *Checker) violated(rule Rule, id, detail string) error {
+	g.metrics.CountReason(metrics.ReasonViolation, string(rule))
 	g.log.Error("rule violated", "rule", rule, "id", id, "detail", detail)
-	return &violationError{rule, detail}
+	return &ViolationError{rule, detail}
 }
 
 // waitTold books a wait that an endpoint has told, from the moment that its answer's head was read.
-func (g *invariantChecker) waitTold(scope waitScope, wait time.Duration) {
+func (g *Checker) RetryAfterReceived(scope Scope, wait time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -94,7 +93,7 @@
 }
 
 // waits reports whether a told wait keeps calls from scope at the time.
-func (g *invariantChecker) mustWait(scope waitScope, now time.Time) bool {
+func (g *Checker) mustWait(scope Scope, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	span, told := g.waits[scope]
@@ -106,41 +105,45 @@
 }
 
 // permit is what the guard has to know of a message in a call.
-type sendPermit struct {
-	id              string
-	mayHaveRun      bool      // an earlier attempt may have run
-	nonRepeatable   bool      // then it may not be sent again
-	repeatableUntil time.Time // or only until then; the zero time for no bound
-	inFlight        int       // attempts of it that are out
+type SendPermit struct {
+	MessageID       string
+	MayHaveRun      bool      // an earlier attempt may have run
+	NonRepeatable   bool      // then it may not be sent again
+	RepeatableUntil time.Time // or only until then; the zero time for no bound
+	InFlight        int       // attempts of it that are out
 }
 
 // checkRepeat tells why a message may not be sent, nil if it may.
-func (g *invariantChecker) checkRepeat(p sendPermit, now time.Time) error {
+func (g *Checker) checkRepeat(p SendPermit, now time.Time) error {
 	switch {
-	case p.inFlight > 0:
-		return g.violated(RuleConcurrent, p.id, "another attempt is out")
-	case p.mayHaveRun && p.nonRepeatable:
-		return g.violated(RuleRepeat, p.id, "it may have run, and its class allows no repeat")
-	case p.mayHaveRun && !p.repeatableUntil.IsZero() && !now.Before(p.repeatableUntil):
-		return g.violated(RuleRepeat, p.id, "its key may be forgotten already")
+	case p.InFlight > 0:
+		return g.violated(RuleConcurrent, p.MessageID, "another attempt is out")
+	case p.MayHaveRun && p.NonRepeatable:
+		return g.violated(RuleRepeat, p.MessageID, "it may have run, and its class allows no repeat")
+	case p.MayHaveRun && !p.RepeatableUntil.IsZero() && !now.Before(p.RepeatableUntil):
+		return g.violated(RuleRepeat, p.MessageID, "its key may be forgotten already")
 	}
 	return nil
 }
 
+// Target is the endpoint that a call goes to.
+type Target struct {
+	ID        string
+	DrainedAt time.Time // since when it drains or is gone, the zero time while it serves
+	Scope     Scope
+}
+
 // checkSend tells why a call to e may not be written now, nil if it may.
-func (g *invariantChecker) checkSend(e *endpoint, permits []sendPermit) error {
+func (g *Checker) CheckSend(to Target, permits []SendPermit) error {
 	now := time.Now()
-	e.mu.Lock()
-	drained, scope := e.drained, e.scope
-	e.mu.Unlock()
-	if known := now.Sub(drained); !drained.IsZero() && known > drainKnown {
+	if known := now.Sub(to.DrainedAt); !to.DrainedAt.IsZero() && known > drainKnown {
 		if known > drainGrace {
-			return g.violated(RuleDrain, e.id, "it drains or is gone")
+			return g.violated(RuleDrain, to.ID, "it drains or is gone")
 		}
-		return &violationError{RuleDrain, "it drains or is gone"} // nothing has gone wrong: the call was under way
+		return &ViolationError{RuleDrain, "it drains or is gone"} // nothing has gone wrong: the call was under way
 	}
-	if g.mustWait(scope, now) {
-		return g.violated(RuleWait, e.id, "a told wait is not over")
+	if g.mustWait(to.Scope, now) {
+		return g.violated(RuleRetryAfter, to.ID, "a told wait is not over")
 	}
 	for _, p := range permits {
 		if err := g.checkRepeat(p, now); err != nil {
@@ -151,16 +154,16 @@
 }
 
 // checkClose counts a client's connection that is closed while it is owed an answer.
-func (g *invariantChecker) checkClose(c *clientConn) {
-	g.figures.CountReason(metrics.ReasonClosed, c.whyClosed())
-	if c.owed.Load() {
+func (g *Checker) CheckClose(reason string, unanswered bool) {
+	g.metrics.CountReason(metrics.ReasonClosed, reason)
+	if unanswered {
 		g.violated(RuleAnswer, "", "a connection is closed with a whole request and no answer")
 	}
 }
 
 // checkPromise tells why a message may not be promised to have had no effect, nil if it may: its end has to be
 // written, or the next process would send it.
-func (g *invariantChecker) checkPromise(id string, written bool) error {
+func (g *Checker) CheckPromise(id string, written bool) error {
 	if written {
 		return nil
 	}
@@ -168,32 +171,14 @@
 }
 
 // checkStart counts a start without the lock that makes this process the only one to own the journal.
-func (g *invariantChecker) checkStart(locked bool) {
+func (g *Checker) CheckOwnership(locked bool) {
 	if !locked {
 		g.violated(RuleOwnership, "", "the state folder is used without its lock")
 	}
 }
 
-// permitOf is what is to be known of m, whose newest attempt in the record is the one that asks.
-func sendPermitFor(m *message, kept map[int]*outCall, now time.Duration) sendPermit {
-	p := sendPermit{id: m.ID, inFlight: len(kept)}
-	if m.Message == nil || m.Rules == nil || len(m.Attempts) == 0 {
-		return p
-	}
-	earlier := journal.Message{Record: journal.Record{Attempts: m.Attempts[:len(m.Attempts)-1]}}
-	first, ran := earlier.FirstRun()
-	p.mayHaveRun = ran
-	switch m.Rules.Effect {
-	case dispatch.NonIdempotent:
-		p.nonRepeatable = true
-	case dispatch.IdempotentByKey:
-		p.repeatableUntil = time.Now().Add(first.SentAt + m.Rules.IdempotencyWindow - now)
-	}
-	return p
-}
-
 // ruleNames are the names of all rules that are checked.
-func ruleNames() []string {
+func RuleNames() []string {
 	names := make([]string, 0, len(allRules))
 	for _, rule := range allRules {
 		names = append(names, string(rule))
--- a/internal/sender/admin_test.go
+++ b/internal/sender/admin_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/admin"
+	"onyxdyke.example/onyxdyke/internal/config"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -87,7 +89,7 @@
 	good, bad, silent := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Reset), st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, good.Addr, bad.Addr, silent.Addr)
 	admin := freeAddr(t)
-	addr := run(t, p, func(c *Config) { c.Admin = admin; c.Settings.MaxPendingMessages = 2 })
+	addr := run(t, p, func(c *config.Config) { c.Admin = admin; c.Settings.MaxPendingMessages = 2 })
 	waitHealth(t, admin, "ok\n") // its address is known a moment before it is ready
 	wantFigures(t, admin, map[string]int{"succeeded.safe": 0, "declined.safe": 0, "aborted.safe": 0, "succeeded.unsafe": 0,
 		"forwards": 0, "outstanding": 0, "discovered": 3, "ejected": 0, "sighup_applied": 0, "sighup_rejected": 0})
@@ -106,19 +108,19 @@
 
 func TestAdminCalls(t *testing.T) {
 	t.Parallel()
-	admin := freeAddr(t)
-	run(t, st.NewPlatform(t), func(c *Config) { c.Admin = admin })
+	addr := freeAddr(t)
+	run(t, st.NewPlatform(t), func(c *config.Config) { c.Admin = addr })
 	for call, want := range map[string]string{
-		"HEALTH\r\n":                          "ok\n",
-		"health\n":                            "fail ",
-		"\n":                                  "fail ",
-		"HEALTH DUMP\n":                       "fail ",
-		strings.Repeat("x", adminLine) + "\n": "fail ",
-		strings.Repeat("x", 3*adminLine):      "fail ",
-		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":   "fail ",
-		"\x00\xff\n":                          "fail ",
+		"HEALTH\r\n":    "ok\n",
+		"health\n":      "fail ",
+		"\n":            "fail ",
+		"HEALTH DUMP\n": "fail ",
+		strings.Repeat("x", admin.MaxLine) + "\n": "fail ",
+		strings.Repeat("x", 3*admin.MaxLine):      "fail ",
+		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":       "fail ",
+		"\x00\xff\n":                              "fail ",
 	} {
-		if reply := ask(t, admin, call); !strings.HasPrefix(reply, want) || strings.Count(reply, "\n") != 1 {
+		if reply := ask(t, addr, call); !strings.HasPrefix(reply, want) || strings.Count(reply, "\n") != 1 {
 			t.Errorf("%q is answered %q", call, reply)
 		}
 	}
@@ -128,9 +130,9 @@
 func TestSilentAdminCallersMakeRoom(t *testing.T) {
 	t.Parallel()
 	admin := freeAddr(t)
-	run(t, st.NewPlatform(t), func(c *Config) { c.Admin = admin })
+	run(t, st.NewPlatform(t), func(c *config.Config) { c.Admin = admin })
 	ask(t, admin, "HEALTH\n")
-	for n := range 3 * adminMost {
+	for n := range 3 * config.AdminConnectionLimit {
 		c, err := net.Dial("tcp", admin)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/invariant"
+	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
 // outCall is the call that an attempt is out with.
@@ -157,3 +159,21 @@
 		s.post(ctx, end)
 	}()
 }
+
+// permitOf is what is to be known of m, whose newest attempt in the record is the one that asks.
+func sendPermitFor(m *message, kept map[int]*outCall, now time.Duration) invariant.SendPermit {
+	p := invariant.SendPermit{MessageID: m.ID, InFlight: len(kept)}
+	if m.Message == nil || m.Rules == nil || len(m.Attempts) == 0 {
+		return p
+	}
+	earlier := journal.Message{Record: journal.Record{Attempts: m.Attempts[:len(m.Attempts)-1]}}
+	first, ran := earlier.FirstRun()
+	p.MayHaveRun = ran
+	switch m.Rules.Effect {
+	case dispatch.NonIdempotent:
+		p.NonRepeatable = true
+	case dispatch.IdempotentByKey:
+		p.RepeatableUntil = time.Now().Add(first.SentAt + m.Rules.IdempotencyWindow - now)
+	}
+	return p
+}
--- a/internal/sender/endpointlist.go
+++ b/internal/sender/endpointlist.go
@@ -6,8 +6,10 @@
 	"fmt"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
@@ -68,7 +70,7 @@
 }
 
 // line books a line of the list and translates it for the dispatcher.
-func (l *endpoints) line(t endpointlist.Endpoint, c *Config, p *pool) dispatch.Endpoint {
+func (l *endpoints) line(t endpointlist.Endpoint, c *config.Config, p *pool) dispatch.Endpoint {
 	e := l.byID[t.ID]
 	if e == nil {
 		e = &endpoint{number: dispatch.EndpointID(len(l.byNumber)), id: t.ID}
@@ -79,8 +81,8 @@
 		t.Addr = e.target.Addr
 	}
 	e.target = t
-	e.zone, e.most = place(c.Zones, t.Zone, 0), 1
-	kind := place(c.Kinds, t.Kind, 0)
+	e.zone, e.most = config.IndexOf(c.Zones, t.Zone, 0), 1
+	kind := config.IndexOf(c.Kinds, t.Kind, 0)
 	if kind < len(c.Settings.Kinds) {
 		e.most = max(1, c.Settings.Kinds[kind].MaxBatchSize)
 	}
@@ -108,9 +110,9 @@
 	case e.drained.IsZero():
 		e.drained = time.Now()
 	}
-	e.scope = waitScope{destination: dispatch.DestinationID(t.Cell)}
+	e.scope = invariant.Scope{Destination: dispatch.DestinationID(t.Cell)}
 	if kind < len(c.Settings.Kinds) && c.Settings.Kinds[kind].PerEndpoint {
-		e.scope = waitScope{endpoint: e.number, apart: true}
+		e.scope = invariant.Scope{Endpoint: e.number, PerEndpoint: true}
 	}
 	e.mu.Unlock()
 	return dispatch.Endpoint{ID: e.number, Destination: dispatch.DestinationID(t.Cell), Kind: kind,
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -18,6 +18,7 @@
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 	"onyxdyke.example/onyxdyke/internal/netconn"
@@ -38,9 +39,16 @@
 
 	mu      sync.Mutex
 	addr    string
-	idle    []*conn   // the one used last at the end
-	drained time.Time // since when it drains or is gone, the zero time while it serves
-	scope   waitScope // what a wait told by it binds
+	idle    []*conn         // the one used last at the end
+	drained time.Time       // since when it drains or is gone, the zero time while it serves
+	scope   invariant.Scope // what a wait told by it binds
+}
+
+// callTarget is what the invariants need to know of a call's endpoint.
+func (e *endpoint) callTarget() invariant.Target {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return invariant.Target{ID: e.id, DrainedAt: e.drained, Scope: e.scope}
 }
 
 // Why a connection to an endpoint was closed with its call.
@@ -68,7 +76,7 @@
 	journal.Record
 	message     *message
 	attempt     int
-	permit      sendPermit
+	permit      invariant.SendPermit
 	timeout     time.Duration
 	startWithin time.Duration // it is not written later than this
 	startBy     time.Time     // the same as a time
@@ -162,7 +170,7 @@
 		told := waits(until)
 		until = time.Now().Add(told)
 		out, err := request(addr, "/hook", "", it.Record, it.Body, told)
-		return rendered{text: out, permits: []sendPermit{it.permit}, alone: true}, err
+		return rendered{text: out, permits: []invariant.SendPermit{it.permit}, alone: true}, err
 	})
 	if c != nil {
 		end.ConnectionIdle = c.idle
@@ -213,7 +221,7 @@
 	end, until := dispatch.AttemptResult{Endpoint: e.number}, time.Now().Add(timeout)
 	resp, c, outcome := p.exchange(ctx, begin, e, func(addr string) (rendered, error) {
 		var parts []batchEntry
-		var permits []sendPermit
+		var permits []invariant.SendPermit
 		var by time.Time
 		for _, it := range items {
 			if !it.markWritten() {
@@ -305,10 +313,10 @@
 // rendered is a call as it is written.
 type rendered struct {
 	text    []byte
-	permits []sendPermit // of its messages
-	by      time.Time    // its last byte is written by then or never; the zero time for no bound
-	way     *batchCall   // nil if nobody else may end it
-	alone   bool         // it is a call for one message
+	permits []invariant.SendPermit // of its messages
+	by      time.Time              // its last byte is written by then or never; the zero time for no bound
+	way     *batchCall             // nil if nobody else may end it
+	alone   bool                   // it is a call for one message
 }
 
 var errNobody = errors.New("no message is left for this call")
@@ -333,7 +341,7 @@
 			return nil, nil, unbegun(ctx, begin)
 		}
 	}
-	if p.guard.checkSend(e, out.permits) != nil {
+	if p.invariants.CheckSend(e.callTarget(), out.permits) != nil {
 		p.put(e, c)
 		return nil, nil, dispatch.NotSent
 	}
@@ -349,7 +357,7 @@
 	out.way.set(c, false)
 	defer out.way.set(nil, false) // before a further call can have the connection
 	if _, err = c.Write(out.text); err != nil {
-		c.drop(p.guard.figures, droppedUnwritten)
+		c.drop(p.metrics, droppedUnwritten)
 		return nil, nil, dispatch.ConnectFailed
 	}
 	out.way.set(c, true)
@@ -360,7 +368,7 @@
 	if err == nil {
 		return resp, c, 0
 	}
-	c.drop(p.guard.figures, droppedUnread)
+	c.drop(p.metrics, droppedUnread)
 	switch {
 	case c.saysServed():
 		return nil, c, dispatch.Served
@@ -394,7 +402,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	whole = err == nil && len(body) <= maxBody
 	if !whole || resp.Close || c.r.Buffered() > 0 || !c.stop() {
-		c.drop(p.guard.figures, droppedIncomplete)
+		c.drop(p.metrics, droppedIncomplete)
 	} else {
 		p.put(e, c)
 	}
@@ -446,7 +454,7 @@
 		e.mu.Lock()
 		scope := e.scope
 		e.mu.Unlock()
-		p.guard.waitTold(scope, end.RetryAfter)
+		p.invariants.RetryAfterReceived(scope, end.RetryAfter)
 		if resp.ContentLength < 0 || resp.ContentLength > int64(c.r.Buffered()) {
 			waitsUntil = time.Now().Add(end.RetryAfter)
 			p.waitTold(e, end.RetryAfter)
--- a/internal/sender/endpoints_test.go
+++ b/internal/sender/endpoints_test.go
@@ -13,14 +13,16 @@
 	"testing"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/netconn"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 func testPool() *pool {
-	return newPool(&Config{ConnectTimeout: time.Second, Limits: Limits{Sockets: 64}, Fields: []string{"x0", "x1"},
+	return newPool(&config.Config{ConnectTimeout: time.Second, Limits: config.Limits{Sockets: 64}, Fields: []string{"x0", "x1"},
 		Settings: dispatch.Settings{IdleConnectionTimeout: 15 * time.Second}})
 }
 
@@ -536,7 +538,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		text, err := request(addr, "/hook", "", journal.Record{ID: "second"}, nil, time.Second)
-		return rendered{text: text, permits: []sendPermit{{}}}, err
+		return rendered{text: text, permits: []invariant.SendPermit{{}}}, err
 	})
 	if resp == nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("it is answered %+v, %v", resp, outcome)
@@ -585,7 +587,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	p := newPool(&Config{ConnectTimeout: time.Second, Limits: Limits{Sockets: 64}})
+	p := newPool(&config.Config{ConnectTimeout: time.Second, Limits: config.Limits{Sockets: 64}})
 	p.call(ctx, ctx, &endpoint{addr: l.Addr().String()}, batchItem{Record: journal.Record{ID: "id"}}, 50*time.Millisecond)
 	if err := st.Receive(t, ended); err == nil {
 		t.Error("the connection ended in order")
--- a/internal/sender/faults_test.go
+++ b/internal/sender/faults_test.go
@@ -19,6 +19,7 @@
 	"testing"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
@@ -32,7 +33,7 @@
 }
 
 // live starts a sender in an environment; edit may change its configuration.
-func live(t *testing.T, env Environment, p *st.Platform, edit func(c *Config)) *life {
+func live(t *testing.T, env Environment, p *st.Platform, edit func(c *config.Config)) *life {
 	t.Helper()
 	s := newTestIn(t, env, p, edit)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -175,7 +176,7 @@
 			if c.delivered {
 				window = 2500 * time.Millisecond
 			}
-			edit := func(conf *Config) { conf.State, conf.Settings.Classes[1].IdempotencyWindow = state, window }
+			edit := func(conf *config.Config) { conf.State, conf.Settings.Classes[1].IdempotencyWindow = state, window }
 			first := live(t, OperatingSystem(), p, edit)
 			st.HandIn(t, first.addr, "m", c.class, 0, c.deadline)
 			if c.tried {
@@ -225,7 +226,7 @@
 			p := st.NewPlatform(t, old.Addr, kept.Addr)
 			folder := t.TempDir()
 			var known endpointlist.Update
-			first := live(t, OperatingSystem(), p, func(c *Config) { c.State, known = folder, c.Known })
+			first := live(t, OperatingSystem(), p, func(c *config.Config) { c.State, known = folder, c.Known })
 			p.Change(st.Target("s-0", old.Addr, 0, state))
 			p.Change(st.Target("s-2", fresh.Addr, 0, "SERVING"))
 			st.HandIn(t, first.addr, "before", "unsafe", 0, 15*time.Second)
@@ -240,7 +241,7 @@
 				}
 			}
 			first.stop()
-			second := live(t, OperatingSystem(), p, func(c *Config) { c.State, c.Known, c.Discovery = folder, known, silentAddr(t) })
+			second := live(t, OperatingSystem(), p, func(c *config.Config) { c.State, c.Known, c.Discovery = folder, known, silentAddr(t) })
 			for _, id := range []string{"a", "b", "c"} {
 				st.HandIn(t, second.addr, id, "unsafe", 0, 15*time.Second)
 			}
@@ -358,7 +359,7 @@
 	t.Parallel()
 	env := OperatingSystem()
 	env.WrapListener = func(l net.Listener) net.Listener { return stallingListener{l} }
-	s := live(t, env, st.NewPlatform(t), func(c *Config) { c.Limits.Sockets = 8 })
+	s := live(t, env, st.NewPlatform(t), func(c *config.Config) { c.Limits.Sockets = 8 })
 	text := written(t, st.Message(t, s.addr, "m", "safe", 0, 5*time.Second, "body"))
 	var conns []net.Conn
 	for range 3 {
@@ -432,7 +433,7 @@
 		e := st.NewEndpoint(t, st.Status(200))
 		p := st.NewPlatform(t)
 		state := t.TempDir()
-		first := live(t, OperatingSystem(), p, func(c *Config) { c.State = state })
+		first := live(t, OperatingSystem(), p, func(c *config.Config) { c.State = state })
 		st.HandIn(t, first.addr, "m", "unsafe", 0, 15*time.Second)
 		first.stop()
 		p.Change(st.Target("s-0", e.Addr, 0, "SERVING"))
@@ -443,7 +444,7 @@
 			}
 			return failing()
 		}}
-		live(t, env, p, func(c *Config) { c.State = state })
+		live(t, env, p, func(c *config.Config) { c.State = state })
 		if c := e.Next(t); c.ID != "m" {
 			t.Errorf("%+v", c)
 		}
@@ -455,7 +456,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := ParseConfig(raw)
+		c, err := config.Parse(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -510,7 +511,7 @@
 			}
 			return os.ReadFile(path)
 		}
-		if _, err := LoadConfig(context.Background(), slog.New(slog.DiscardHandler), env, getenv); err != nil {
+		if _, err := config.Load(context.Background(), slog.New(slog.DiscardHandler), env.ReadFile, getenv); err != nil {
 			t.Errorf("a start: %v", err)
 		}
 		s := live(t, env, p, nil)
@@ -546,7 +547,7 @@
 				done.Store(true)
 				return err
 			}}
-			s := live(t, env, st.NewPlatform(t, hung.Addr), func(conf *Config) { conf.Settings.MaxPendingMessages = 2 })
+			s := live(t, env, st.NewPlatform(t, hung.Addr), func(conf *config.Config) { conf.Settings.MaxPendingMessages = 2 })
 			st.HandIn(t, s.addr, "out", "unsafe", 0, 15*time.Second)
 			hung.Next(t)
 			resp, _ := st.Do(t, st.Message(t, s.addr, "refused", "unsafe", 5, 15*time.Second, "body"))
@@ -574,7 +575,7 @@
 		return st.Silent(c, conn)
 	})
 	admin := freeAddr(t)
-	s := live(t, OperatingSystem(), st.NewPlatform(t, e.Addr), func(c *Config) { c.Admin = admin })
+	s := live(t, OperatingSystem(), st.NewPlatform(t, e.Addr), func(c *config.Config) { c.Admin = admin })
 	st.HandIn(t, s.addr, "first", "unsafe", 0, 15*time.Second)
 	e.Next(t)
 	for told.Load() == 0 {
@@ -607,7 +608,7 @@
 				}
 				return nil
 			}}
-			s := live(t, env, p, func(c *Config) { c.Settings.MaxAttempts = 2 })
+			s := live(t, env, p, func(c *config.Config) { c.Settings.MaxAttempts = 2 })
 			ids := []string{"a", "b", "c"}
 			for _, id := range ids {
 				st.HandIn(t, s.addr, id, "unsafe", 0, 15*time.Second)
@@ -658,7 +659,7 @@
 			})
 			p := st.NewPlatform(t, e.Addr)
 			state := t.TempDir()
-			edit := func(c *Config) {
+			edit := func(c *config.Config) {
 				c.State, c.Settings.MaxPendingMessages, c.Settings.OverloadWindow = state, 200, 2*time.Second
 			}
 			s := live(t, OperatingSystem(), p, edit)
@@ -732,7 +733,7 @@
 	good, hung := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, good.Addr, hung.Addr)
 	state, admin := t.TempDir(), freeAddr(t)
-	edit := func(c *Config) { c.State, c.Admin, c.Settings.MaxPendingMessages = state, admin, 2 }
+	edit := func(c *config.Config) { c.State, c.Admin, c.Settings.MaxPendingMessages = state, admin, 2 }
 	first := live(t, OperatingSystem(), p, edit)
 	for _, id := range []string{"safe", "unsafe"} {
 		st.HandIn(t, first.addr, id, id, 0, 15*time.Second)
--- a/internal/sender/format_test.go
+++ b/internal/sender/format_test.go
@@ -13,6 +13,7 @@
 
 	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
@@ -163,7 +164,7 @@
 }
 
 func TestFiguresAreDumpedAsReleased(t *testing.T) {
-	f := metrics.New([]string{"safe", "keyed"}, ruleNames()...)
+	f := metrics.New([]string{"safe", "keyed"}, invariant.RuleNames()...)
 	f.MessageSucceeded("safe")
 	f.MessageDeclined("safe")
 	f.MessageDeclined("unsafe")
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -76,7 +76,7 @@
 		}
 		if err != nil {
 			s.log.Warn("the state folder cannot be locked: an upgrade will not be noticed", "err", err)
-			s.invariants.checkStart(false)
+			s.invariants.CheckOwnership(false)
 		}
 		if lock != nil || err != nil {
 			s.lock = lock
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -40,7 +41,7 @@
 func beside(t *testing.T, p *st.Platform, state string, listen func() (net.Listener, error)) (admin string, stop func()) {
 	t.Helper()
 	admin = freeAddr(t)
-	s := newTest(t, p, func(c *Config) { c.State, c.Admin = state, admin })
+	s := newTest(t, p, func(c *config.Config) { c.State, c.Admin = state, admin })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx, listen) }()
@@ -470,7 +471,7 @@
 	gated := make(chan struct{})
 	slow := st.NewEndpoint(t, gate(gated))
 	p.Change(st.Target("s-1", slow.Addr, 1, "SERVING"))
-	first := live(t, env, p, func(c *Config) { c.State, c.Admin = state, admin })
+	first := live(t, env, p, func(c *config.Config) { c.State, c.Admin = state, admin })
 	st.HandIn(t, first.addr, "m", "unsafe", 1, 15*time.Second)
 	slow.Next(t)
 	failing.Store(true)
--- a/internal/sender/leaving_test.go
+++ b/internal/sender/leaving_test.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
@@ -32,7 +33,7 @@
 	done chan error
 }
 
-func startLeaver(t *testing.T, p *st.Platform, edit func(c *Config)) *leaver {
+func startLeaver(t *testing.T, p *st.Platform, edit func(c *config.Config)) *leaver {
 	t.Helper()
 	l := &leaver{Sender: newTest(t, p, edit), done: make(chan error, 1)}
 	addr := make(chan string, 1)
@@ -83,7 +84,7 @@
 func TestEachRequestWhileLeavingGetsAWholeAnswer(t *testing.T) {
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
-	l := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 100 })
+	l := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *config.Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 100 })
 	l.gracePeriod, l.drainTimeout = 150*time.Millisecond, 400*time.Millisecond
 	var mu sync.Mutex
 	taken, open := map[string]bool{}, map[string]bool{} // answered 202, and not answered
@@ -149,7 +150,7 @@
 func TestConnectionsInTheQueueAreAnsweredWhileLeaving(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
-	l := startLeaver(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Limits.Sockets = 4 }) // two clients at once
+	l := startLeaver(t, st.NewPlatform(t, e.Addr), func(c *config.Config) { c.Limits.Sockets = 4 }) // two clients at once
 	l.gracePeriod, l.drainTimeout = 0, 5*time.Second
 	st.HandIn(t, l.addr, "out", "unsafe", 0, 15*time.Second) // keeps it from leaving at once
 	e.Next(t)
@@ -244,7 +245,7 @@
 	hung := st.NewEndpoint(t, st.Silent)
 	addr, told := silentAtFirst(t, 3) // the list, and notices before and after the restart
 	open := map[string]bool{}
-	edit := func(c *Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 10; c.Discovery = addr }
+	edit := func(c *config.Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 10; c.Discovery = addr }
 	l := startLeaver(t, st.NewPlatform(t, hung.Addr), edit)
 	l.gracePeriod, l.drainTimeout = 500*time.Millisecond, 700*time.Millisecond
 	hand := func(from, to int, class string, left time.Duration) {
@@ -265,7 +266,7 @@
 	if took := time.Since(began); took > l.drainTimeout+queueTime+answersEnd+500*time.Millisecond { // with room for a slow machine
 		t.Errorf("it left after %v", took)
 	}
-	next := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *Config) { edit(c); c.State = l.stateDir })
+	next := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *config.Config) { edit(c); c.State = l.stateDir })
 	ready := time.Now()
 	for len(open) > 0 {
 		delete(open, st.Receive(t, told))
@@ -325,7 +326,7 @@
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	next := startLeaver(t, p, func(c *Config) { c.State = l.stateDir })
+	next := startLeaver(t, p, func(c *config.Config) { c.State = l.stateDir })
 	again(next.addr)
 	if n := st.Receive(t, p.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
@@ -444,7 +445,7 @@
 // A message that comes twice in one step has one fate: where the first is refused the second is not taken on.
 func TestARequestThatComesTwiceAtOnceHasOneAnswer(t *testing.T) {
 	t.Parallel()
-	s := newTest(t, st.NewPlatform(t, "127.0.0.1:1"), func(c *Config) { c.Settings.MaxPendingMessages = 20 })
+	s := newTest(t, st.NewPlatform(t, "127.0.0.1:1"), func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
 	defer s.journal.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -517,7 +518,7 @@
 			if successor != nil {
 				return
 			}
-			run(t, p, func(c *Config) { c.State = l.stateDir })
+			run(t, p, func(c *config.Config) { c.State = l.stateDir })
 			if c := e.Next(t); c.ID != "m" {
 				t.Errorf("the endpoint got %s", c.ID)
 			}
@@ -543,7 +544,7 @@
 	p := st.NewPlatform(t, e.Addr)
 	classes := []string{"safe", "keyed", "unsafe"}
 	began := time.Now()
-	s := newTest(t, p, func(c *Config) {
+	s := newTest(t, p, func(c *config.Config) {
 		j := openJournal(t, c.State, 1<<20)
 		for i := range many {
 			if _, err := j.Accept(journal.Record{ID: strconv.Itoa(i), Key: "k" + strconv.Itoa(i), Class: classes[i%3], Tenant: "acme",
@@ -577,7 +578,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
-	s := newTest(t, p, func(c *Config) {
+	s := newTest(t, p, func(c *config.Config) {
 		j := openJournal(t, c.State, 1<<20)
 		if _, err := j.Accept(journal.Record{ID: "m", Class: "unsafe", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + time.Minute}); err != nil {
 			t.Fatal(err)
@@ -596,7 +597,7 @@
 		t.Errorf("it leaves %+v", m)
 	}
 	j.Close()
-	run(t, p, func(c *Config) { c.State = s.stateDir })
+	run(t, p, func(c *config.Config) { c.State = s.stateDir })
 	if c := e.Next(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -13,10 +13,13 @@
 	"sync/atomic"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/admin"
 	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 	"onyxdyke.example/onyxdyke/internal/retry"
@@ -38,12 +41,14 @@
 	// A client counts a message's time from when it sent it, the sender from when it had come, and the difference is not
 	// told. The protocol's slack for such differences is this.
 	clockSlack = 50 * time.Millisecond
+	// heartbeatTimeout is how long the event loop may be silent before it counts as stuck.
+	heartbeatTimeout = 5 * time.Second
 )
 
 // Sender is one real sender.
 type Sender struct {
 	env        Environment
-	config     *Config
+	config     *config.Config
 	log        *slog.Logger
 	clock      *clock.Clock
 	dispatcher *dispatch.Dispatcher
@@ -53,7 +58,7 @@
 	discovery  *discovery.Client
 	server     *server
 	metrics    *metrics.Registry
-	invariants *invariantChecker
+	invariants *invariant.Checker
 
 	events            chan any
 	watchRequests     chan struct{}
@@ -105,35 +110,35 @@
 	}
 	noticesDeliveredEvent  struct{ notices []discovery.Notice }
 	endpointListStaleEvent struct{ stale bool }
-	reloadEvent            struct{ *Config }
+	reloadEvent            struct{ *config.Config }
 )
 
 // New opens the journal, unless another process holds it; Run does the rest.
-func New(c *Config, log *slog.Logger) (*Sender, error) {
+func New(c *config.Config, log *slog.Logger) (*Sender, error) {
 	return NewIn(context.Background(), OperatingSystem(), c, log)
 }
 
 // NewIn is New in an environment other than the operating system's. What fails for a moment is tried again until ctx ends.
-func NewIn(ctx context.Context, env Environment, c *Config, log *slog.Logger) (*Sender, error) {
-	s := &Sender{env: env, config: c, stateDir: c.State, log: log, clock: clock.New(env.Wall()), dispatcher: dispatch.New(c.Settings, c.Seed), forwarded: map[uint64]forwardedRequest{}, pool: newPool(c), metrics: metrics.New(c.Classes, ruleNames()...),
+func NewIn(ctx context.Context, env Environment, c *config.Config, log *slog.Logger) (*Sender, error) {
+	s := &Sender{env: env, config: c, stateDir: c.State, log: log, clock: clock.New(env.Wall()), dispatcher: dispatch.New(c.Settings, c.Seed), forwarded: map[uint64]forwardedRequest{}, pool: newPool(c), metrics: metrics.New(c.Classes, invariant.RuleNames()...),
 		list: endpoints{byID: map[string]*endpoint{}}, events: make(chan any, eventQueue),
 		watchRequests: make(chan struct{}, 1), noticeBatches: make(chan []discovery.Notice, 1), messages: map[dispatch.MessageID]*message{},
 		byID: map[string]*message{}, timer: time.NewTimer(time.Hour), journalRetry: time.NewTimer(time.Hour), gracePeriod: defaultGracePeriod, drainTimeout: defaultDrainTimeout}
 	s.pool.forwarded = s.metrics.MessagesForwarded
-	s.invariants = newInvariantChecker(log, s.metrics)
-	s.pool.guard = s.invariants
+	s.invariants = invariant.NewChecker(log, s.metrics)
+	s.pool.invariants, s.pool.metrics = s.invariants, s.metrics
 	s.pool.dialer.Control = env.Control
 	s.discovery = discovery.New(discovery.Options{Address: c.Discovery, Senders: c.Settings.Senders,
 		Polled: c.Settings.PollsEndpointList, Metrics: s.metrics, Log: log, Control: env.Control})
 	s.server = newServer(c, s.clock, log, func(ctx context.Context, sub submission) bool { return s.post(ctx, sub) })
-	s.server.guard = s.invariants
+	s.server.invariants, s.server.metrics = s.invariants, s.metrics
 	lock, err := s.tryLock(ctx)
 	if retry.IsTransient(err) {
 		return nil, fmt.Errorf("the state folder: %w", err) // going on without a lock, it may not be the only owner
 	}
 	if err != nil {
 		log.Warn("the state folder cannot be locked: an upgrade will not be noticed", "err", err)
-		s.invariants.checkStart(false)
+		s.invariants.CheckOwnership(false)
 	} else if lock == nil {
 		return s, nil // another process holds it: Run takes over from that
 	}
@@ -176,7 +181,7 @@
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	if s.config.Admin != "" {
-		go newAdmin(s.log, s.config.Limits.Sockets, s.health, s.metrics.Dump).run(work, s.config.Admin)
+		go admin.New(s.log, s.config.Limits.MaxAdminConnections(), s.health, s.metrics.Dump).Run(work, s.config.Admin)
 	}
 	var st *snapshot
 	if s.journal == nil {
@@ -396,8 +401,8 @@
 			continue
 		}
 		first, may := m.FirstRun()
-		msg := dispatch.Message{ID: s.addMessage(m), Class: place(s.config.Classes, m.Class, -1),
-			Tenant: place(s.config.Tenants, m.Tenant, -1), Destination: dispatch.DestinationID(m.Destination), Deadline: m.Deadline,
+		msg := dispatch.Message{ID: s.addMessage(m), Class: config.IndexOf(s.config.Classes, m.Class, -1),
+			Tenant: config.IndexOf(s.config.Tenants, m.Tenant, -1), Destination: dispatch.DestinationID(m.Destination), Deadline: m.Deadline,
 			PriorAttempts: len(m.Attempts), MayHaveRun: may, FirstRunAt: first.SentAt, FirstRunZone: first.Zone, Rules: m.Rules.ForDispatcher(),
 			Resumed: true}
 		if st != nil {
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -9,6 +9,7 @@
 	"strings"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/journal"
@@ -57,11 +58,11 @@
 		return refuse("shutting down")
 	}
 	// The settings may have changed since it was read, and a request from another process names its class only.
-	if sub.class = place(s.config.Classes, sub.Class, -1); sub.class < 0 {
+	if sub.class = config.IndexOf(s.config.Classes, sub.Class, -1); sub.class < 0 {
 		sub.answer <- clientResponse{http.StatusBadRequest, 0, "X-Class is not among the settings"}
 		return nil
 	}
-	sub.tenant = place(s.config.Tenants, sub.Tenant, -1)
+	sub.tenant = config.IndexOf(s.config.Tenants, sub.Tenant, -1)
 	if most := s.config.Settings.MaxPendingMessages; most > 0 && s.pending >= most {
 		return refuse("all room for messages is taken")
 	}
@@ -214,7 +215,7 @@
 	status := http.StatusInternalServerError
 	if c.how == journal.OutcomeReturned {
 		status = http.StatusServiceUnavailable
-		s.invariants.checkPromise(c.ID, written)
+		s.invariants.CheckPromise(c.ID, written)
 	}
 	for _, client := range c.clients {
 		client <- clientResponse{status, c.retryAfter, c.how}
--- a/internal/sender/pool.go
+++ b/internal/sender/pool.go
@@ -15,6 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 	"onyxdyke.example/onyxdyke/internal/netconn"
 )
@@ -78,17 +80,19 @@
 	fields         []string
 	forwarded      func(messages int) // called when a call is written whole
 	dialer         net.Dialer
-	guard          *invariantChecker
+	invariants     *invariant.Checker
+	metrics        *metrics.Registry
 	// waitTold is called when a wait has been told in an answer whose rest is still to come.
 	waitTold func(e *endpoint, wait time.Duration)
 }
 
-func newPool(c *Config) *pool {
+func newPool(c *config.Config) *pool {
 	// An endpoint closes an idle connection at IdleConnections at the latest, and what is written to one
 	// that it has closed is a reset that may have run: ours are closed a good deal before.
 	p := &pool{connectTimeout: c.ConnectTimeout, keep: c.Settings.IdleConnectionTimeout * 9 / 10, fields: c.Fields, forwarded: func(int) {},
-		waitTold: func(*endpoint, time.Duration) {}, guard: newInvariantChecker(slog.New(slog.DiscardHandler), metrics.New(nil))}
-	p.most.Store(int64(c.idleMost()))
+		waitTold: func(*endpoint, time.Duration) {}, metrics: metrics.New(nil)}
+	p.invariants = invariant.NewChecker(slog.New(slog.DiscardHandler), p.metrics)
+	p.most.Store(int64(c.MaxIdleConnections()))
 	return p
 }
 
--- a/internal/sender/process.go
+++ b/internal/sender/process.go
@@ -11,6 +11,7 @@
 	"runtime/debug"
 	"syscall"
 
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
@@ -37,7 +38,7 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go: the write fails then, as any other
-	c, err := LoadConfig(ctx, log, env, os.Getenv)
+	c, err := config.Load(ctx, log, env.ReadFile, os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/internal/sender/reload.go
+++ b/internal/sender/reload.go
@@ -4,6 +4,7 @@
 	"context"
 	"strings"
 
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
@@ -13,9 +14,9 @@
 // Reload reads the configuration again and takes from it what may change in service: the platform's address and
 // the settings. A file that cannot be used changes nothing.
 func (s *Sender) Reload(ctx context.Context, getenv func(string) string) error {
-	var c *Config
+	var c *config.Config
 	err := retry.OnTransient(ctx, s.log, "the new configuration", func() (err error) {
-		c, err = s.server.conf.Load().reload(s.env, getenv)
+		c, err = s.server.conf.Load().Reload(s.env.ReadFile, getenv)
 		return err
 	})
 	if err != nil {
@@ -30,9 +31,9 @@
 }
 
 // applyConfig goes on by a new configuration. Messages held keep the rules that they were taken under.
-func (s *Sender) applyConfig(c *Config) []dispatch.Event {
+func (s *Sender) applyConfig(c *config.Config) []dispatch.Event {
 	s.config = c
-	s.pool.most.Store(int64(c.idleMost()))
+	s.pool.most.Store(int64(c.MaxIdleConnections()))
 	s.metrics.RegisterClasses(c.Classes)
 	s.metrics.ConfigReloaded(true)
 	s.log.Info("reloaded", "discovery", c.Discovery, "classes", strings.Join(c.Classes, ","), "attempts", c.Settings.MaxAttempts)
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/config"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -29,11 +30,11 @@
 		edit(r.text)
 	}
 	r.write(t, r.text)
-	c, err := LoadConfig(context.Background(), slog.New(slog.DiscardHandler), OperatingSystem(), r.getenv)
+	c, err := config.Load(context.Background(), slog.New(slog.DiscardHandler), os.ReadFile, r.getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Sender = newTest(t, p, func(own *Config) { *own = *c; own.Admin = r.admin })
+	r.Sender = newTest(t, p, func(own *config.Config) { *own = *c; own.Admin = r.admin })
 	addr := make(chan string, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -52,7 +53,7 @@
 	t.Cleanup(discovery.CloseClientConnections)
 
 	before := heap()
-	addr := run(t, st.NewPlatform(t), func(c *Config) {
+	addr := run(t, st.NewPlatform(t), func(c *config.Config) {
 		text := st.Config(st.NewPlatform(t), c.State)
 		text["discovery"] = strings.TrimPrefix(discovery.URL, "http://")
 		text["limits"] = map[string]any{"cores": 1.0, "memory_mb": 32, "sockets": 256, "disk_mb": 3}
@@ -63,7 +64,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		parsed, err := ParseConfig(raw)
+		parsed, err := config.Parse(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,27 +140,27 @@
 				}
 			}
 			getenv := func(name string) string { return map[string]string{"EDGE_CONFIG": file}[name] }
-			fits := func(c *Config) {
+			fits := func(c *config.Config) {
 				t.Helper()
-				clients, callers := newServer(c, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil).most, newAdmin(nil, sockets, nil, nil).most
+				clients, callers := newServer(c, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil).most, c.Limits.MaxAdminConnections()
 				idle := int(newPool(c).most.Load())
-				if sum := clients + callers + idle + c.Settings.MaxConcurrentCalls + spareDescriptors; sum > sockets || c.Settings.MaxConcurrentCalls < 3 || clients < sockets/3 {
+				if sum := clients + callers + idle + c.Settings.MaxConcurrentCalls + config.ReservedDescriptors; sum > sockets || c.Settings.MaxConcurrentCalls < 3 || clients < sockets/3 {
 					t.Errorf("of %d: %d clients, %d operators, %d calls, %d idle", sockets, clients, callers, c.Settings.MaxConcurrentCalls, idle)
 				}
 			}
 			write(3)
-			first, err := LoadConfig(context.Background(), slog.New(slog.DiscardHandler), OperatingSystem(), getenv)
+			first, err := config.Load(context.Background(), slog.New(slog.DiscardHandler), os.ReadFile, getenv)
 			if err != nil {
 				t.Fatal(err)
 			}
 			fits(first)
 			write(slots)
-			next, err := first.reload(OperatingSystem(), getenv)
+			next, err := first.Reload(os.ReadFile, getenv)
 			if err != nil {
 				t.Fatal(err)
 			}
 			fits(next)
-			if next, err = LoadConfig(context.Background(), slog.New(slog.DiscardHandler), OperatingSystem(), getenv); err != nil {
+			if next, err = config.Load(context.Background(), slog.New(slog.DiscardHandler), os.ReadFile, getenv); err != nil {
 				t.Fatal(err)
 			}
 			fits(next)
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -23,6 +23,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/journal"
@@ -30,19 +31,19 @@
 )
 
 // newTest makes a sender that leaves quickly; edit may change its configuration.
-func newTest(t *testing.T, p *st.Platform, edit func(c *Config)) *Sender {
+func newTest(t *testing.T, p *st.Platform, edit func(c *config.Config)) *Sender {
 	t.Helper()
 	return newTestIn(t, OperatingSystem(), p, edit)
 }
 
 // newTestIn is newTest in an environment that a test may spoil.
-func newTestIn(t *testing.T, env Environment, p *st.Platform, edit func(c *Config)) *Sender {
+func newTestIn(t *testing.T, env Environment, p *st.Platform, edit func(c *config.Config)) *Sender {
 	t.Helper()
 	raw, err := json.Marshal(st.Config(p, t.TempDir()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := ParseConfig(raw)
+	c, err := config.Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +59,7 @@
 }
 
 // run starts a sender in this process and gives its address.
-func run(t *testing.T, p *st.Platform, edit func(c *Config)) string {
+func run(t *testing.T, p *st.Platform, edit func(c *config.Config)) string {
 	t.Helper()
 	return live(t, OperatingSystem(), p, edit).addr
 }
@@ -91,8 +92,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := run(t, p, func(c *Config) {
-		parsed, err := ParseConfig(raw)
+	addr := run(t, p, func(c *config.Config) {
+		parsed, err := config.Parse(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -262,7 +263,7 @@
 // and nobody whose request is being answered.
 func TestHeldConnectionsMakeRoom(t *testing.T) {
 	t.Parallel()
-	s := newServer(&Config{Limits: Limits{Sockets: 6}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
+	s := newServer(&config.Config{Limits: config.Limits{Sockets: 6}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
 	conns := map[string]*clientConn{}
 	open := func(name string) {
 		conns[name] = visitor(t)
@@ -294,7 +295,7 @@
 // that has been read whole, nor a client's further one, nor one that has only just begun to come.
 func TestHalfSpokenPeersMakeRoom(t *testing.T) {
 	t.Parallel()
-	s := newServer(&Config{Limits: Limits{Sockets: 8}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
+	s := newServer(&config.Config{Limits: config.Limits{Sockets: 8}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
 	conns := map[string]*clientConn{}
 	for _, name := range []string{"client", "whole", "half"} {
 		conns[name] = visitor(t)
@@ -326,7 +327,7 @@
 // however long the answer takes.
 func TestARequestReadWholeAsItMakesRoomIsAnswered(t *testing.T) {
 	t.Parallel()
-	s := newServer(&Config{Limits: Limits{Sockets: 4}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
+	s := newServer(&config.Config{Limits: config.Limits{Sockets: 4}}, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil)
 	half, other := visitor(t), visitor(t)
 	for _, g := range []*clientConn{half, other} {
 		s.track(g, http.StateNew)
@@ -353,7 +354,7 @@
 // Whoever makes room in the middle of a request is told so, before the connection is closed.
 func TestAHalfSpokenPeerThatMakesRoomIsTold(t *testing.T) {
 	t.Parallel()
-	addr := run(t, st.NewPlatform(t), func(c *Config) { c.Limits.Sockets = 8 })
+	addr := run(t, st.NewPlatform(t), func(c *config.Config) { c.Limits.Sockets = 8 })
 	said := time.Now()
 	first := make(chan string, 4)
 	for range 4 {
@@ -386,9 +387,9 @@
 // What cannot be held is refused before it is sent, and its client is told when to come back.
 func TestNoRoomIsARefusal(t *testing.T) {
 	t.Parallel()
-	for name, edit := range map[string]func(*Config){
-		"held limit": func(c *Config) { c.Settings.MaxPendingMessages = 3 },
-		"disk":       func(c *Config) { c.Limits.DiskMB = 0.012 },
+	for name, edit := range map[string]func(*config.Config){
+		"held limit": func(c *config.Config) { c.Settings.MaxPendingMessages = 3 },
+		"disk":       func(c *config.Config) { c.Limits.DiskMB = 0.012 },
 	} {
 		e := st.NewEndpoint(t, st.Silent)
 		addr := run(t, st.NewPlatform(t, e.Addr), edit)
@@ -464,7 +465,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
-	addr := run(t, p, func(c *Config) { c.Settings.MaxPendingMessages = 20 })
+	addr := run(t, p, func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
 	for i := range 20 { // the module makes room from 95% on
 		resp, body := st.Do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, ""))
 		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
@@ -522,7 +523,7 @@
 		}
 		return st.Text(200, "["+strings.Join(states, ",")+"]")(c, nc)
 	})
-	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
+	addr := run(t, st.NewPlatform(t, e.Addr), func(c *config.Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
 	st.HandIn(t, addr, "m0", "keyed", 0, 15*time.Second)
 	if c := e.Next(t); c.Path != "/hook" || c.ID != "m0" {
 		t.Errorf("one message goes to %s as %s", c.Path, c.ID)
@@ -554,7 +555,7 @@
 		}
 		return st.Silent(c, nc)
 	})
-	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
+	addr := run(t, st.NewPlatform(t, e.Addr), func(c *config.Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
 	st.HandIn(t, addr, "holds", "unsafe", 0, 15*time.Second)
 	e.Next(t)
 	for id, left := range map[string]time.Duration{"short": 16, "long": 20, "middle": 18} {
@@ -610,19 +611,19 @@
 
 // byDiscovery runs a test where the module asks for the list and where it is pushed: on sockets the sender
 // watches either way.
-func byDiscovery(t *testing.T, test func(t *testing.T, edit func(*Config))) {
+func byDiscovery(t *testing.T, test func(t *testing.T, edit func(*config.Config))) {
 	t.Parallel()
 	for name, asks := range map[string]bool{"on request": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			test(t, func(c *Config) { c.Settings.PollsEndpointList = asks })
+			test(t, func(c *config.Config) { c.Settings.PollsEndpointList = asks })
 		})
 	}
 }
 
 func TestDrain(t *testing.T) { byDiscovery(t, testDrain) }
 
-func testDrain(t *testing.T, edit func(*Config)) {
+func testDrain(t *testing.T, edit func(*config.Config)) {
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
 	addr := run(t, p, edit)
@@ -645,7 +646,7 @@
 // changes in between never come, and watches from there.
 func TestDiscoveryOutage(t *testing.T) { byDiscovery(t, testDiscoveryOutage) }
 
-func testDiscoveryOutage(t *testing.T, edit func(*Config)) {
+func testDiscoveryOutage(t *testing.T, edit func(*config.Config)) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, edit)
@@ -668,7 +669,7 @@
 // for anew, before much is sent to endpoints that are gone.
 func TestLostWatch(t *testing.T) { byDiscovery(t, testLostWatch) }
 
-func testLostWatch(t *testing.T, edit func(*Config)) {
+func testLostWatch(t *testing.T, edit func(*config.Config)) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, edit)
@@ -694,7 +695,7 @@
 	p := st.NewPlatform(t, old.Addr)
 	p.Change(st.Target("s-0", old.Addr, 0, "DRAINING"))
 	p.Change(st.Target("s-1", other.Addr, 0, "SERVING"))
-	run(t, p, func(c *Config) {
+	run(t, p, func(c *config.Config) {
 		c.Known = endpointlist.Update{Version: 1, Full: true, Endpoints: []endpointlist.Endpoint{{ID: "s-0", Addr: old.Addr, State: "SERVING", Zone: "a", Kind: "plain"}}}
 		j := openJournal(t, c.State, 1<<20)
 		if _, err := j.Accept(journal.Record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + 15*time.Second}); err != nil {
@@ -789,7 +790,7 @@
 	const window = 500 * time.Millisecond
 	e := st.NewEndpoint(t, st.Status(500, "Connection: close"))
 	p := st.NewPlatform(t, e.Addr)
-	s := newTest(t, p, func(c *Config) {
+	s := newTest(t, p, func(c *config.Config) {
 		c.Settings.Classes[1].IdempotencyWindow = window
 		c.Settings.MaxAttempts = 2 // the repeat is the last, and has all the time that is left
 	})
@@ -870,7 +871,7 @@
 // to make room: net/http ends the request's context then.
 func TestARequestReadWholeIsHandedOnThoughItsContextHasEnded(t *testing.T) {
 	t.Parallel()
-	c, err := ParseConfig(rawConfig(t, st.Config(st.NewPlatform(t), t.TempDir())))
+	c, err := config.Parse(rawConfig(t, st.Config(st.NewPlatform(t), t.TempDir())))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -15,7 +15,9 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 	"onyxdyke.example/onyxdyke/internal/netconn"
@@ -62,17 +64,18 @@
 
 // server takes messages in from clients.
 type server struct {
-	conf    atomic.Pointer[Config]
-	log     *slog.Logger
-	clock   *clock.Clock
-	guard   *invariantChecker // nil for none
-	submit  func(context.Context, submission) bool
-	ready   atomic.Bool
-	closing atomic.Bool     // answers say that the connection ends
-	life    context.Context // ends with close
-	endLife context.CancelFunc
-	http    *http.Server
-	most    int // connections of clients at once
+	conf       atomic.Pointer[config.Config]
+	log        *slog.Logger
+	clock      *clock.Clock
+	invariants *invariant.Checker // nil for none
+	metrics    *metrics.Registry
+	submit     func(context.Context, submission) bool
+	ready      atomic.Bool
+	closing    atomic.Bool     // answers say that the connection ends
+	life       context.Context // ends with close
+	endLife    context.CancelFunc
+	http       *http.Server
+	most       int // connections of clients at once
 
 	failedAt atomic.Pointer[time.Time] // accept failed last then, nil if never
 
@@ -87,8 +90,8 @@
 	calm     chan struct{} // while it leaves: no request is open
 }
 
-func newServer(c *Config, k *clock.Clock, log *slog.Logger, submit func(context.Context, submission) bool) *server {
-	s := &server{log: log, clock: k, submit: submit, most: clientsMost(c.Limits.Sockets), quiet: map[*clientConn]time.Time{}, half: map[*clientConn]time.Time{}, known: map[*clientConn]bool{}, calm: make(chan struct{}, 1)}
+func newServer(c *config.Config, k *clock.Clock, log *slog.Logger, submit func(context.Context, submission) bool) *server {
+	s := &server{log: log, clock: k, submit: submit, most: c.Limits.MaxClientConnections(), quiet: map[*clientConn]time.Time{}, half: map[*clientConn]time.Time{}, known: map[*clientConn]bool{}, calm: make(chan struct{}, 1)}
 	s.life, s.endLife = context.WithCancel(context.Background())
 	s.conf.Store(c)
 	mux := http.NewServeMux()
@@ -115,8 +118,8 @@
 func (s *server) listenOn(l net.Listener) *limitListener {
 	d := newLimitListener(l, s.most)
 	d.failed, d.begins = s.acceptFailed, s.begun
-	if s.guard != nil {
-		d.closing = s.guard.checkClose
+	if s.invariants != nil {
+		d.closing = func(c *clientConn) { s.invariants.CheckClose(c.whyClosed(), c.owed.Load()) }
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,8 +143,8 @@
 	}
 	now := time.Now()
 	s.failedAt.Store(&now)
-	if s.guard != nil {
-		s.guard.figures.CountReason(metrics.ReasonAccept, "failed")
+	if s.invariants != nil {
+		s.metrics.CountReason(metrics.ReasonAccept, "failed")
 	}
 }
 
@@ -337,8 +340,8 @@
 
 // reject answers a request that is not sound, and reads nothing more from its peer: where it ends is not sure.
 func (s *server) reject(w http.ResponseWriter, err error, status int) {
-	if s.guard != nil {
-		s.guard.figures.CountReason(metrics.ReasonRejected, "status_"+strconv.Itoa(status))
+	if s.invariants != nil {
+		s.metrics.CountReason(metrics.ReasonRejected, "status_"+strconv.Itoa(status))
 	}
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
@@ -412,10 +415,10 @@
 	if sub.ID == "" {
 		return bad("X-Request-Id is missing")
 	}
-	if sub.class = place(conf.Classes, sub.Class, -1); sub.class < 0 {
+	if sub.class = config.IndexOf(conf.Classes, sub.Class, -1); sub.class < 0 {
 		return bad("X-Class %q is not among the settings", sub.Class)
 	}
-	if sub.tenant = place(conf.Tenants, sub.Tenant, -1); sub.tenant < 0 && len(conf.Tenants) > 0 {
+	if sub.tenant = config.IndexOf(conf.Tenants, sub.Tenant, -1); sub.tenant < 0 && len(conf.Tenants) > 0 {
 		return bad("X-Tenant %q is not among the settings", sub.Tenant)
 	}
 	if conf.Settings.Classes[sub.class].Effect == dispatch.IdempotentByKey && sub.Key == "" {
