--- a/internal/sender/frozen.go
+++ b/internal/handover/frozen.go
@@ -1,4 +1,4 @@
-package sender
+package handover
 
 // The hand-over's wire format. It is gob, so the field names below are what stands on the wire: gob matches fields by name and
 // drops, without an error, what the other side does not know. A release in service hands over to its successor and takes over
@@ -8,7 +8,6 @@
 // FROZEN: never rename, retype or remove a field. A new field may be added; the other side may lack it.
 
 import (
-	"encoding/gob"
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
@@ -177,17 +176,8 @@
 	Crowded       time.Duration
 }
 
-// readPacket reads the next packet of the other process.
-func readPacket(dec *gob.Decoder) (packet, error) {
-	var f frozenPacket
-	if err := dec.Decode(&f); err != nil {
-		return packet{}, err
-	}
-	return f.thaw(), nil
-}
-
 // freeze translates a packet to what is written.
-func freeze(p packet) frozenPacket {
+func freeze(p Packet) frozenPacket {
 	var f frozenPacket
 	if p.Hello != nil {
 		f.Hello = &frozenHello{Version: p.Hello.Version}
@@ -215,25 +205,25 @@
 }
 
 // thaw translates what was read to a packet.
-func (f frozenPacket) thaw() packet {
-	var p packet
+func (f frozenPacket) thaw() Packet {
+	var p Packet
 	if f.Hello != nil {
-		p.Hello = &hello{Version: f.Hello.Version}
+		p.Hello = &Hello{Version: f.Hello.Version}
 	}
 	if f.Estate != nil {
 		p.Snapshot = f.Estate.thaw()
 	}
 	if f.Submit != nil {
-		p.Submit = &forwardedSubmission{Sequence: f.Submit.Seq, Record: f.Submit.Record.thaw()}
+		p.Submit = &ForwardedRequest{Sequence: f.Submit.Seq, Record: f.Submit.Record.thaw()}
 	}
 	if f.Answer != nil {
-		p.Answer = &forwardedResponse{Sequence: f.Answer.Seq, Status: f.Answer.Status, RetryAfter: f.Answer.Retry, Text: f.Answer.Text}
+		p.Answer = &ForwardedResponse{Sequence: f.Answer.Seq, Status: f.Answer.Status, RetryAfter: f.Answer.Retry, Text: f.Answer.Text}
 	}
 	if f.Ended != nil {
-		p.AttemptEnded = &attemptReport{Attempt: f.Ended.Flight.thaw(), Result: f.Ended.End.thaw()}
+		p.AttemptEnded = &AttemptReport{Attempt: f.Ended.Flight.thaw(), Result: f.Ended.End.thaw()}
 	}
 	if f.Wait != nil {
-		p.RetryAfter = &retryAfterReport{Endpoint: f.Wait.Endpoint, RetryAfter: f.Wait.Wait}
+		p.RetryAfter = &RetryAfterReport{Endpoint: f.Wait.Endpoint, RetryAfter: f.Wait.Wait}
 	}
 	if f.Cancel != nil {
 		id := f.Cancel.thaw()
@@ -242,13 +232,13 @@
 	return p
 }
 
-func freezeAttemptID(id attemptID) frozenAttemptID {
+func freezeAttemptID(id AttemptID) frozenAttemptID {
 	return frozenAttemptID{ID: id.Message, Try: id.Attempt}
 }
 
-func (f frozenAttemptID) thaw() attemptID { return attemptID{Message: f.ID, Attempt: f.Try} }
+func (f frozenAttemptID) thaw() AttemptID { return AttemptID{Message: f.ID, Attempt: f.Try} }
 
-func freezeSnapshot(s *snapshot) *frozenSnapshot {
+func freezeSnapshot(s *Snapshot) *frozenSnapshot {
 	f := &frozenSnapshot{ListVersion: s.ListVersion, Rests: s.BackoffUntil, Memory: freezeMemory(s.Dispatcher)}
 	for _, t := range s.Endpoints {
 		f.Endpoints = append(f.Endpoints, frozenTarget{ID: t.ID, Addr: t.Addr, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell,
@@ -261,14 +251,14 @@
 	return f
 }
 
-func (f *frozenSnapshot) thaw() *snapshot {
-	s := &snapshot{ListVersion: f.ListVersion, BackoffUntil: f.Rests, Dispatcher: f.Memory.thaw()}
+func (f *frozenSnapshot) thaw() *Snapshot {
+	s := &Snapshot{ListVersion: f.ListVersion, BackoffUntil: f.Rests, Dispatcher: f.Memory.thaw()}
 	for _, t := range f.Endpoints {
 		s.Endpoints = append(s.Endpoints, endpointlist.Endpoint{ID: t.ID, Addr: t.Addr, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell,
 			State: t.State, Weight: t.Weight})
 	}
 	for _, l := range f.Flights {
-		s.InFlight = append(s.InFlight, inFlightAttempt{ID: l.ID.thaw(), Call: l.Call, Endpoint: dispatch.EndpointID(l.Endpoint),
+		s.InFlight = append(s.InFlight, InFlightAttempt{ID: l.ID.thaw(), Call: l.Call, Endpoint: dispatch.EndpointID(l.Endpoint),
 			SentAt: l.At, Timeout: l.Timeout})
 	}
 	return s
--- a/internal/sender/frozenmemory.go
+++ b/internal/handover/frozensnapshot.go
@@ -1,4 +1,4 @@
-package sender
+package handover
 
 // The decision module's part of the hand-over's wire format, to and from its own types.
 
--- /dev/null
+++ b/internal/netconn/accept.go
@@ -0,0 +1,45 @@
+package netconn
+
+import (
+	"errors"
+	"net"
+	"os"
+	"slices"
+	"syscall"
+)
+
+// lostConnectionErrors are the errors of accept that belong to the connection it was about to return (accept(2)).
+var lostConnectionErrors = []error{
+	syscall.ECONNABORTED,
+	syscall.EHOSTDOWN,
+	syscall.EHOSTUNREACH,
+	syscall.EINTR,
+	syscall.ENETDOWN,
+	syscall.ENETUNREACH,
+	syscall.ENONET,
+	syscall.ENOPROTOOPT,
+	syscall.EPROTO,
+	syscall.ETIMEDOUT,
+}
+
+// brokenListenerErrors are the errors of accept after which no further accept can work (accept(2)).
+var brokenListenerErrors = []error{
+	net.ErrClosed,
+	os.ErrDeadlineExceeded,
+	syscall.EBADF,
+	syscall.EINVAL,
+	syscall.ENOTSOCK,
+	syscall.EOPNOTSUPP,
+}
+
+// IsConnectionLost reports whether accept failed for the connection that it was about to return, which says nothing of
+// the next one.
+func IsConnectionLost(err error) bool { return isOneOf(err, lostConnectionErrors) }
+
+// IsListenerBroken reports whether no further accept can work. All other errors pass: those of connections that were
+// lost before they were accepted, and those of a machine that is short of something for a moment.
+func IsListenerBroken(err error) bool { return isOneOf(err, brokenListenerErrors) }
+
+func isOneOf(err error, list []error) bool {
+	return slices.ContainsFunc(list, func(target error) bool { return errors.Is(err, target) })
+}
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/handover"
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
@@ -22,8 +23,8 @@
 	endpoint dispatch.EndpointID
 	timeout  time.Duration
 	cancel   func()
-	withhold func() // it ends, unless it has been written
-	at       *link  // the process that makes it, nil for this one
+	withhold func()         // it ends, unless it has been written
+	at       *handover.Link // the process that makes it, nil for this one
 
 	end *dispatch.AttemptResult // it has ended, and a successor was told so
 }
--- a/internal/sender/format_test.go
+++ b/internal/sender/format_test.go
@@ -2,12 +2,8 @@
 
 import (
 	"bytes"
-	"encoding/gob"
-	"fmt"
 	"os"
 	"path/filepath"
-	"reflect"
-	"slices"
 	"strings"
 	"testing"
 
@@ -67,100 +63,6 @@
 			t.Errorf("%s is written as %s", want, got)
 		}
 	}
-	err := withHandOverSocket("/state", func(path string) error {
-		if name := filepath.Base(path); name != "saffronyard-87517253f26a8523.sock" {
-			t.Errorf("the socket of the state folder is %s", name)
-		}
-		return nil
-	})
-	if err != nil {
-		t.Error(err)
-	}
-}
-
-// leaves lists the fields of a value that are not zero, with their paths.
-func leaves(path string, v reflect.Value, to *[]string) {
-	switch v.Kind() {
-	case reflect.Pointer:
-		if !v.IsNil() {
-			leaves(path, v.Elem(), to)
-		}
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if f := v.Type().Field(i); f.IsExported() {
-				leaves(path+"."+f.Name, v.Field(i), to)
-			}
-		}
-	case reflect.Slice, reflect.Array:
-		if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Uint8 {
-			*to = append(*to, fmt.Sprintf("%s = %q", path, v.Bytes()))
-			return
-		}
-		for i := range v.Len() {
-			leaves(fmt.Sprintf("%s[%d]", path, i), v.Index(i), to)
-		}
-	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			leaves(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key), to)
-		}
-	case reflect.Int, reflect.Int64:
-		if v.Int() != 0 {
-			*to = append(*to, fmt.Sprintf("%s = %d", path, v.Int()))
-		}
-	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
-		if v.Uint() != 0 {
-			*to = append(*to, fmt.Sprintf("%s = %d", path, v.Uint()))
-		}
-	default:
-		if !v.IsZero() {
-			*to = append(*to, fmt.Sprintf("%s = %v", path, v.Interface()))
-		}
-	}
-}
-
-func packetText(p any) string {
-	var lines []string
-	leaves("packet", reflect.ValueOf(p), &lines)
-	slices.Sort(lines)
-	return strings.Join(lines, "\n") + "\n"
-}
-
-// A packet of the release is read whole, and what is written of it holds the same fields under the same names.
-func TestHandOverPacketsAreThoseReleased(t *testing.T) {
-	for _, name := range []string{"Hello", "Estate", "Submit", "Answer", "Ended", "Wait", "Cancel"} {
-		t.Run(name, func(t *testing.T) {
-			raw, err := os.ReadFile(filepath.Join("testdata", "handover", name+".gob"))
-			if err != nil {
-				t.Fatal(err)
-			}
-			var read frozenPacket
-			if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&read); err != nil {
-				t.Fatal(err)
-			}
-			golden(t, "handover/"+name+".txt", packetText(read))
-			var stream bytes.Buffer
-			if err := gob.NewEncoder(&stream).Encode(freeze(read.thaw())); err != nil {
-				t.Fatal(err)
-			}
-			var written frozenPacket
-			if err := gob.NewDecoder(&stream).Decode(&written); err != nil {
-				t.Fatal(err)
-			}
-			golden(t, "handover/"+name+".txt", packetText(written))
-		})
-	}
-}
-
-// An outcome has the same number on the wire as in the release.
-func TestHandOverNumbersOfOutcomes(t *testing.T) {
-	numbers := []dispatch.Outcome{dispatch.Served, dispatch.Errored, dispatch.Rejected, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionBroken,
-		dispatch.Cancelled, dispatch.NotSent, dispatch.NotStarted}
-	for number, outcome := range numbers {
-		f := frozenOutcome{Outcome: uint8(number)}
-		if f.thaw().Outcome != outcome || freezeOutcome(dispatch.AttemptResult{Outcome: outcome}).Outcome != uint8(number) {
-			t.Errorf("outcome %s is not %d", outcome, number)
-		}
-	}
 }
 
 func TestFiguresAreDumpedAsReleased(t *testing.T) {
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -2,14 +2,12 @@
 
 import (
 	"context"
-	"encoding/gob"
-	"errors"
 	"fmt"
-	"net"
 	"os"
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/handover"
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
@@ -19,56 +17,48 @@
 // calls in flight stay where they are; to the newcomer's module they are calls like any other, whose ends the old
 // process reports. Requests that still come on the old one's connections are passed on and answered there.
 
-const (
-	handOverVersion  = 1                      // of the packets; a holder that does not know it keeps what it has
-	lockPollInterval = 50 * time.Millisecond  // a newcomer looks so often for the lock or its holder
-	linkTimeout      = 2 * time.Second        // for a packet to be written, and for the snapshot to come
-	linkQueue        = 4096                   // packets on their way to the other process
-	peerDeathDelay   = 30 * time.Millisecond  // from the end of a link until the dead one's other sockets are closed, too
-	cancelTimeout    = 250 * time.Millisecond // at the end, for the calls that are cut off to be reported
-)
-
 type (
 	// helloEvent: a newcomer asks for the snapshot.
-	successorEvent struct{ *link }
+	successorEvent struct{ *handover.Link }
 	// linkEvent: the other process says something; with lost it is dead, or its connection is.
 	linkEvent struct {
-		link *link
-		packet
+		link *handover.Link
+		handover.Packet
 		lost bool
 	}
 	// lockEvent: the lock that another held is ours again.
 	lockAcquiredEvent struct{ lock *os.File }
 )
 
-// askHolder asks the lock's holder for its snapshot.
-func requestSnapshot(ctx context.Context, state string) (*link, *gob.Decoder, *snapshot, error) {
-	var c net.Conn
-	err := withHandOverSocket(state, func(path string) (err error) {
-		c, err = (&net.Dialer{Timeout: linkTimeout}).DialContext(ctx, "unix", path)
+// tryLock takes the lock on the state folder, nil if another process holds it.
+func (s *Sender) tryLock(ctx context.Context) (lock *os.File, err error) {
+	err = retry.OnTransient(ctx, s.log, "the lock on the state folder", func() (err error) {
+		lock, err = handover.LockStateDir(s.stateDir)
 		return err
 	})
-	if err != nil {
-		return nil, nil, nil, err
-	}
-	l := newLink(c)
-	l.send(packet{Hello: &hello{handOverVersion}})
-	dec := gob.NewDecoder(c)
-	c.SetReadDeadline(time.Now().Add(linkTimeout))
-	p, err := readPacket(dec)
-	if err != nil || p.Snapshot == nil {
-		l.close()
-		return nil, nil, nil, fmt.Errorf("the holder's snapshot: %w", errors.Join(err, errors.New("nothing came")))
+	return lock, err
+}
+
+// relock waits for the lock that a dead successor has left, and gives it to the loop.
+func (s *Sender) waitForLock(ctx context.Context) {
+	for {
+		if lock, err := s.tryLock(ctx); lock != nil || err != nil {
+			s.post(ctx, lockAcquiredEvent{lock})
+			return
+		}
+		select {
+		case <-time.After(handover.LockPollInterval):
+		case <-ctx.Done():
+			return
+		}
 	}
-	c.SetReadDeadline(time.Time{})
-	return l, dec, p.Snapshot, nil
 }
 
 // own waits until this process holds the lock, and opens the journal: at once if nobody holds it, else from its
 // holder or, if that dies, after it. The snapshot is nil unless the holder gave one.
-func (s *Sender) acquireOwnership(ctx context.Context) (*snapshot, error) {
-	var st *snapshot
-	var from *link
+func (s *Sender) acquireOwnership(ctx context.Context) (*handover.Snapshot, error) {
+	var st *handover.Snapshot
+	var from *handover.Link
 	for told := false; ; {
 		lock, err := s.tryLock(ctx)
 		if retry.IsTransient(err) {
@@ -83,10 +73,9 @@
 			break
 		}
 		if from == nil {
-			l, dec, e, err := requestSnapshot(ctx, s.stateDir)
+			l, e, err := handover.RequestSnapshot(ctx, s.stateDir)
 			if err == nil {
 				from, st, s.predecessor = l, e, l
-				s.inbox = dec
 				continue
 			}
 			if !told {
@@ -95,7 +84,7 @@
 			}
 		}
 		select {
-		case <-time.After(lockPollInterval):
+		case <-time.After(handover.LockPollInterval):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -103,59 +92,35 @@
 	return st, s.openJournal(ctx)
 }
 
-// awaitSuccessor listens for a newcomer, until ctx ends. It is called with the lock held, so what stands at the
-// path is left from another time.
+// awaitSuccessor waits for a successor until ctx ends, and gives its link to the loop. It is called with the lock held.
 func (s *Sender) awaitSuccessor(ctx context.Context) {
 	if s.lock == nil {
 		return
 	}
-	var l net.Listener
-	err := retry.OnTransient(ctx, s.log, "the socket for an upgrade", func() error {
-		return withHandOverSocket(s.stateDir, func(path string) (err error) {
-			os.Remove(path)
-			l, err = net.Listen("unix", path)
-			return err
-		})
-	})
+	link, err := handover.AwaitSuccessor(ctx, s.log, s.stateDir)
 	if err != nil {
-		s.log.Warn("no socket for an upgrade", "err", err)
 		return
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false) // by then it may be another's
-	stop := context.AfterFunc(ctx, func() { l.Close() })
-	defer stop()
-	defer l.Close()
-	for {
-		c, err := l.Accept()
-		if err != nil && !brokenListener(err) && retry.Wait(ctx, acceptPauseMost) {
-			continue
-		}
-		if err != nil {
-			return
-		}
-		dec := gob.NewDecoder(c)
-		c.SetReadDeadline(time.Now().Add(linkTimeout))
-		p, err := readPacket(dec)
-		if err != nil || p.Hello == nil || p.Hello.Version != handOverVersion {
-			s.log.Warn("a newcomer that is not understood", "err", err)
-			c.Close()
-			continue
-		}
-		c.SetReadDeadline(time.Time{})
-		link := newLink(c)
-		s.post(ctx, successorEvent{link})
-		go link.listen(dec, func(e any) { s.post(ctx, e) })
-		return // who takes everything up again listens anew
-	}
+	s.post(ctx, successorEvent{link})
+	go s.listenToPeer(ctx, link)
+}
+
+// listenToPeer passes on what the other process sends, and that it is gone.
+func (s *Sender) listenToPeer(ctx context.Context, link *handover.Link) {
+	link.Listen(
+		func(p handover.Packet) { s.post(ctx, linkEvent{link: link, Packet: p}) },
+		func() { s.post(ctx, linkEvent{link: link, lost: true}) })
 }
 
 // flights is every attempt out, with its message in the journal.
-func (s *Sender) inFlightAttempts() []inFlightAttempt {
-	var list []inFlightAttempt
+func (s *Sender) inFlightAttempts() []handover.InFlightAttempt {
+	var list []handover.InFlightAttempt
 	for _, m := range s.messages {
 		for attempt, c := range m.calls {
 			if try := m.base + attempt; !m.ended && try < len(m.Attempts) {
-				list = append(list, inFlightAttempt{attemptID{m.ID, try}, c.number, c.endpoint, m.Attempts[try].SentAt, c.timeout})
+				list = append(list, handover.InFlightAttempt{
+					ID:   handover.AttemptID{Message: m.ID, Attempt: try},
+					Call: c.number, Endpoint: c.endpoint, SentAt: m.Attempts[try].SentAt, Timeout: c.timeout})
 			}
 		}
 	}
@@ -163,18 +128,18 @@
 }
 
 // mayHandOver reports whether the journal holds all that a newcomer has to know. If not, that has to ask again.
-func (s *Sender) canHandOver(ctx context.Context, to *link) bool {
+func (s *Sender) canHandOver(ctx context.Context, to *handover.Link) bool {
 	if !s.journal.Failed() || s.journal.Compact() == nil {
 		return true
 	}
 	s.log.Warn("no hand-over while the journal cannot be written")
-	to.close()
+	to.Close()
 	go s.awaitSuccessor(ctx)
 	return false
 }
 
 // handOver gives all up to a newcomer, between two steps.
-func (s *Sender) handOver(to *link) {
+func (s *Sender) handOver(to *handover.Link) {
 	s.successor, s.handedOver = to, true
 	s.server.closing.Store(true)
 	s.server.shut()
@@ -183,7 +148,7 @@
 		s.pool.closeIdle(e, 0)
 	}
 	s.abortUnsent(func(*outCall) bool { return true }) // of what is begun from now on only the newcomer knows whether it may
-	st := &snapshot{ListVersion: s.listVersion, InFlight: s.inFlightAttempts(), BackoffUntil: map[string]time.Duration{}, Dispatcher: s.dispatcher.Snapshot()}
+	st := &handover.Snapshot{ListVersion: s.listVersion, InFlight: s.inFlightAttempts(), BackoffUntil: map[string]time.Duration{}, Dispatcher: s.dispatcher.Snapshot()}
 	for _, e := range s.list.byNumber {
 		st.Endpoints = append(st.Endpoints, e.target)
 	}
@@ -206,13 +171,13 @@
 		s.lock.Close() // and frees it
 		s.lock = nil
 	}
-	to.send(packet{Snapshot: st})
+	to.Send(handover.Packet{Snapshot: st})
 }
 
 // regain takes everything up again after the successor's death. What that had out may have run; our own calls
 // are still out.
 func (s *Sender) reclaimOwnership(ctx context.Context, lock *os.File) {
-	st := &snapshot{InFlight: s.inFlightAttempts(), BackoffUntil: s.handedBackoff, Dispatcher: s.handedSnapshot}
+	st := &handover.Snapshot{InFlight: s.inFlightAttempts(), BackoffUntil: s.handedBackoff, Dispatcher: s.handedSnapshot}
 	s.lock = lock
 	if err := s.openJournal(ctx); err != nil {
 		s.log.Error("the journal cannot be had again", "err", err)
@@ -232,7 +197,7 @@
 	s.pool.leaving.Store(false)
 	old := s.byID
 	s.messages, s.byID, s.pending = map[dispatch.MessageID]*message{}, map[string]*message{}, 0
-	s.restoreState(ctx, st, func(f inFlightAttempt) *outCall { // the calls themselves are ours as before
+	s.restoreState(ctx, st, func(f handover.InFlightAttempt) *outCall { // the calls themselves are ours as before
 		c := *old[f.ID.Message].calls[f.ID.Attempt-old[f.ID.Message].base]
 		c.end = nil
 		return &c
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"context"
-	"encoding/gob"
 	"io"
 	"net"
 	"net/http"
@@ -17,6 +16,7 @@
 
 	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/handover"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -204,12 +204,12 @@
 	st.HandIn(t, addr, "out", "unsafe", 0, 15*time.Second)
 	slow.Next(t)
 	for n := range 2 {
-		l, _, snapshot := takeOver(t, state)
-		if len(snapshot.InFlight) != 1 || snapshot.InFlight[0].ID != (attemptID{"out", 0}) {
+		l, snapshot := takeOver(t, state)
+		if len(snapshot.InFlight) != 1 || snapshot.InFlight[0].ID != (handover.AttemptID{Message: "out", Attempt: 0}) {
 			t.Errorf("calls handed over: %+v", snapshot.InFlight)
 		}
 		waitHealth(t, admin, "fail leaving\n")
-		l.close()
+		l.Close()
 		waitHealth(t, admin, "ok\n")
 		id := "again" + strconv.Itoa(n)
 		st.HandIn(t, addr, id, "unsafe", 1, 15*time.Second)
@@ -223,13 +223,13 @@
 }
 
 // takeOver plays a successor by hand: it has the snapshot of the holder and does nothing with it.
-func takeOver(t *testing.T, state string) (*link, *gob.Decoder, *snapshot) {
+func takeOver(t *testing.T, state string) (*handover.Link, *handover.Snapshot) {
 	t.Helper()
 	for until := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) { // the holder's socket may come up after its ok
-		l, dec, e, err := requestSnapshot(context.Background(), state)
+		l, e, err := handover.RequestSnapshot(context.Background(), state)
 		if err == nil {
-			t.Cleanup(l.close)
-			return l, dec, e
+			t.Cleanup(l.Close)
+			return l, e
 		}
 		if time.Now().After(until) {
 			t.Fatal(err)
@@ -266,16 +266,16 @@
 						e.Next(t)
 					}
 				}
-				l, dec, snapshot := takeOver(t, state)
+				l, snapshot := takeOver(t, state)
 				if len(snapshot.InFlight) != 1 {
 					t.Fatalf("calls handed over: %+v", snapshot.InFlight)
 				}
 				close(open)
-				told, err := readPacket(dec)
+				told, err := l.Receive()
 				if err != nil || told.AttemptEnded == nil {
 					t.Fatalf("the successor is told %+v, %v", told, err)
 				}
-				l.close()
+				l.Close()
 				waitHealth(t, admin, "ok\n")
 				wantFigures(t, admin, c.want)
 				if c.again {
@@ -302,13 +302,13 @@
 	}
 	var rests time.Time
 	for booked := false; !booked; { // its last answer may not have been: then its call is handed over as out
-		l, _, est := takeOver(t, state)
+		l, est := takeOver(t, state)
 		booked = len(est.InFlight) == 0
 		until, ok := est.BackoffUntil["m"]
 		if rests = time.Unix(0, int64(until)); booked && !ok {
 			t.Errorf("it does not rest: %+v", est)
 		}
-		l.close()
+		l.Close()
 		waitHealth(t, admin, "ok\n")
 	}
 	beside(t, p, state, listen) // the old one has it again, and hands it on
@@ -342,9 +342,9 @@
 		c.Write(text.Bytes()[:text.Len()-1])
 		halves = append(halves, c)
 	}
-	successor, _, _ := takeOver(t, l.stateDir)
+	successor, _ := takeOver(t, l.stateDir)
 	l.stop()
-	successor.close()
+	successor.Close()
 	refused := false
 	for _, c := range halves { // until both have been noticed
 		io.WriteString(c, "y")
@@ -371,7 +371,7 @@
 	quick := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, quick.Addr)
 	state := t.TempDir()
-	if err := withHandOverSocket(state, func(path string) error {
+	if err := handover.WithSocket(state, func(path string) error {
 		l, err := net.Listen("unix", path)
 		if err != nil {
 			return err
@@ -387,7 +387,7 @@
 	st.HandIn(t, addr, "m", "unsafe", 0, 15*time.Second)
 	quick.Next(t)
 	stop()
-	if err := withHandOverSocket(state, func(path string) error { _, err := os.Stat(path); return err }); err != nil {
+	if err := handover.WithSocket(state, func(path string) error { _, err := os.Stat(path); return err }); err != nil {
 		t.Errorf("the new process has no socket: %v", err)
 	}
 }
@@ -398,10 +398,10 @@
 	quick := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, quick.Addr)
 	state := t.TempDir()
-	if err := withHandOverSocket(state, func(path string) error { return os.MkdirAll(path+"/taken", 0o700) }); err != nil {
+	if err := handover.WithSocket(state, func(path string) error { return os.MkdirAll(path+"/taken", 0o700) }); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { withHandOverSocket(state, os.RemoveAll) })
+	t.Cleanup(func() { handover.WithSocket(state, os.RemoveAll) })
 	addr, listen := platformSocket(t)
 	beside(t, p, state, listen)
 	st.HandIn(t, addr, "m", "unsafe", 0, 15*time.Second)
@@ -427,10 +427,10 @@
 		t.Fatal(resp.Status)
 	}
 	hung.Next(t)
-	successor, dec, _ := takeOver(t, l.stateDir)
+	successor, _ := takeOver(t, l.stateDir)
 	io.WriteString(c, written(t, st.Message(t, addr, "passed", "unsafe", 0, 15*time.Second, "x")))
 	for {
-		p, err := readPacket(dec)
+		p, err := successor.Receive()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -444,7 +444,7 @@
 		leaving = l.server.leaving
 		l.server.mu.Unlock()
 	}
-	successor.close()
+	successor.Close()
 	c.SetReadDeadline(time.Now().Add(400 * time.Millisecond)) // as long as a client waits
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != http.StatusInternalServerError {
@@ -481,8 +481,8 @@
 	took := make(chan struct{})
 	go func() {
 		defer close(took)
-		l, _, _ := takeOver(t, state)
-		defer l.close()
+		l, _ := takeOver(t, state)
+		defer l.Close()
 		j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), state, 1<<20)
 		if err != nil {
 			t.Error(err)
--- a/internal/sender/leaving_test.go
+++ b/internal/sender/leaving_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"context"
-	"encoding/gob"
 	"encoding/json"
 	"io"
 	"log/slog"
@@ -21,6 +20,7 @@
 	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/handover"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -471,9 +471,9 @@
 // more: nobody would hear how it ends, or whether it may. It never ran, and the next process hears so.
 func TestACallThatWaitsForItsConnectionIsLeftToTheNextProcess(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(t *testing.T, l *leaver) *gob.Decoder{
-		"after the grace": func(t *testing.T, l *leaver) *gob.Decoder { l.stop(); return nil },
-		"hand-over":       func(t *testing.T, l *leaver) *gob.Decoder { _, dec, _ := takeOver(t, l.stateDir); return dec },
+	for name, end := range map[string]func(t *testing.T, l *leaver) *handover.Link{
+		"after the grace": func(t *testing.T, l *leaver) *handover.Link { l.stop(); return nil },
+		"hand-over":       func(t *testing.T, l *leaver) *handover.Link { link, _ := takeOver(t, l.stateDir); return link },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -503,7 +503,7 @@
 			st.Receive(t, withheld)
 			close(up)
 			if successor != nil {
-				told, err := readPacket(successor)
+				told, err := successor.Receive()
 				if err != nil || told.AttemptEnded == nil || told.AttemptEnded.Result.Outcome != dispatch.NotSent {
 					t.Errorf("the successor is told %+v, %v", told, err)
 				}
--- a/internal/sender/listener.go
+++ b/internal/sender/listener.go
@@ -39,41 +39,18 @@
 	acceptAtOnce = 16
 )
 
-// lostConnection reports whether accept failed for the connection that it was about to return, which says nothing of the next
-// one (accept(2)).
-func lostConnection(err error) bool {
-	for _, lost := range []error{syscall.ECONNABORTED, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
-		syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.EINTR} {
-		if errors.Is(err, lost) {
-			return true
-		}
-	}
-	return false
-}
-
-// brokenListener reports whether no further accept can work. All other errors pass: those of connections that were lost
-// before they were accepted, and those of a machine that is short of something for a moment (accept(2)).
-func brokenListener(err error) bool {
-	for _, broken := range []error{net.ErrClosed, os.ErrDeadlineExceeded, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP} {
-		if errors.Is(err, broken) {
-			return true
-		}
-	}
-	return false
-}
-
 // accept waits for the next connection, whatever fails meanwhile.
 func (d *limitListener) accept() (net.Conn, error) {
 	pause := acceptPauseFirst
 	for lost := 0; ; {
 		c, err := d.Listener.Accept()
-		if err == nil || brokenListener(err) {
+		if err == nil || netconn.IsListenerBroken(err) {
 			return c, err
 		}
 		if d.failed != nil {
 			d.failed(err)
 		}
-		if lostConnection(err) && lost < acceptAtOnce {
+		if netconn.IsConnectionLost(err) && lost < acceptAtOnce {
 			lost++
 			continue
 		}
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/gob"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -19,6 +18,7 @@
 	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/handover"
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
@@ -83,10 +83,9 @@
 	reopenListener func() // listens for clients again, by and by
 
 	lock           *os.File          // on the state folder; nil if it could not be had, or after a hand-over
-	predecessor    *link             // the process that this one took over from, while it runs
-	inbox          *gob.Decoder      // of that
+	predecessor    *handover.Link    // the process that this one took over from, while it runs
 	handedOver     bool              // a successor decides
-	successor      *link             // it, while it runs
+	successor      *handover.Link    // it, while it runs
 	handedSnapshot dispatch.Snapshot // what was handed to it
 	handedBackoff  map[string]time.Duration
 	forwarded      map[uint64]forwardedRequest // requests that it has not answered yet
@@ -183,7 +182,7 @@
 	if s.config.Admin != "" {
 		go admin.New(s.log, s.config.Limits.MaxAdminConnections(), s.health, s.metrics.Dump).Run(work, s.config.Admin)
 	}
-	var st *snapshot
+	var st *handover.Snapshot
 	if s.journal == nil {
 		var err error
 		if st, err = s.acquireOwnership(ctx); err != nil {
@@ -207,7 +206,7 @@
 	}
 	s.reopenListener = open
 	if s.predecessor != nil {
-		go s.predecessor.listen(s.inbox, func(e any) { s.post(work, e) })
+		go s.listenToPeer(work, s.predecessor)
 	}
 	go s.awaitSuccessor(work)
 
@@ -254,7 +253,7 @@
 				break
 			}
 			s.cancelCalls()
-			cut = time.After(cancelTimeout)
+			cut = time.After(handover.CancelTimeout)
 		case <-cut:
 			return s.shutDown(stop)
 		case <-ended:
@@ -285,7 +284,7 @@
 }
 
 // followDiscovery begins to watch the list, from the version that is known, and to tell notices.
-func (s *Sender) startDiscovery(work context.Context, st *snapshot) {
+func (s *Sender) startDiscovery(work context.Context, st *handover.Snapshot) {
 	known := s.config.Known.Version
 	if len(s.config.Known.Endpoints) == 0 {
 		known = -1
@@ -355,14 +354,14 @@
 	s.server.close()
 	s.log.Info("stopped", "held", s.pending, "calls", s.callsInFlight, "notices", len(s.pendingNotices), "shared", s.batchedMessages)
 	if s.successor != nil {
-		s.successor.drain()
+		s.successor.Drain()
 	}
 	var err error
 	if s.journal != nil {
 		err = s.journal.Close()
 	}
 	if s.lock != nil {
-		withHandOverSocket(s.stateDir, os.Remove) // ours, as long as we hold the lock
+		handover.WithSocket(s.stateDir, os.Remove) // ours, as long as we hold the lock
 		s.lock.Close()
 	}
 	return err
@@ -372,8 +371,8 @@
 // configuration may be older than what that process had been told, so the journal's changes go on top; and an endpoint on
 // it may have drained since: nothing is sent until discovery has answered once, or has had its time. A snapshot's list is as new as
 // can be. Its calls are still out; call gives each one's place in this process.
-func (s *Sender) restoreState(ctx context.Context, st *snapshot, call func(inFlightAttempt) *outCall) {
-	flying := map[string]inFlightAttempt{}
+func (s *Sender) restoreState(ctx context.Context, st *handover.Snapshot, call func(handover.InFlightAttempt) *outCall) {
+	flying := map[string]handover.InFlightAttempt{}
 	var events []dispatch.Event
 	if st != nil {
 		for _, t := range st.Endpoints { // in the order of the other module's numbers
@@ -421,10 +420,10 @@
 }
 
 // predecessorCall stands for a call that the process before this one has out.
-func (s *Sender) predecessorCall(f inFlightAttempt) *outCall {
+func (s *Sender) predecessorCall(f handover.InFlightAttempt) *outCall {
 	at := s.predecessor
 	return &outCall{number: f.Call, endpoint: f.Endpoint, timeout: f.Timeout, at: at,
-		cancel: func() { at.send(packet{Cancel: &f.ID}) }, withhold: func() {}} // it has written all that it has out
+		cancel: func() { at.Send(handover.Packet{Cancel: &f.ID}) }, withhold: func() {}} // it has written all that it has out
 }
 
 // turn takes in an event and all others that wait, and lets the dispatcher decide once.
@@ -435,10 +434,10 @@
 		return
 	}
 	var events []dispatch.Event
-	var successor *link
+	var successor *handover.Link
 	for e, n := first, 0; e != nil && n < maxEventBatch && successor == nil; n++ {
 		if hello, ok := e.(successorEvent); ok {
-			successor = hello.link
+			successor = hello.Link
 			break
 		}
 		events = append(events, s.handleEvent(ctx, e)...)
--- a/internal/sender/relay.go
+++ b/internal/sender/relay.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/handover"
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
@@ -27,7 +28,8 @@
 		s.deliveringNotices = false // the successor tells them once more, which does no harm
 	case retryAfterEvent:
 		if at := s.endpoint(e.endpoint); at != nil && s.successor != nil {
-			s.successor.send(packet{RetryAfter: &retryAfterReport{at.id, max(0, time.Until(e.until))}})
+			s.successor.Send(handover.Packet{RetryAfter: &handover.RetryAfterReport{Endpoint: at.id,
+				RetryAfter: max(0, time.Until(e.until))}})
 		}
 	case reloadEvent:
 		s.applyConfig(e.Config)
@@ -38,7 +40,7 @@
 			s.requestEndpointList()
 		}
 	case successorEvent:
-		e.link.close() // who owns the journal now is to be asked
+		e.Link.Close() // who owns the journal now is to be asked
 	case lockAcquiredEvent:
 		s.reclaimOwnership(ctx, e.lock)
 	case linkEvent:
@@ -83,12 +85,12 @@
 	}
 	s.lastForwarded++
 	to := s.successor
-	if to != nil && to.isGone() { // its death is about to be told
+	if to != nil && to.IsGone() { // its death is about to be told
 		to = nil
 	}
 	s.forwarded[s.lastForwarded] = forwardedRequest{sub, to != nil}
 	if to != nil {
-		to.send(packet{Submit: &forwardedSubmission{s.lastForwarded, sub.Record}})
+		to.Send(handover.Packet{Submit: &handover.ForwardedRequest{Sequence: s.lastForwarded, Record: sub.Record}})
 	}
 }
 
@@ -119,13 +121,14 @@
 }
 
 // relayedSubmission is a request that came to the process before this one. Its answer goes back there.
-func (s *Sender) receivedRequest(ctx context.Context, from *link, r *forwardedSubmission) submission {
+func (s *Sender) receivedRequest(ctx context.Context, from *handover.Link, r *handover.ForwardedRequest) submission {
 	sub := submission{Record: r.Record, answer: make(chan clientResponse, 1)}
 	go func() {
 		select {
 		case a := <-sub.answer:
-			from.send(packet{Answer: &forwardedResponse{r.Sequence, a.status, a.retryAfter, a.text}})
-		case <-from.gone:
+			from.Send(handover.Packet{Answer: &handover.ForwardedResponse{Sequence: r.Sequence, Status: a.status,
+				RetryAfter: a.retryAfter, Text: a.text}})
+		case <-from.Gone():
 		case <-ctx.Done():
 		}
 	}()
@@ -133,7 +136,7 @@
 }
 
 // predecessorGone ends the attempts that the process before this one had out: they may have run.
-func (s *Sender) predecessorLost(from *link) []attemptEnd {
+func (s *Sender) predecessorLost(from *handover.Link) []attemptEnd {
 	var ends []attemptEnd
 	for _, m := range s.messages {
 		for attempt, c := range m.calls {
@@ -164,7 +167,8 @@
 	}
 	c.end = &e.AttemptResult
 	if s.successor != nil {
-		s.successor.send(packet{AttemptEnded: &attemptReport{attemptID{e.message.ID, e.message.base + e.attempt}, e.AttemptResult}})
+		s.successor.Send(handover.Packet{AttemptEnded: &handover.AttemptReport{
+			Attempt: handover.AttemptID{Message: e.message.ID, Attempt: e.message.base + e.attempt}, Result: e.AttemptResult}})
 	}
 }
 
