--- /dev/null
+++ b/internal/endpoint/batch.go
@@ -0,0 +1,189 @@
+package endpoint
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"sync"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/metrics"
+)
+
+const (
+	batchPath        = "/hook/batch"
+	batchContentType = "application/json"
+)
+
+// The states of a message in the response to a batch (protocol). Any other leaves open whether it has run.
+const (
+	batchStateDelivered = "ok"
+	batchStateRejected  = "later"
+	batchStateOver      = "gone"
+	batchStateExhausted = "exhausted"
+)
+
+// batchEntry is a message in the request of a batch.
+type batchEntry struct {
+	ID   string `json:"id"`
+	Key  string `json:"key,omitempty"`
+	Body []byte `json:"body"`
+}
+
+// batchStatus is a message in the response to a batch.
+type batchStatus struct {
+	ID    string `json:"id"`
+	State string `json:"state"`
+}
+
+// batch is the connection that a call of several messages is in flight on, until it is answered.
+type batch struct {
+	metrics   *metrics.Registry
+	mu        sync.Mutex
+	conn      *conn
+	isWritten bool
+}
+
+// use stores the connection; b may be nil.
+func (b *batch) use(c *conn, isWritten bool) {
+	if b == nil {
+		return
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.conn, b.isWritten = c, isWritten
+}
+
+// abandon ends the call unless all of it has arrived: of a message that has ended nothing may arrive any more.
+func (b *batch) abandon() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.conn != nil && !(b.isWritten && b.conn.isAcknowledged()) {
+		b.conn.drop(b.metrics, DroppedAbandoned)
+	}
+}
+
+// batchResults are the results of a batch's items, by place.
+type batchResults struct {
+	items  []*Item
+	unsent dispatch.AttemptResult // of the items that were not written
+}
+
+// all gives each written item the same result.
+func (r batchResults) all(result dispatch.AttemptResult) []dispatch.AttemptResult {
+	results := make([]dispatch.AttemptResult, len(r.items))
+	for i, item := range r.items {
+		results[i] = result
+		if !item.isWritten() {
+			results[i] = r.unsent
+		}
+	}
+	return results
+}
+
+// callBatch makes one attempt with several messages, which share its fate unless the response tells each one's. Those
+// that have ended before it is written are left out.
+func (p *Pool) callBatch(ctx, start context.Context, e *Endpoint, b *batch, items []*Item,
+	timeout time.Duration) []dispatch.AttemptResult {
+	until := time.Now().Add(timeout)
+	x := p.exchange(ctx, start, e, func(address string) (request, error) {
+		req, body, err := batchBody(items)
+		if err != nil {
+			return request{}, err
+		}
+		left := remaining(until)
+		until = time.Now().Add(left)
+		req.batch = b
+		head := requestHead{path: batchPath, contentType: batchContentType, remainingAtWriting: left}
+		req.text, err = renderRequest(address, head, body)
+		return req, err
+	})
+	results := batchResults{items: items,
+		unsent: dispatch.AttemptResult{Endpoint: e.Number, Outcome: dispatch.NotSent}}
+	if x.response == nil {
+		if x.outcome == dispatch.Served { // a status line alone tells of no message how it fared
+			x.outcome = dispatch.ConnectionBroken
+		}
+		if x.conn == nil {
+			results.unsent.Outcome = x.outcome
+		}
+		return results.all(dispatch.AttemptResult{Endpoint: e.Number, Outcome: x.outcome, ConnectionIdle: x.connectionIdle()})
+	}
+	result, retryAt := p.interpretHead(e, x.conn, x.response)
+	result.ConnectionIdle = x.connectionIdle()
+	body, isComplete := p.readBody(e, x.conn, x.response)
+	if !retryAt.IsZero() {
+		result.RetryAfter = max(0, time.Until(retryAt))
+	}
+	switch {
+	case !time.Now().Before(until): // here the complete response counts, so all of it has to come in time
+		return results.all(withoutVerdict(result, dispatch.TimedOut))
+	case !isComplete:
+		return results.all(withoutVerdict(result, unreadOutcome(ctx)))
+	}
+	switch x.response.StatusCode {
+	case http.StatusOK:
+		return results.each(result, body)
+	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
+		result.Outcome = dispatch.NotSent // by the protocol none of them has run
+	}
+	return results.all(result)
+}
+
+// batchBody is the body of a request for all items that have not ended meanwhile, and what has to hold when it is written.
+func batchBody(items []*Item) (req request, body []byte, err error) {
+	var entries []batchEntry
+	for _, item := range items {
+		if !item.markWritten() {
+			continue
+		}
+		message := item.Body
+		if message == nil {
+			message = []byte{}
+		}
+		entries = append(entries, batchEntry{ID: item.ID, Key: item.Key, Body: message})
+		req.permits = append(req.permits, item.Permit)
+		if req.writeBy.IsZero() || item.startBy.Before(req.writeBy) {
+			req.writeBy = item.startBy
+		}
+	}
+	if len(entries) == 0 {
+		return request{}, nil, errEmptyCall
+	}
+	body, err = json.Marshal(entries)
+	return req, body, err
+}
+
+// each gives each written item what the response tells of it.
+func (r batchResults) each(result dispatch.AttemptResult, body []byte) []dispatch.AttemptResult {
+	result.Outcome, result.Final = dispatch.Errored, false // what the response leaves open may have run
+	results := r.all(result)
+	var statuses []batchStatus
+	if json.Unmarshal(body, &statuses) != nil {
+		return results
+	}
+	states := make(map[string]string, len(statuses))
+	for _, s := range statuses {
+		if state, isRepeated := states[s.ID]; isRepeated && state != s.State {
+			s.State = "" // nobody knows which is true: it may have run
+		}
+		states[s.ID] = s.State
+	}
+	for i, item := range r.items {
+		if !item.isWritten() {
+			continue
+		}
+		switch states[item.ID] {
+		case batchStateDelivered:
+			results[i].Outcome, results[i].Final = dispatch.Served, true
+		case batchStateRejected:
+			results[i].Outcome = dispatch.Rejected
+		case batchStateOver:
+			results[i].Outcome, results[i].Final = dispatch.NotSent, true
+		case batchStateExhausted:
+			results[i].Outcome = dispatch.NotSent
+		}
+	}
+	return results
+}
--- a/internal/sender/endpoints_test.go
+++ b/internal/endpoint/endpoint_test.go
@@ -1,4 +1,4 @@
-package sender
+package endpoint
 
 import (
 	"context"
@@ -8,28 +8,31 @@
 	"slices"
 	"strconv"
 	"strings"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
-	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/invariant"
-	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/netconn"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-func testPool() *pool {
-	return newPool(&config.Config{ConnectTimeout: time.Second, Limits: config.Limits{Sockets: 64}, Fields: []string{"x0", "x1"},
-		Settings: dispatch.Settings{IdleConnectionTimeout: 15 * time.Second}})
+func testPool() *Pool {
+	return NewPool(Options{ConnectTimeout: time.Second, IdleTimeout: 15 * time.Second, MaxIdle: 3,
+		LoadReportFields: []string{"x0", "x1"}})
 }
 
-func callOnce(p *pool, e *endpoint, timeout time.Duration, body string) dispatch.AttemptResult {
+// callBatch makes one call with several messages.
+func callBatch(ctx context.Context, e *Endpoint, items []*Item, timeout time.Duration) []dispatch.AttemptResult {
+	p := testPool()
+	return p.callBatch(ctx, ctx, e, &batch{metrics: p.metrics}, items, timeout)
+}
+
+func callOnce(p *Pool, e *Endpoint, timeout time.Duration, body string) dispatch.AttemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return p.call(ctx, ctx, e, batchItem{Record: journal.Record{ID: "id", Key: "key", Body: []byte(body)}}, timeout)
+	return p.callSingle(ctx, ctx, e, &Item{ID: "id", Key: "key", Body: []byte(body)}, timeout)
 }
 
 func TestOutcomes(t *testing.T) {
@@ -95,7 +98,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := st.NewEndpoint(t, c.answer)
-			got := callOnce(testPool(), &endpoint{addr: e.Addr}, st.Wait, "body")
+			got := callOnce(testPool(), &Endpoint{address: e.Addr}, st.Wait, "body")
 			if got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
@@ -119,7 +122,7 @@
 	t.Parallel()
 	const took = 50 * time.Millisecond
 	e := st.NewEndpoint(t, st.Status(200))
-	p, at := testPool(), &endpoint{addr: e.Addr}
+	p, at := testPool(), &Endpoint{address: e.Addr}
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-time.After(took); return nil }
 	callOnce(p, at, st.Wait, "body")
 	if told := toldTime(e.Next(t)); told > st.Wait-took {
@@ -127,8 +130,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
-	p.closeIdle(at, 0)
-	p.callMany(ctx, ctx, at, []batchItem{{Record: journal.Record{ID: "a"}, state: new(atomic.Int32)}}, st.Wait)
+	p.CloseIdle(at, 0)
+	p.callBatch(ctx, ctx, at, &batch{metrics: p.metrics}, []*Item{{ID: "a"}}, st.Wait)
 	if told := toldTime(e.Next(t)); told > st.Wait-took {
 		t.Errorf("told %v in a shared call", told)
 	}
@@ -143,7 +146,7 @@
 		answers = answers[1:]
 		return a(c, nc)
 	})
-	p, at := testPool(), &endpoint{addr: e.Addr}
+	p, at := testPool(), &Endpoint{address: e.Addr}
 	for _, want := range []dispatch.Outcome{dispatch.Served, dispatch.Rejected} {
 		if got := callOnce(p, at, st.Wait, ""); got.Outcome != want || e.Next(t).Conn != 1 {
 			t.Errorf("got %+v, want %v", got, want)
@@ -165,7 +168,7 @@
 		}
 		return st.Status(200)(c, nc)
 	})
-	p, at := testPool(), &endpoint{addr: e.Addr}
+	p, at := testPool(), &Endpoint{address: e.Addr}
 	served := make(chan dispatch.AttemptResult, 2)
 	for range 2 {
 		go func() { served <- callOnce(p, at, st.Wait, "") }()
@@ -240,11 +243,8 @@
 			e := st.NewEndpoint(t, c.answer)
 			ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 			defer cancel()
-			items := []batchItem{{Record: journal.Record{ID: "a", Key: "k", Body: []byte{0, 255, '"'}}}, {Record: journal.Record{ID: "b"}}, {Record: journal.Record{ID: "c"}}}
-			for i := range items {
-				items[i].state = new(atomic.Int32)
-			}
-			got := testPool().callMany(ctx, ctx, &endpoint{addr: e.Addr}, items, st.Wait)
+			items := []*Item{{ID: "a", Key: "k", Body: []byte{0, 255, '"'}}, {ID: "b"}, {ID: "c"}}
+			got := callBatch(ctx, &Endpoint{address: e.Addr}, items, st.Wait)
 			if !slices.Equal(got, c.want) {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
@@ -292,15 +292,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			at, p := &endpoint{addr: st.NewEndpoint(t, c.answer).Addr}, testPool()
+			at, p := &Endpoint{address: st.NewEndpoint(t, c.answer).Addr}, testPool()
 			ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 			defer cancel()
 			got := []dispatch.AttemptResult{}
 			if c.shared {
-				items := []batchItem{{Record: journal.Record{ID: "a"}, state: new(atomic.Int32)}, {Record: journal.Record{ID: "b"}, state: new(atomic.Int32)}}
-				got = p.callMany(ctx, ctx, at, items, told)
+				items := []*Item{{ID: "a"}, {ID: "b"}}
+				got = p.callBatch(ctx, ctx, at, &batch{metrics: p.metrics}, items, told)
 			} else {
-				got = append(got, p.call(ctx, ctx, at, batchItem{Record: journal.Record{ID: "a"}}, told))
+				got = append(got, p.callSingle(ctx, ctx, at, &Item{ID: "a"}, told))
 			}
 			for _, end := range got {
 				if end != c.want {
@@ -323,7 +323,7 @@
 			}
 			return st.Reset(c, nc)
 		})
-		p, at := testPool(), &endpoint{addr: e.Addr}
+		p, at := testPool(), &Endpoint{address: e.Addr}
 		if got := callOnce(p, at, st.Wait, body); got.Outcome != dispatch.Served {
 			t.Fatalf("first call: %+v", got)
 		}
@@ -357,7 +357,7 @@
 		c.Close()
 	}()
 	// Far more than the sockets' buffers hold, so that the write is under way when the reset comes.
-	got := callOnce(testPool(), &endpoint{addr: l.Addr().String()}, st.Wait, strings.Repeat("x", 64<<20))
+	got := callOnce(testPool(), &Endpoint{address: l.Addr().String()}, st.Wait, strings.Repeat("x", 64<<20))
 	if got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("got %+v", got)
 	}
@@ -369,7 +369,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if got := callOnce(testPool(), &endpoint{addr: l.Addr().String()}, st.Wait, ""); got.Outcome != dispatch.ConnectFailed {
+	if got := callOnce(testPool(), &Endpoint{address: l.Addr().String()}, st.Wait, ""); got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -382,14 +382,14 @@
 		closed <- struct{}{}
 		return false
 	})
-	p, at := testPool(), &endpoint{addr: e.Addr}
+	p, at := testPool(), &Endpoint{address: e.Addr}
 	if got := callOnce(p, at, 30*time.Millisecond, ""); got.Outcome != dispatch.TimedOut {
 		t.Errorf("time-out: %+v", got)
 	}
 	st.Receive(t, closed)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan dispatch.AttemptResult, 1)
-	go func() { ended <- p.call(ctx, ctx, at, batchItem{Record: journal.Record{ID: "id"}}, st.Wait) }()
+	go func() { ended <- p.callSingle(ctx, ctx, at, &Item{ID: "id"}, st.Wait) }()
 	e.Next(t)
 	e.Next(t)
 	cancel()
@@ -409,7 +409,7 @@
 		close(closed)
 		return c.Conn != 1
 	})
-	p, at := testPool(), &endpoint{addr: e.Addr}
+	p, at := testPool(), &Endpoint{address: e.Addr}
 	if got := callOnce(p, at, st.Wait, ""); got.Outcome != dispatch.Served {
 		t.Fatalf("first call: %+v", got)
 	}
@@ -433,7 +433,7 @@
 
 func TestConnectionsAreKeptAndClosed(t *testing.T) {
 	e := st.NewEndpoint(t, st.Status(200))
-	p, at := testPool(), &endpoint{addr: e.Addr}
+	p, at := testPool(), &Endpoint{address: e.Addr}
 	on := func() int {
 		t.Helper()
 		if got := callOnce(p, at, st.Wait, "x"); got.Outcome != dispatch.Served {
@@ -444,20 +444,20 @@
 	if a, b := on(), on(); a != 1 || b != 1 {
 		t.Errorf("connections %d and %d", a, b)
 	}
-	p.closeIdle(at, time.Hour)
+	p.CloseIdle(at, time.Hour)
 	if n := on(); n != 1 {
 		t.Errorf("a young idle connection was closed")
 	}
-	p.closeIdle(at, 0)
+	p.CloseIdle(at, 0)
 	if n := on(); n != 2 {
 		t.Errorf("connection %d after the idle ones were closed", n)
 	}
-	p.keep = 0 // older than it may be
+	p.keepFor = 0 // older than it may be
 	if n := on(); n != 3 {
 		t.Errorf("connection %d after the idle one was too old", n)
 	}
-	p.most.Store(0)
-	p.closeIdle(at, 0)
+	p.SetMaxIdle(0)
+	p.CloseIdle(at, 0)
 	if on(); len(at.idle) != 0 || p.idle.Load() != 0 {
 		t.Errorf("%d idle connections where none may be kept, counted %d", len(at.idle), p.idle.Load())
 	}
@@ -484,25 +484,25 @@
 				return st.Silent(st.Call{}, c)
 			})
 			began := time.Now()
-			got := callOnce(testPool(), &endpoint{addr: e.Addr}, st.Wait, "")
+			got := callOnce(testPool(), &Endpoint{address: e.Addr}, st.Wait, "")
 			if took := time.Since(began); got.Outcome != dispatch.Served || !got.Final || took > st.Wait/4 {
 				t.Errorf("%+v after %v", got, took)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), restTime+300*time.Millisecond)
+			ctx, cancel := context.WithTimeout(context.Background(), responseTailTimeout+300*time.Millisecond)
 			defer cancel()
-			items := []batchItem{{Record: journal.Record{ID: "a"}, state: new(atomic.Int32)}}
-			if ends := testPool().callMany(ctx, ctx, &endpoint{addr: e.Addr}, items, time.Second); ends[0].Outcome == dispatch.Served || ctx.Err() == nil {
+			items := []*Item{{ID: "a"}}
+			if ends := callBatch(ctx, &Endpoint{address: e.Addr}, items, time.Second); ends[0].Outcome == dispatch.Served || ctx.Err() == nil {
 				t.Errorf("of a shared call: %+v, %v", ends, ctx.Err())
 			}
 		})
 	}
 	slow := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool { // the next answer on the connection has all its time
 		if c.ID == "id" && c.Body == "slow" {
-			time.Sleep(restTime + 100*time.Millisecond)
+			time.Sleep(responseTailTimeout + 100*time.Millisecond)
 		}
 		return st.Status(200)(c, nc)
 	})
-	p, at := testPool(), &endpoint{addr: slow.Addr}
+	p, at := testPool(), &Endpoint{address: slow.Addr}
 	for _, body := range []string{"quick", "slow"} {
 		if got := callOnce(p, at, st.Wait, body); got.Outcome != dispatch.Served {
 			t.Errorf("%s: %+v", body, got)
@@ -524,7 +524,7 @@
 		}
 		return st.Status(200)(c, nc)
 	})
-	p, at := testPool(), &endpoint{addr: e.Addr}
+	p, at := testPool(), &Endpoint{address: e.Addr}
 	if got := callOnce(p, at, st.Wait, ""); got.Outcome != dispatch.Served {
 		t.Fatalf("first call: %+v", got)
 	}
@@ -532,16 +532,17 @@
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
 	taken := at.idle[0]
-	resp, _, outcome := p.exchange(ctx, ctx, at, func(addr string) (rendered, error) {
+	x := p.exchange(ctx, ctx, at, func(address string) (request, error) {
 		io.WriteString(st.Receive(t, conns), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		for netconn.IsQuiet(taken.Conn) { // until it has come here
 			time.Sleep(time.Millisecond)
 		}
-		text, err := request(addr, "/hook", "", journal.Record{ID: "second"}, nil, time.Second)
-		return rendered{text: text, permits: []invariant.SendPermit{{}}}, err
+		head := requestHead{path: singlePath, messageID: "second", remainingAtWriting: time.Second}
+		text, err := renderRequest(address, head, nil)
+		return request{text: text, permits: []invariant.SendPermit{{}}}, err
 	})
-	if resp == nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("it is answered %+v, %v", resp, outcome)
+	if x.response == nil || x.response.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("it is answered %+v, %v", x.response, x.outcome)
 	}
 	if c := e.Next(t); c.ID != "second" || c.Conn != 2 {
 		t.Errorf("the endpoint got %+v", c)
@@ -553,11 +554,11 @@
 func TestAnAddressThatMovesWhileACallWaits(t *testing.T) {
 	t.Parallel()
 	old, now := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
-	p, at := testPool(), &endpoint{addr: old.Addr}
+	p, at := testPool(), &Endpoint{address: old.Addr}
 	p.dialer.Control = func(string, string, syscall.RawConn) error {
 		at.mu.Lock()
 		defer at.mu.Unlock()
-		at.addr = now.Addr
+		at.address = now.Addr
 		return nil
 	}
 	if got := callOnce(p, at, st.Wait, ""); got.Outcome != dispatch.Served {
@@ -587,62 +588,24 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	p := newPool(&config.Config{ConnectTimeout: time.Second, Limits: config.Limits{Sockets: 64}})
-	p.call(ctx, ctx, &endpoint{addr: l.Addr().String()}, batchItem{Record: journal.Record{ID: "id"}}, 50*time.Millisecond)
+	p := NewPool(Options{ConnectTimeout: time.Second, MaxIdle: 3})
+	p.callSingle(ctx, ctx, &Endpoint{address: l.Addr().String()}, &Item{ID: "id"}, 50*time.Millisecond)
 	if err := st.Receive(t, ended); err == nil {
 		t.Error("the connection ended in order")
 	}
 }
 
-// A call's bytes wait for a connection. A message that could not arrive in time any more by then has ended, and is not
-// written: the call goes on without it.
-func TestAMessageThatEndsBeforeItsSharedCallIsWrittenIsLeftOut(t *testing.T) {
-	t.Parallel()
-	for name, short := range map[string]batchItem{"time up": {timeout: 10 * time.Millisecond},
-		"too late to begin": {startWithin: 10 * time.Millisecond, timeout: st.Wait}} {
-		t.Run(name, func(t *testing.T) { testLeftOut(t, short) })
-	}
-}
-
-func testLeftOut(t *testing.T, short batchItem) {
-	e := st.NewEndpoint(t, st.Text(200, `[{"id":"b","state":"ok"},{"id":"a","state":"ok"}]`))
-	s := newTest(t, st.NewPlatform(t, e.Addr), nil)
-	up := make(chan struct{})
-	s.pool.connectTimeout = st.Wait
-	s.pool.dialer.Control = func(string, string, syscall.RawConn) error { <-up; return nil }
-	var items []batchItem
-	for id, it := range map[string]batchItem{"a": short, "b": {timeout: st.Wait}} {
-		it.message = &message{Message: &journal.Message{Record: journal.Record{ID: id}}, calls: map[int]*outCall{}}
-		it.Record, it.lastAttempt = it.message.Record, true
-		items = append(items, it)
-	}
-	s.startCall(context.Background(), &endpoint{addr: e.Addr, most: len(items)}, items, true)
-	alone := st.Receive(t, s.events).(callEndedEvent)
-	if end := alone.ends[0]; alone.callDone || end.message.ID != "a" || end.Outcome != dispatch.NotSent {
-		t.Errorf("first ends %s: %+v", end.message.ID, alone)
-	}
-	close(up)
-	if parts := e.Next(t).Parts(t); len(parts) != 1 || parts[0].ID != "b" {
-		t.Errorf("the endpoint got %+v", parts)
-	}
-	for _, end := range st.Receive(t, s.events).(callEndedEvent).ends {
-		if want := map[string]dispatch.Outcome{"a": dispatch.NotSent, "b": dispatch.Served}[end.message.ID]; end.Outcome != want {
-			t.Errorf("%s ended as %d, want %d", end.message.ID, end.Outcome, want)
-		}
-	}
-}
-
 // What cannot arrive in time is not begun, though its time-out is not up: the connection is not waited for any longer.
 func TestACallIsNotBegunTooLate(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	p, at := testPool(), &endpoint{addr: e.Addr}
+	p, at := testPool(), &Endpoint{address: e.Addr}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
 	begin, end := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer end()
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-begin.Done(); return nil }
-	if got := p.call(ctx, begin, at, batchItem{Record: journal.Record{ID: "late"}}, st.Wait); got.Outcome != dispatch.ConnectFailed {
+	if got := p.callSingle(ctx, begin, at, &Item{ID: "late"}, st.Wait); got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("begun too late: %+v", got)
 	}
 	if got := callOnce(p, at, st.Wait, "next"); got.Outcome != dispatch.Served {
@@ -653,42 +616,20 @@
 	}
 }
 
-// In a shared call whose bytes have not arrived when one message's time is up, they would arrive after its end: the call
-// is abandoned for all.
-func TestASharedCallThatHasNotArrivedIsAbandonedAtAnEnd(t *testing.T) {
+// A call that the guard stops is not written, and its connection serves the next one.
+func TestGuardStopsACallBeforeItIsWritten(t *testing.T) {
 	t.Parallel()
-	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
-	}}
-	l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	s := newTest(t, st.NewPlatform(t), nil)
-	var items []batchItem
-	for id, timeout := range map[string]time.Duration{"a": 50 * time.Millisecond, "b": time.Hour} {
-		it := batchItem{Record: journal.Record{ID: id, Body: make([]byte, 20<<10)}, timeout: timeout, lastAttempt: true}
-		it.message = &message{Message: &journal.Message{Record: it.Record}, calls: map[int]*outCall{}}
-		items = append(items, it)
-	}
-	s.startCall(context.Background(), &endpoint{addr: l.Addr().String(), most: len(items)}, items, true)
-	c, err := l.Accept() // it takes nothing in but what the machine does
-	if err != nil {
-		t.Fatal(err)
+	e := st.NewEndpoint(t, st.Status(200))
+	p := testPool()
+	at := &Endpoint{address: e.Addr, drainedAt: time.Now().Add(-time.Minute)}
+	if got := callOnce(p, at, time.Second, "stopped"); got.Outcome != dispatch.NotSent {
+		t.Errorf("%+v", got)
 	}
-	defer c.Close()
-	// The call's end may overtake that of the message alone, which is booked once all the same.
-	for over := false; !over; {
-		end := st.Receive(t, s.events).(callEndedEvent)
-		over = end.callDone
-		for _, it := range end.ends {
-			if it.message.ID == "b" && it.Outcome != dispatch.ConnectionBroken {
-				t.Errorf("b ended as %d", it.Outcome)
-			}
-		}
+	at.drainedAt = time.Time{}
+	if got := callOnce(p, at, time.Second, "body"); got.Outcome != dispatch.Served {
+		t.Errorf("%+v", got)
 	}
-	if _, err := io.Copy(io.Discard, c); err == nil {
-		t.Error("the connection ended in order")
+	if c := e.Next(t); c.Body != "body" || c.Conn != 1 {
+		t.Errorf("%+v", c)
 	}
 }
--- /dev/null
+++ b/internal/endpoint/pool.go
@@ -0,0 +1,150 @@
+package endpoint
+
+import (
+	"bufio"
+	"context"
+	"log/slog"
+	"net"
+	"slices"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/invariant"
+	"onyxdyke.example/onyxdyke/internal/metrics"
+	"onyxdyke.example/onyxdyke/internal/netconn"
+)
+
+// Options are what a pool needs to know.
+type Options struct {
+	ConnectTimeout time.Duration
+	// IdleTimeout is when an endpoint closes an idle connection at the latest.
+	IdleTimeout      time.Duration
+	MaxIdle          int      // idle connections in all: descriptors are few
+	LoadReportFields []string // the names that count in a load report
+	Invariants       *invariant.Checker
+	Metrics          *metrics.Registry
+	// Control is called for each socket before it connects; nil for none.
+	Control func(network, address string, c syscall.RawConn) error
+}
+
+// Pool opens, keeps and closes connections to endpoints, and makes calls on them. It is safe for concurrent use.
+type Pool struct {
+	connectTimeout time.Duration
+	keepFor        time.Duration
+	maxIdle        atomic.Int64
+	idle           atomic.Int64
+	keepsNone      atomic.Bool
+	reportFields   []string
+	dialer         net.Dialer
+	invariants     *invariant.Checker
+	metrics        *metrics.Registry
+	onRetryAfter   func(e *Endpoint, wait time.Duration)
+}
+
+// NewPool makes a pool without connections.
+func NewPool(o Options) *Pool {
+	p := &Pool{
+		connectTimeout: o.ConnectTimeout,
+		// What is written to a connection that the endpoint has closed is a reset that may have run: ours are closed a
+		// good deal before.
+		keepFor:      o.IdleTimeout * 9 / 10,
+		reportFields: o.LoadReportFields,
+		dialer:       net.Dialer{Control: o.Control},
+		invariants:   o.Invariants,
+		metrics:      o.Metrics,
+		onRetryAfter: func(*Endpoint, time.Duration) {},
+	}
+	if p.metrics == nil {
+		p.metrics = metrics.New(nil)
+	}
+	if p.invariants == nil {
+		p.invariants = invariant.NewChecker(slog.New(slog.DiscardHandler), p.metrics)
+	}
+	p.SetMaxIdle(o.MaxIdle)
+	return p
+}
+
+// OnRetryAfter makes notify hear of each Retry-After in a response whose rest is still to come. It is called before the
+// first call.
+func (p *Pool) OnRetryAfter(notify func(e *Endpoint, wait time.Duration)) { p.onRetryAfter = notify }
+
+// SetMaxIdle changes how many idle connections are kept in all.
+func (p *Pool) SetMaxIdle(connections int) { p.maxIdle.Store(int64(connections)) }
+
+// KeepIdle says whether connections are kept after their calls.
+func (p *Pool) KeepIdle(keep bool) { p.keepsNone.Store(!keep) }
+
+// IdleConnections is how many idle connections there are.
+func (p *Pool) IdleConnections() int { return int(p.idle.Load()) }
+
+// MaxIdle is how many idle connections are kept in all.
+func (p *Pool) MaxIdle() int { return int(p.maxIdle.Load()) }
+
+// get takes the idle connection used last, or opens one.
+func (p *Pool) get(ctx context.Context, e *Endpoint) (*conn, error) {
+	if c := p.takeIdle(e); c != nil {
+		return c, nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
+	defer cancel()
+	for address := e.currentAddress(); ; {
+		raw, err := p.dialer.DialContext(ctx, "tcp", address)
+		if err != nil {
+			return nil, err
+		}
+		c := &conn{Conn: raw, address: address}
+		c.reader = bufio.NewReaderSize(c, readBufferSize)
+		if address = e.currentAddress(); c.address == address {
+			return c, nil
+		}
+		c.close() // the endpoint has moved meanwhile, and whose the old address is now is not known
+	}
+}
+
+// takeIdle is an idle connection that can be used, nil if there is none. Those that cannot are closed.
+func (p *Pool) takeIdle(e *Endpoint) *conn {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for n := len(e.idle) - 1; n >= 0; n = len(e.idle) - 1 {
+		c := e.idle[n]
+		e.idle = e.idle[:n]
+		p.idle.Add(-1)
+		if c.address == e.address && time.Since(c.idleSince) < p.keepFor && netconn.IsQuiet(c.Conn) {
+			c.idleFor = time.Since(c.idleSince)
+			return c
+		}
+		c.close()
+	}
+	return nil
+}
+
+// put keeps a connection for a further call, if there is room for it.
+func (p *Pool) put(e *Endpoint, c *conn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if c.address != e.address || p.keepsNone.Load() || p.idle.Load() >= p.maxIdle.Load() {
+		c.close()
+		return
+	}
+	p.idle.Add(1)
+	c.idleSince = time.Now()
+	e.idle = append(e.idle, c)
+}
+
+// CloseIdle closes the connections to an endpoint that have been idle for a time.
+func (p *Pool) CloseIdle(e *Endpoint, idleFor time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.idle = slices.DeleteFunc(e.idle, func(c *conn) bool {
+		isOld := time.Since(c.idleSince) >= idleFor
+		if isOld {
+			p.idle.Add(-1)
+			c.close()
+		}
+		return isOld
+	})
+}
+
+// CloseExpired closes the connections to an endpoint that have been idle for as long as they are kept.
+func (p *Pool) CloseExpired(e *Endpoint) { p.CloseIdle(e, p.keepFor) }
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -6,12 +6,12 @@
 	"cmp"
 	"context"
 	"encoding/base64"
-	"math"
 	"slices"
-	"sync/atomic"
+	"syscall"
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpoint"
 	"onyxdyke.example/onyxdyke/internal/handover"
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
@@ -40,125 +40,116 @@
 	}
 }
 
-// maxShared bounds what the messages of one call take in it; a body on the wire holds 64 KiB at most.
-const maxShared = maxBody - 4<<10
+// maxBatchBytes bounds what the messages of one call take in it, encoded.
+const maxBatchBytes = endpoint.MaxBody - 4<<10
 
-// send makes the calls of a step, in their order: what goes to one endpoint travels together as far as its
-// kind allows, as the module counts it. Messages end alone while their call goes on, but it has to be over when the
-// time of its first one is: after that the platform takes no answer to it. So the one that has time for longest leads.
+// batchEntryBytes is what an entry takes in a batch beside its id, its key and its body.
+const batchEntryBytes = 64
+
+// callItem is a message's part in a call.
+type callItem struct {
+	*endpoint.Item
+	message *message
+	attempt int // the dispatcher's number of it
+}
+
+// plannedCall is a call that is about to be started.
+type plannedCall struct {
+	to    *listedEndpoint
+	items []callItem
+	bytes int
+}
+
+// startCalls makes the calls of a step, in their order: what goes to one endpoint travels together as far as its kind
+// allows, as the dispatcher counts it. Messages end alone while their call goes on, but it has to be over when the time of
+// its first one is: after that the platform accepts no answer to it. So the one that has time for longest comes first.
 func (s *Sender) startCalls(ctx context.Context, now time.Duration, sends []dispatch.Send, written bool) {
-	type shared struct {
-		e     *endpoint
-		items []batchItem
-		size  int
-	}
-	var calls []*shared
-	open := map[*endpoint]*shared{}
-	for _, a := range sends {
-		m, e := s.messages[a.Message], s.endpoint(a.Endpoint)
-		if m == nil || e == nil {
+	var calls []*plannedCall
+	open := map[*listedEndpoint]*plannedCall{}
+	for _, send := range sends {
+		m, to := s.messages[send.Message], s.endpoint(send.Endpoint)
+		if m == nil || to == nil {
 			continue
 		}
-		it := batchItem{Record: m.Record, message: m, attempt: m.sends, permit: sendPermitFor(m, m.calls, s.clock.Now()), timeout: a.Timeout, startWithin: max(1, now+a.StartWithin-s.clock.Now()), lastAttempt: now+a.Timeout >= m.Deadline}
-		m.sends++
-		s.trace("attempt", m.ID, "attempt", m.base+it.attempt, "endpoint", e.id, "timeout", a.Timeout, "written", written)
-		size := base64.StdEncoding.EncodedLen(len(m.Body)) + len(m.ID) + len(m.Key) + 64
-		c := open[e]
-		if c == nil || len(c.items) >= e.most || c.size+size > maxShared {
-			c = &shared{e: e}
-			open[e], calls = c, append(calls, c)
+		item := s.newCallItem(m, send, now)
+		s.trace("attempt", m.ID, "attempt", m.base+item.attempt, "endpoint", to.ID, "timeout", send.Timeout, "written", written)
+		size := base64.StdEncoding.EncodedLen(len(m.Body)) + len(m.ID) + len(m.Key) + batchEntryBytes
+		call := open[to]
+		if call == nil || len(call.items) >= to.maxBatchSize || call.bytes+size > maxBatchBytes {
+			call = &plannedCall{to: to}
+			open[to], calls = call, append(calls, call)
 		}
-		c.items, c.size = append(c.items, it), c.size+size
+		call.items, call.bytes = append(call.items, item), call.bytes+size
 	}
-	for _, c := range calls {
-		slices.SortStableFunc(c.items, func(x, y batchItem) int { return cmp.Compare(y.Deadline, x.Deadline) })
-		s.startCall(ctx, c.e, c.items, written)
+	for _, call := range calls {
+		slices.SortStableFunc(call.items, func(x, y callItem) int {
+			return cmp.Compare(y.message.Deadline, x.message.Deadline)
+		})
+		s.startCall(ctx, call.to, call.items, written)
 	}
 }
 
-// call starts one call. One that could not be written down is not made: after a kill nobody would know that
-// its messages may have run.
-//
-// Each message has a time-out of its own. One whose time is up then ends alone, and the call goes on for the
-// others; so does one for which no connection has come up by the time that its call must begin, and the call is then
-// written without it. Where the bytes of an ended message may not have arrived yet, cut off as the endpoint may be, the
-// call is abandoned: else they would arrive once the cut is over. Any other time-out ends the call: the message may be sent again at once, and two copies of it
-// must not be out together.
-func (s *Sender) startCall(ctx context.Context, e *endpoint, items []batchItem, written bool) {
-	way := &batchCall{figures: s.metrics}
-	timeout, latest, cut := time.Duration(0), time.Duration(0), time.Duration(math.MaxInt64)
-	for i := range items {
-		it := &items[i]
-		it.state, it.call = new(atomic.Int32), way
-		if it.startWithin <= 0 || it.startWithin > it.timeout {
-			it.startWithin = it.timeout
-		}
-		timeout, latest = max(timeout, it.timeout), max(latest, it.startWithin)
-		if !it.lastAttempt {
-			cut = min(cut, it.timeout)
-		}
+// newCallItem is a message's part in a call that the dispatcher has decided on.
+func (s *Sender) newCallItem(m *message, send dispatch.Send, now time.Duration) callItem {
+	item := callItem{message: m, attempt: m.sends, Item: &endpoint.Item{
+		ID: m.ID, Key: m.Key, Body: m.Body,
+		Permit:      sendPermitFor(m, m.calls, s.clock.Now()),
+		Timeout:     send.Timeout,
+		StartWithin: max(1, now+send.StartWithin-s.clock.Now()),
+		LastAttempt: now+send.Timeout >= m.Deadline,
+	}}
+	m.sends++
+	return item
+}
+
+// startCall starts one call. Its results come back as events.
+func (s *Sender) startCall(ctx context.Context, to *listedEndpoint, items []callItem, written bool) {
+	parts := make([]*endpoint.Item, len(items))
+	for i, item := range items {
+		parts[i] = item.Item
 	}
-	timeout = min(timeout, cut)
-	call, cancel := context.WithTimeout(ctx, timeout)
-	begin, withhold := context.WithTimeout(call, latest)
+	call := s.pool.NewCall(ctx, to.Endpoint, parts)
 	s.lastCallNumber++
-	for _, it := range items {
-		it.message.calls[it.attempt] = &outCall{number: s.lastCallNumber, endpoint: e.number, timeout: it.timeout, cancel: cancel, withhold: withhold}
+	for _, item := range items {
+		item.message.calls[item.attempt] = &outCall{number: s.lastCallNumber, endpoint: to.Number, timeout: item.Timeout,
+			cancel: call.Cancel, withhold: call.AbortUnsent}
 	}
 	s.callsInFlight++
 	s.batchedMessages += len(items) - 1
-	began := time.Now()
-	var alone []*time.Timer
-	endAlone := func(it batchItem, outcome dispatch.Outcome) {
-		end := dispatch.AttemptResult{Endpoint: e.number, Outcome: outcome, Elapsed: time.Since(began)}
-		s.post(ctx, callEndedEvent{ends: []attemptEnd{{it.message, it.attempt, end}}})
-	}
-	for i := range items {
-		it := &items[i]
-		it.startBy = began.Add(it.startWithin)
-		if it.startWithin < latest || it.timeout < timeout {
-			alone = append(alone, time.AfterFunc(it.startWithin, func() {
-				if it.exclude() {
-					endAlone(*it, dispatch.NotSent) // how the call fares is told by those who go along
-				}
-			}))
-		}
-		if it.timeout < timeout {
-			alone = append(alone, time.AfterFunc(it.timeout, func() {
-				if it.state.Load() == itemWritten {
-					way.abandon()
-					endAlone(*it, dispatch.TimedOut)
-				}
-			}))
+	call.Start(written, func(results []endpoint.Result, isDone bool) {
+		ended := callEndedEvent{callDone: isDone}
+		for _, r := range results {
+			item := items[r.Item]
+			ended.ends = append(ended.ends, attemptEnd{item.message, item.attempt, r.AttemptResult})
 		}
-	}
-	go func() {
-		defer cancel()
-		defer withhold()
-		ends := make([]dispatch.AttemptResult, len(items))
-		switch {
-		case !written:
-			for i := range ends {
-				ends[i] = dispatch.AttemptResult{Endpoint: e.number, Outcome: dispatch.NotStarted}
-			}
-		case len(items) == 1:
-			ends[0] = s.pool.call(call, begin, e, items[0], timeout)
-		default:
-			ends = s.pool.callMany(call, begin, e, items, timeout)
-		}
-		for _, t := range alone {
-			t.Stop()
-		}
-		end := callEndedEvent{callDone: true}
-		for i, it := range items {
-			if ends[i].Outcome == dispatch.TimedOut && it.timeout > timeout {
-				ends[i].Outcome = dispatch.Cancelled // by another's time-out, before its own
-			}
-			ends[i].Elapsed = time.Since(began)
-			end.ends = append(end.ends, attemptEnd{it.message, it.attempt, ends[i]})
-		}
-		s.post(ctx, end)
-	}()
+		s.post(ctx, ended)
+	})
+}
+
+// callEndedEvent is how a call ended for some of its messages.
+type callEndedEvent struct {
+	ends     []attemptEnd
+	callDone bool // the call itself has ended, too
+}
+
+// attemptEnd is how an attempt with a message ended.
+type attemptEnd struct {
+	message *message
+	attempt int
+	dispatch.AttemptResult
+}
+
+// newPool makes the pool of connections to endpoints.
+func (s *Sender) newPool(control func(network, address string, c syscall.RawConn) error) *endpoint.Pool {
+	return endpoint.NewPool(endpoint.Options{
+		ConnectTimeout:   s.config.ConnectTimeout,
+		IdleTimeout:      s.config.Settings.IdleConnectionTimeout,
+		MaxIdle:          s.config.MaxIdleConnections(),
+		LoadReportFields: s.config.Fields,
+		Invariants:       s.invariants,
+		Metrics:          s.metrics,
+		Control:          control,
+	})
 }
 
 // permitOf is what is to be known of m, whose newest attempt in the record is the one that asks.
--- a/internal/sender/endpointlist.go
+++ b/internal/sender/endpointlist.go
@@ -1,22 +1,29 @@
 package sender
 
-// The list of endpoints as the loop knows it.
-
 import (
 	"fmt"
-	"time"
 
 	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpoint"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
+// listedEndpoint is an endpoint with its entry in the list, as the event loop knows it.
+type listedEndpoint struct {
+	*endpoint.Endpoint
+	zone         int
+	maxBatchSize int  // messages in one call
+	isListed     bool // draining ones are
+	entry        endpointlist.Endpoint
+}
+
 // endpoints is the list as the loop knows it. Numbers stay with ids, also of those that are gone.
 type endpoints struct {
-	byID     map[string]*endpoint
-	byNumber []*endpoint
+	byID     map[string]*listedEndpoint
+	byNumber []*listedEndpoint
 	listed   int // lines that the list holds now
 }
 
@@ -32,17 +39,17 @@
 		switch {
 		case e == nil && line.IsDeleted():
 		case line.IsDeleted():
-			if !e.target.IsDeleted() {
+			if !e.entry.IsDeleted() {
 				changed = append(changed, endpointlist.Endpoint{ID: line.ID, State: endpointlist.StateDeleted})
 			}
-		case e == nil || !e.target.EqualExceptWeight(line):
+		case e == nil || !e.entry.EqualExceptWeight(line):
 			changed = append(changed, line)
 		}
 	}
 	if t.Full {
 		for _, e := range l.byNumber {
-			if e.listed && !told[e.id] {
-				changed = append(changed, endpointlist.Endpoint{ID: e.id, State: endpointlist.StateDeleted})
+			if e.isListed && !told[e.ID] {
+				changed = append(changed, endpointlist.Endpoint{ID: e.ID, State: endpointlist.StateDeleted})
 			}
 		}
 	}
@@ -52,17 +59,13 @@
 // clear forgets what is listed: a whole list says it anew.
 func (l *endpoints) clear() {
 	for _, e := range l.byNumber {
-		e.listed, e.target.State = false, endpointlist.StateDeleted
-		e.mu.Lock()
-		if e.drained.IsZero() {
-			e.drained = time.Now()
-		}
-		e.mu.Unlock()
+		e.isListed, e.entry.State = false, endpointlist.StateDeleted
+		e.SetServing(false)
 	}
 	l.listed = 0
 }
 
-func (l *endpoints) number(n dispatch.EndpointID) (*endpoint, error) {
+func (l *endpoints) number(n dispatch.EndpointID) (*listedEndpoint, error) {
 	if int(n) >= len(l.byNumber) {
 		return nil, fmt.Errorf("endpoint %d is not known", n)
 	}
@@ -70,52 +73,44 @@
 }
 
 // line books a line of the list and translates it for the dispatcher.
-func (l *endpoints) line(t endpointlist.Endpoint, c *config.Config, p *pool) dispatch.Endpoint {
+func (l *endpoints) line(t endpointlist.Endpoint, c *config.Config, p *endpoint.Pool) dispatch.Endpoint {
 	e := l.byID[t.ID]
 	if e == nil {
-		e = &endpoint{number: dispatch.EndpointID(len(l.byNumber)), id: t.ID}
+		e = &listedEndpoint{Endpoint: &endpoint.Endpoint{Number: dispatch.EndpointID(len(l.byNumber)), ID: t.ID}}
 		l.byID[t.ID] = e
 		l.byNumber = append(l.byNumber, e)
 	}
 	if t.Addr == "" {
-		t.Addr = e.target.Addr
+		t.Addr = e.entry.Addr
 	}
-	e.target = t
-	e.zone, e.most = config.IndexOf(c.Zones, t.Zone, 0), 1
+	e.entry = t
+	e.zone, e.maxBatchSize = config.IndexOf(c.Zones, t.Zone, 0), 1
 	kind := config.IndexOf(c.Kinds, t.Kind, 0)
 	if kind < len(c.Settings.Kinds) {
-		e.most = max(1, c.Settings.Kinds[kind].MaxBatchSize)
+		e.maxBatchSize = max(1, c.Settings.Kinds[kind].MaxBatchSize)
 	}
 	ready := t.State == endpointlist.StateServing
-	if listed := !t.IsDeleted(); listed != e.listed {
-		e.listed = listed
+	if listed := !t.IsDeleted(); listed != e.isListed {
+		e.isListed = listed
 		if listed {
 			l.listed++
 		} else {
 			l.listed--
 		}
 	}
-	e.mu.Lock()
 	if t.Addr != "" {
-		e.addr = t.Addr
+		e.SetAddress(t.Addr)
 	}
-	e.mu.Unlock()
 	if !ready {
-		p.closeIdle(e, 0)
-	}
-	e.mu.Lock()
-	switch {
-	case ready:
-		e.drained = time.Time{}
-	case e.drained.IsZero():
-		e.drained = time.Now()
+		p.CloseIdle(e.Endpoint, 0)
 	}
-	e.scope = invariant.Scope{Destination: dispatch.DestinationID(t.Cell)}
+	e.SetServing(ready)
+	scope := invariant.Scope{Destination: dispatch.DestinationID(t.Cell)}
 	if kind < len(c.Settings.Kinds) && c.Settings.Kinds[kind].PerEndpoint {
-		e.scope = invariant.Scope{Endpoint: e.number, PerEndpoint: true}
+		scope = invariant.Scope{Endpoint: e.Number, PerEndpoint: true}
 	}
-	e.mu.Unlock()
-	return dispatch.Endpoint{ID: e.number, Destination: dispatch.DestinationID(t.Cell), Kind: kind,
+	e.SetScope(scope)
+	return dispatch.Endpoint{ID: e.Number, Destination: dispatch.DestinationID(t.Cell), Kind: kind,
 		Zone: e.zone, Ready: ready, Rating: t.Weight}
 }
 
@@ -125,7 +120,7 @@
 	for _, o := range list {
 		s := journal.Outage{Destination: uint32(o.Destination), Resolved: o.Resolved, WarmingUp: o.WarmingUp, Since: o.Since, StartedAt: o.StartedAt, RateBefore: o.RateBefore}
 		if e, err := l.number(o.Endpoint); o.PerEndpoint && err == nil {
-			s.Endpoint = e.id
+			s.Endpoint = e.ID
 		}
 		stored = append(stored, s)
 	}
@@ -142,7 +137,7 @@
 			if e == nil {
 				continue
 			}
-			o.Endpoint, o.PerEndpoint = e.number, true
+			o.Endpoint, o.PerEndpoint = e.Number, true
 		}
 		known.Outages = append(known.Outages, o)
 	}
--- a/internal/sender/format_test.go
+++ b/internal/sender/format_test.go
@@ -9,6 +9,7 @@
 
 	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpoint"
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
@@ -84,7 +85,7 @@
 }
 
 func TestReasonsAreNamedAsReleased(t *testing.T) {
-	words := []string{droppedRecalled, droppedUnwritten, droppedUnread, droppedIncomplete, discovery.ReasonMoved,
+	words := []string{endpoint.DroppedAbandoned, endpoint.DroppedUnwritten, endpoint.DroppedUnread, endpoint.DroppedIncomplete, discovery.ReasonMoved,
 		discovery.ReasonHedged, discovery.ReasonRejected, discovery.ReasonSilent, discovery.ReasonStale}
 	golden(t, "admin/reasons.txt", strings.Join(words, "\n")+"\n")
 }
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -143,14 +143,14 @@
 	s.successor, s.handedOver = to, true
 	s.server.closing.Store(true)
 	s.server.shut()
-	s.pool.leaving.Store(true)
+	s.pool.KeepIdle(false)
 	for _, e := range s.list.byNumber {
-		s.pool.closeIdle(e, 0)
+		s.pool.CloseIdle(e.Endpoint, 0)
 	}
 	s.abortUnsent(func(*outCall) bool { return true }) // of what is begun from now on only the newcomer knows whether it may
 	st := &handover.Snapshot{ListVersion: s.listVersion, InFlight: s.inFlightAttempts(), BackoffUntil: map[string]time.Duration{}, Dispatcher: s.dispatcher.Snapshot()}
 	for _, e := range s.list.byNumber {
-		st.Endpoints = append(st.Endpoints, e.target)
+		st.Endpoints = append(st.Endpoints, e.entry)
 	}
 	for id, until := range s.dispatcher.BackoffUntil() {
 		if m := s.messages[id]; m != nil {
@@ -194,7 +194,7 @@
 	}
 	s.handedOver = false
 	s.dispatcher = dispatch.New(s.config.Settings, s.config.Seed)
-	s.pool.leaving.Store(false)
+	s.pool.KeepIdle(true)
 	old := s.byID
 	s.messages, s.byID, s.pending = map[dispatch.MessageID]*message{}, map[string]*message{}, 0
 	s.restoreState(ctx, st, func(f handover.InFlightAttempt) *outCall { // the calls themselves are ours as before
--- a/internal/sender/invariants_test.go
+++ b/internal/sender/invariants_test.go
@@ -11,7 +11,6 @@
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
-	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
 func testGuard() (*invariant.Checker, *metrics.Registry) {
@@ -61,24 +60,6 @@
 	}
 }
 
-// A call that the guard stops is not written, and its connection serves the next one.
-func TestGuardStopsACallBeforeItIsWritten(t *testing.T) {
-	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
-	p := testPool()
-	at := &endpoint{addr: e.Addr, drained: time.Now().Add(-time.Minute)}
-	if got := callOnce(p, at, time.Second, "stopped"); got.Outcome != dispatch.NotSent {
-		t.Errorf("%+v", got)
-	}
-	at.drained = time.Time{}
-	if got := callOnce(p, at, time.Second, "body"); got.Outcome != dispatch.Served {
-		t.Errorf("%+v", got)
-	}
-	if c := e.Next(t); c.Body != "body" || c.Conn != 1 {
-		t.Errorf("%+v", c)
-	}
-}
-
 func TestGuardCountsAConnectionClosedWithARequest(t *testing.T) {
 	t.Parallel()
 	g, f := testGuard()
--- a/internal/sender/leaving_test.go
+++ b/internal/sender/leaving_test.go
@@ -482,11 +482,11 @@
 			l := &leaver{Sender: newTest(t, p, nil), done: make(chan error, 1)}
 			l.gracePeriod, l.drainTimeout = 0, 5*time.Second
 			dialing, up := make(chan struct{}, 1), make(chan struct{})
-			l.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+			l.pool = l.newPool(func(string, string, syscall.RawConn) error {
 				dialing <- struct{}{}
 				<-up
 				return nil
-			}
+			})
 			withheld := make(chan struct{}, 1)
 			l.log = slog.New(onLine(func(line string) {
 				if strings.Contains(line, "no call is begun") || strings.Contains(line, "handing over") {
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -15,7 +15,7 @@
 	var all, now dispatch.EndpointListUpdate
 	all.Full, now.Full = true, true
 	for _, e := range s.list.byNumber {
-		line := s.list.line(e.target, s.config, s.pool)
+		line := s.list.line(e.entry, s.config, s.pool)
 		ready := line
 		ready.Ready = true
 		all.Endpoints, now.Endpoints = append(all.Endpoints, ready), append(now.Endpoints, line)
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -17,6 +17,7 @@
 	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpoint"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/handover"
 	"onyxdyke.example/onyxdyke/internal/invariant"
@@ -53,7 +54,7 @@
 	clock      *clock.Clock
 	dispatcher *dispatch.Dispatcher
 	journal    *journal.Journal
-	pool       *pool
+	pool       *endpoint.Pool
 	list       endpoints
 	discovery  *discovery.Client
 	server     *server
@@ -119,14 +120,12 @@
 
 // NewIn is New in an environment other than the operating system's. What fails for a moment is tried again until ctx ends.
 func NewIn(ctx context.Context, env Environment, c *config.Config, log *slog.Logger) (*Sender, error) {
-	s := &Sender{env: env, config: c, stateDir: c.State, log: log, clock: clock.New(env.Wall()), dispatcher: dispatch.New(c.Settings, c.Seed), forwarded: map[uint64]forwardedRequest{}, pool: newPool(c), metrics: metrics.New(c.Classes, invariant.RuleNames()...),
-		list: endpoints{byID: map[string]*endpoint{}}, events: make(chan any, eventQueue),
+	s := &Sender{env: env, config: c, stateDir: c.State, log: log, clock: clock.New(env.Wall()), dispatcher: dispatch.New(c.Settings, c.Seed), forwarded: map[uint64]forwardedRequest{}, metrics: metrics.New(c.Classes, invariant.RuleNames()...),
+		list: endpoints{byID: map[string]*listedEndpoint{}}, events: make(chan any, eventQueue),
 		watchRequests: make(chan struct{}, 1), noticeBatches: make(chan []discovery.Notice, 1), messages: map[dispatch.MessageID]*message{},
 		byID: map[string]*message{}, timer: time.NewTimer(time.Hour), journalRetry: time.NewTimer(time.Hour), gracePeriod: defaultGracePeriod, drainTimeout: defaultDrainTimeout}
-	s.pool.forwarded = s.metrics.MessagesForwarded
 	s.invariants = invariant.NewChecker(log, s.metrics)
-	s.pool.invariants, s.pool.metrics = s.invariants, s.metrics
-	s.pool.dialer.Control = env.Control
+	s.pool = s.newPool(env.Control)
 	s.discovery = discovery.New(discovery.Options{Address: c.Discovery, Senders: c.Settings.Senders,
 		Polled: c.Settings.PollsEndpointList, Metrics: s.metrics, Log: log, Control: env.Control})
 	s.server = newServer(c, s.clock, log, func(ctx context.Context, sub submission) bool { return s.post(ctx, sub) })
@@ -236,7 +235,7 @@
 			s.publishMetrics()
 			s.discovery.ReserveConnection()
 			for _, e := range s.list.byNumber {
-				s.pool.closeIdle(e, s.pool.keep)
+				s.pool.CloseExpired(e.Endpoint)
 			}
 		case <-done:
 			done = nil
@@ -293,7 +292,9 @@
 		known = st.ListVersion
 		s.discovery.SkipInitialDelay()
 	}
-	s.pool.waitTold = func(e *endpoint, wait time.Duration) { s.post(work, retryAfterEvent{e.number, time.Now().Add(wait)}) }
+	s.pool.OnRetryAfter(func(e *endpoint.Endpoint, wait time.Duration) {
+		s.post(work, retryAfterEvent{e.Number, time.Now().Add(wait)})
+	})
 	if !s.config.Settings.PollsEndpointList {
 		s.discovery.OnStaleChange(func(stale bool) { s.post(work, endpointListStaleEvent{stale}) })
 	}
@@ -551,7 +552,7 @@
 		switch a := a.(type) {
 		case dispatch.Send:
 			if m, e := s.messages[a.Message], s.endpoint(a.Endpoint); m != nil && e != nil {
-				s.journal.Append(m.Message, journal.Record{Op: "send", Attempt: len(m.Attempts), Sent: &journal.Attempt{SentAt: now, Endpoint: e.id[:min(len(e.id), journal.MaxEndpointLength)], Zone: e.zone}})
+				s.journal.Append(m.Message, journal.Record{Op: "send", Attempt: len(m.Attempts), Sent: &journal.Attempt{SentAt: now, Endpoint: e.ID[:min(len(e.ID), journal.MaxEndpointLength)], Zone: e.zone}})
 			}
 		case dispatch.Reject:
 			closed = s.endMessage(closed, a.Message, journal.OutcomeReturned, a.RetryAfter)
@@ -583,7 +584,7 @@
 			s.abortUnsent(func(c *outCall) bool { return c.endpoint == a.Endpoint })
 		case dispatch.CloseIdle:
 			if e := s.endpoint(a.Endpoint); e != nil {
-				s.pool.closeIdle(e, 0)
+				s.pool.CloseIdle(e.Endpoint, 0)
 			}
 		case dispatch.SetTimer: // each is earlier than the one set before
 			s.timer.Reset(max(0, a.At-s.clock.Now()))
@@ -628,7 +629,7 @@
 	return nil
 }
 
-func (s *Sender) endpoint(n dispatch.EndpointID) *endpoint {
+func (s *Sender) endpoint(n dispatch.EndpointID) *listedEndpoint {
 	e, err := s.list.number(n)
 	if err != nil {
 		s.log.Error("the module names an endpoint", "err", err)
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -100,7 +100,7 @@
 	if e.Outcome == dispatch.TimedOut {
 		// Where a machine vanished or was cut off, the connections from before say nothing either, and are
 		// reset when it is back: each would cost a further call its time-out. Those used since may stay.
-		s.pool.closeIdle(s.list.byNumber[e.Endpoint], e.Elapsed)
+		s.pool.CloseIdle(s.list.byNumber[e.Endpoint].Endpoint, e.Elapsed)
 	}
 	if !m.ended {
 		switch {
--- a/internal/sender/relay.go
+++ b/internal/sender/relay.go
@@ -28,7 +28,7 @@
 		s.deliveringNotices = false // the successor tells them once more, which does no harm
 	case retryAfterEvent:
 		if at := s.endpoint(e.endpoint); at != nil && s.successor != nil {
-			s.successor.Send(handover.Packet{RetryAfter: &handover.RetryAfterReport{Endpoint: at.id,
+			s.successor.Send(handover.Packet{RetryAfter: &handover.RetryAfterReport{Endpoint: at.ID,
 				RetryAfter: max(0, time.Until(e.until))}})
 		}
 	case reloadEvent:
@@ -184,7 +184,7 @@
 		}
 	case e.RetryAfter != nil:
 		if at := s.list.byID[e.RetryAfter.Endpoint]; at != nil {
-			return []dispatch.Event{dispatch.RetryAfterReceived{Endpoint: at.number, RetryAfter: e.RetryAfter.RetryAfter}}
+			return []dispatch.Event{dispatch.RetryAfterReceived{Endpoint: at.Number, RetryAfter: e.RetryAfter.RetryAfter}}
 		}
 	case e.AttemptEnded != nil:
 		if m := s.byID[e.AttemptEnded.Attempt.Message]; m != nil {
--- a/internal/sender/reload.go
+++ b/internal/sender/reload.go
@@ -33,7 +33,7 @@
 // applyConfig goes on by a new configuration. Messages held keep the rules that they were taken under.
 func (s *Sender) applyConfig(c *config.Config) []dispatch.Event {
 	s.config = c
-	s.pool.most.Store(int64(c.MaxIdleConnections()))
+	s.pool.SetMaxIdle(c.MaxIdleConnections())
 	s.metrics.RegisterClasses(c.Classes)
 	s.metrics.ConfigReloaded(true)
 	s.log.Info("reloaded", "discovery", c.Discovery, "classes", strings.Join(c.Classes, ","), "attempts", c.Settings.MaxAttempts)
--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -143,7 +143,7 @@
 			fits := func(c *config.Config) {
 				t.Helper()
 				clients, callers := newServer(c, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil).most, c.Limits.MaxAdminConnections()
-				idle := int(newPool(c).most.Load())
+				idle := c.MaxIdleConnections()
 				if sum := clients + callers + idle + c.Settings.MaxConcurrentCalls + config.ReservedDescriptors; sum > sockets || c.Settings.MaxConcurrentCalls < 3 || clients < sockets/3 {
 					t.Errorf("of %d: %d clients, %d operators, %d calls, %d idle", sockets, clients, callers, c.Settings.MaxConcurrentCalls, idle)
 				}
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -25,6 +25,7 @@
 	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpoint"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
@@ -573,22 +574,25 @@
 	t.Parallel()
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		items []batchItem
+		items []*endpoint.Item
 		want  [][]dispatch.Outcome // of the events in turn, by message
 		over  []bool
 	}{
-		"time up": {[]batchItem{{timeout: 50 * ms, lastAttempt: true}, {timeout: 150 * ms, lastAttempt: true}},
+		"time up": {[]*endpoint.Item{{Timeout: 50 * ms, LastAttempt: true}, {Timeout: 150 * ms, LastAttempt: true}},
 			[][]dispatch.Outcome{{dispatch.TimedOut}, {dispatch.TimedOut, dispatch.TimedOut}}, []bool{false, true}},
-		"restart": {[]batchItem{{timeout: 50 * ms}, {timeout: time.Hour, lastAttempt: true}},
+		"restart": {[]*endpoint.Item{{Timeout: 50 * ms}, {Timeout: time.Hour, LastAttempt: true}},
 			[][]dispatch.Outcome{{dispatch.TimedOut, dispatch.Cancelled}}, []bool{true}},
 	} {
 		e := st.NewEndpoint(t, st.Silent)
 		s := newTest(t, st.NewPlatform(t), nil)
-		for i := range c.items {
-			c.items[i].ID = "m" + strconv.Itoa(i)
-			c.items[i].message = &message{Message: &journal.Message{}, ended: true, calls: map[int]*outCall{}}
-		}
-		s.startCall(context.Background(), &endpoint{addr: e.Addr}, c.items, true)
+		var items []callItem
+		for i, item := range c.items {
+			item.ID = "m" + strconv.Itoa(i)
+			m := testMessage("")
+			m.ended = true
+			items = append(items, callItem{Item: item, message: m})
+		}
+		s.startCall(context.Background(), testEndpoint(e.Addr), items, true)
 		for i, want := range c.want {
 			end := st.Receive(t, s.events).(callEndedEvent)
 			var got []dispatch.Outcome
@@ -732,7 +736,7 @@
 	})
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, nil)
-	at := &endpoint{addr: e.Addr}
+	at := testEndpoint(e.Addr)
 	s.list.byNumber = append(s.list.byNumber, at)
 	served := make(chan struct{}, 2)
 	for range 2 {
@@ -743,7 +747,7 @@
 	close(answer)
 	st.Receive(t, served)
 	st.Receive(t, served)
-	if n := s.pool.idle.Load(); n != 2 {
+	if n := s.pool.IdleConnections(); n != 2 {
 		t.Fatalf("%d idle connections", n)
 	}
 	cut.Store(true)
@@ -752,7 +756,7 @@
 	end.Elapsed = time.Since(began)
 	m := &message{Message: &journal.Message{}, ended: true, calls: map[int]*outCall{0: {cancel: func() {}}}}
 	s.handleCallEnd(callEndedEvent{[]attemptEnd{{m, 0, end}}, true})
-	if n := s.pool.idle.Load(); n != 0 {
+	if n := s.pool.IdleConnections(); n != 0 {
 		t.Errorf("%d idle connections after a time-out", n)
 	}
 	if got := callOnce(s.pool, at, st.Wait, ""); !got.Final {
@@ -796,13 +800,13 @@
 	})
 	var dials atomic.Int32
 	again, up := make(chan struct{}), make(chan struct{})
-	s.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+	s.pool = s.newPool(func(string, string, syscall.RawConn) error {
 		if dials.Add(1) == 2 {
 			close(again)
 			<-up
 		}
 		return nil
-	}
+	})
 	addr, listen := platformSocket(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -843,11 +847,11 @@
 			p := st.NewPlatform(t, e.Addr, e.Addr)
 			s := newTest(t, p, nil)
 			dialing, up := make(chan struct{}, 1), make(chan struct{})
-			s.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+			s.pool = s.newPool(func(string, string, syscall.RawConn) error {
 				dialing <- struct{}{}
 				<-up
 				return nil
-			}
+			})
 			ctx, list := context.Background(), s.config.Known
 			list.Endpoints[1].Cell = 0
 			s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(list, true)})
