--- /dev/null
+++ b/internal/config/load.go
@@ -0,0 +1,97 @@
+package config
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"strconv"
+
+	"onyxdyke.example/onyxdyke/internal/retry"
+)
+
+// The variables of the environment. All but envFile win over what the file says at the start.
+const (
+	envFile         = "EDGE_CONFIG"
+	envName         = "EDGE_NAME"
+	envListen       = "EDGE_LISTEN"
+	envDiscovery    = "EDGE_DISCOVERY"
+	envState        = "EDGE_STATE"
+	envPassedSocket = "EDGE_PASSED_SOCKET"
+	envAdminAddress = "EDGE_ADMIN_ADDR"
+)
+
+// firstPassedDescriptor follows the standard streams.
+const firstPassedDescriptor = 3
+
+// ReadFile reads a complete file, as os.ReadFile does.
+type ReadFile func(path string) ([]byte, error)
+
+// Load reads the file that EDGE_CONFIG names, and the other variables. Transient errors are retried until ctx ends.
+func Load(ctx context.Context, log *slog.Logger, readFile ReadFile, getenv func(string) string) (*Config, error) {
+	var raw []byte
+	err := retry.OnTransient(ctx, log, "the configuration", func() (err error) {
+		raw, err = readFile(getenv(envFile))
+		return err
+	})
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	c, err := Parse(raw)
+	if err == nil {
+		err = c.applyEnvironment(getenv)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	return c, nil
+}
+
+// applyEnvironment takes over what the variables say.
+func (c *Config) applyEnvironment(getenv func(string) string) error {
+	for name, field := range map[string]*string{
+		envName:      &c.Name,
+		envListen:    &c.Listen,
+		envDiscovery: &c.Discovery,
+		envState:     &c.State,
+	} {
+		if value := getenv(name); value != "" {
+			*field = value
+		}
+		if *field == "" {
+			return fmt.Errorf("%s is not set", name)
+		}
+	}
+	if value := getenv(envPassedSocket); value != "" {
+		descriptor, err := strconv.Atoi(value)
+		if err != nil || descriptor < firstPassedDescriptor {
+			return fmt.Errorf("%s %q is not a descriptor", envPassedSocket, value)
+		}
+		c.Passed = descriptor
+	}
+	if value := getenv(envAdminAddress); value != "" {
+		c.Admin = value
+	}
+	if c.Admin != "" {
+		if _, _, err := net.SplitHostPort(c.Admin); err != nil {
+			return fmt.Errorf("admin_addr: %w", err)
+		}
+	}
+	return nil
+}
+
+// Listener returns a function that makes the clients' listener, as often as it is called: of the inherited socket,
+// which stays open in the platform's hands whatever is closed here, or else of an own one.
+func (c *Config) Listener() (func() (net.Listener, error), error) {
+	if c.Passed == 0 {
+		return func() (net.Listener, error) { return net.Listen("tcp", c.Listen) }, nil
+	}
+	f := os.NewFile(uintptr(c.Passed), "clients")
+	probe, err := net.FileListener(f)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %s: %w", envPassedSocket, err)
+	}
+	_ = probe.Close() // it only shows that the descriptor is a listener; the socket itself stays open
+	return func() (net.Listener, error) { return net.FileListener(f) }, nil
+}
--- a/internal/endpoint/batch.go
+++ b/internal/endpoint/batch.go
@@ -59,9 +59,10 @@
 func (b *batch) abandon() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.conn != nil && !(b.isWritten && b.conn.isAcknowledged()) {
-		b.conn.drop(b.metrics, DroppedAbandoned)
+	if b.conn == nil || b.isWritten && b.conn.isAcknowledged() {
+		return
 	}
+	b.conn.drop(b.metrics, DroppedAbandoned)
 }
 
 // batchResults are the results of a batch's items, by place.
@@ -108,7 +109,9 @@
 		if x.conn == nil {
 			results.unsent.Outcome = x.outcome
 		}
-		return results.all(dispatch.AttemptResult{Endpoint: e.Number, Outcome: x.outcome, ConnectionIdle: x.connectionIdle()})
+		return results.all(
+			dispatch.AttemptResult{Endpoint: e.Number, Outcome: x.outcome, ConnectionIdle: x.connectionIdle()},
+		)
 	}
 	result, retryAt := p.interpretHead(e, x.conn, x.response)
 	result.ConnectionIdle = x.connectionIdle()
@@ -131,7 +134,8 @@
 	return results.all(result)
 }
 
-// batchBody is the body of a request for all items that have not ended meanwhile, and what has to hold when it is written.
+// batchBody is the body of a request for all items that have not ended meanwhile, and what has to hold when it is
+// written.
 func batchBody(items []*Item) (req request, body []byte, err error) {
 	var entries []batchEntry
 	for _, item := range items {
--- a/internal/endpoint/call.go
+++ b/internal/endpoint/call.go
@@ -25,8 +25,8 @@
 	state   atomic.Int32
 }
 
-// Whether an item is part of what its call writes or ends before that is settled by who comes first: the bytes may have to
-// wait for a connection, and the item's time be up meanwhile.
+// Whether an item is part of what its call writes or ends before that is settled by who comes first: the bytes may
+// have to wait for a connection, and the item's time be up meanwhile.
 const (
 	itemUndecided int32 = iota
 	itemWritten
@@ -47,11 +47,11 @@
 
 // Call is one call to an endpoint, with one message or several.
 //
-// Each message has a timeout of its own. One whose time is up ends alone, and the call goes on for the others; so does one
-// for which no connection has come up by the time that its call must start, and the call is then written without it.
-// Where the bytes of an ended message may not have arrived yet, as the endpoint may be cut off, the call is abandoned: else
-// they would arrive once the cut is over. A timeout after which the message may be sent again at once ends the whole call,
-// as two copies of it must not be in flight together.
+// Each message has a timeout of its own. One whose time is up ends alone, and the call goes on for the others; so
+// does one for which no connection has come up by the time that its call must start, and the call is then written
+// without it. Where the bytes of an ended message may not have arrived yet, as the endpoint may be cut off, the call
+// is abandoned: else they would arrive once the cut is over. A timeout after which the message may be sent again at
+// once ends the whole call, as two copies of it must not be in flight together.
 type Call struct {
 	pool     *Pool
 	to       *Endpoint
--- a/internal/endpoint/conn.go
+++ b/internal/endpoint/conn.go
@@ -22,8 +22,8 @@
 	maxResponse = MaxBody + 64<<10
 	// deliveredPrefix is how a response begins from which on the message is delivered, whatever becomes of the rest.
 	deliveredPrefix = "HTTP/1.1 200"
-	// responseTailTimeout bounds the rest of a response whose first line has told all that there is to know. The rest is
-	// of use only to the connection, and meanwhile the message's end is not recorded and its slot not free.
+	// responseTailTimeout bounds the rest of a response whose first line has told all that there is to know. The rest
+	// is of use only to the connection, and meanwhile the message's end is not recorded and its slot not free.
 	responseTailTimeout = 500 * time.Millisecond
 	readBufferSize      = 1024
 )
--- a/internal/endpoint/endpoint_test.go
+++ b/internal/endpoint/endpoint_test.go
@@ -40,9 +40,21 @@
 		answer func(st.Call, net.Conn) bool
 		want   dispatch.AttemptResult
 	}{
-		"delivered":   {st.Status(200, "X-Load: x0=0.4,x1=25,other=7"), dispatch.AttemptResult{Outcome: dispatch.Served, Final: true, HasLoadReport: true, QuotaLeft: 0.4, RateLimit: 25}},
-		"error":       {st.Status(500), dispatch.AttemptResult{Outcome: dispatch.Errored}},
-		"wait":        {st.Status(429, "X-RateLimit-Wait-Ms: 250"), dispatch.AttemptResult{Outcome: dispatch.Rejected, RetryAfter: 250 * time.Millisecond}},
+		"delivered": {
+			st.Status(200, "X-Load: x0=0.4,x1=25,other=7"),
+			dispatch.AttemptResult{
+				Outcome:       dispatch.Served,
+				Final:         true,
+				HasLoadReport: true,
+				QuotaLeft:     0.4,
+				RateLimit:     25,
+			},
+		},
+		"error": {st.Status(500), dispatch.AttemptResult{Outcome: dispatch.Errored}},
+		"wait": {
+			st.Status(429, "X-RateLimit-Wait-Ms: 250"),
+			dispatch.AttemptResult{Outcome: dispatch.Rejected, RetryAfter: 250 * time.Millisecond},
+		},
 		"table full":  {st.Status(503, "Connection: close"), dispatch.AttemptResult{Outcome: dispatch.ConnectFailed}},
 		"turned away": {st.Status(503), dispatch.AttemptResult{Outcome: dispatch.Rejected}},
 		"over slots":  {st.Status(503, "X-Over-Slots: 1"), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
@@ -103,7 +115,8 @@
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 			call := e.Next(t)
-			if call.ID != "id" || call.Key != "key" || call.Body != "body" || toldTime(call) > st.Wait || toldTime(call) < st.Wait/2 ||
+			if call.ID != "id" || call.Key != "key" || call.Body != "body" || toldTime(call) > st.Wait ||
+				toldTime(call) < st.Wait/2 ||
 				call.Header.Get("Accept-Encoding") != "" {
 				t.Errorf("the endpoint got %+v", call)
 			}
@@ -218,12 +231,18 @@
 			"X-RateLimit-Wait-Ms: 250"), wait(each(dispatch.Served, dispatch.Rejected, dispatch.Rejected))},
 		"spent": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"exhausted"},{"id":"c","state":"ok"}]`),
 			each(dispatch.Served, dispatch.NotSent, dispatch.Served)},
-		"one left out": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"c","state":"ok"}]`), each(dispatch.Served, dispatch.Errored, dispatch.Served)},
+		"one left out": {
+			st.Text(200, `[{"id":"a","state":"ok"},{"id":"c","state":"ok"}]`),
+			each(dispatch.Served, dispatch.Errored, dispatch.Served),
+		},
 		"told twice": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"},{"id":"b","state":"later"},{"id":"c","state":"ok"}]`),
 			each(dispatch.Errored, dispatch.Rejected, dispatch.Served)},
-		"unknown state": {st.Text(200, `[{"id":"a","state":"fine"}]`), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
-		"no JSON":       {st.Text(200, `<html>`), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
-		"cut JSON":      {cut, each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"unknown state": {
+			st.Text(200, `[{"id":"a","state":"fine"}]`),
+			each(dispatch.Errored, dispatch.Errored, dispatch.Errored),
+		},
+		"no JSON":  {st.Text(200, `<html>`), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"cut JSON": {cut, each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
 		"cut body": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}]")
 			return false
@@ -232,12 +251,18 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 			return false
 		}, each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
-		"told to wait": {st.Status(429, "X-RateLimit-Wait-Ms: 250"), wait(each(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected))},
-		"turned away":  {st.Status(503), each(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)},
-		"over slots":   {st.Status(503, "X-Over-Slots: 1"), each(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
-		"too many":     {st.Status(413), each(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
-		"all failed":   {st.Status(500), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
-		"reset":        {st.Reset, each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
+		"told to wait": {
+			st.Status(429, "X-RateLimit-Wait-Ms: 250"),
+			wait(each(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)),
+		},
+		"turned away": {st.Status(503), each(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)},
+		"over slots":  {st.Status(503, "X-Over-Slots: 1"), each(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
+		"too many":    {st.Status(413), each(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
+		"all failed":  {st.Status(500), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"reset": {
+			st.Reset,
+			each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken),
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := st.NewEndpoint(t, c.answer)
@@ -249,7 +274,8 @@
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 			parts := e.Next(t).Parts(t)
-			if len(parts) != 3 || parts[0].ID != "a" || parts[0].Key != "k" || string(parts[0].Body) != "\x00\xff\"" || parts[2].ID != "c" {
+			if len(parts) != 3 || parts[0].ID != "a" || parts[0].Key != "k" || string(parts[0].Body) != "\x00\xff\"" ||
+				parts[2].ID != "c" {
 				t.Errorf("the endpoint got %+v", parts)
 			}
 		})
@@ -273,9 +299,17 @@
 		shared bool
 		want   dispatch.AttemptResult
 	}{
-		"served":       {late(st.Status(200)), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
-		"cut":          {late(func(_ st.Call, nc net.Conn) bool { io.WriteString(nc, "HTTP/1.1 200 OK\r\n"); return false }), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
-		"told to wait": {late(st.Status(429, "X-RateLimit-Wait-Ms: 250")), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut, RetryAfter: 250 * time.Millisecond}},
+		"served": {late(st.Status(200)), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
+		"cut": {
+			late(func(_ st.Call, nc net.Conn) bool { io.WriteString(nc, "HTTP/1.1 200 OK\r\n"); return false }),
+			false,
+			dispatch.AttemptResult{Outcome: dispatch.TimedOut},
+		},
+		"told to wait": {
+			late(st.Status(429, "X-RateLimit-Wait-Ms: 250")),
+			false,
+			dispatch.AttemptResult{Outcome: dispatch.TimedOut, RetryAfter: 250 * time.Millisecond},
+		},
 		"first line in time": {func(_ st.Call, nc net.Conn) bool {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\n")
 			<-time.After(told + 50*time.Millisecond)
@@ -369,7 +403,12 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if got := callOnce(testPool(), &Endpoint{address: l.Addr().String()}, st.Wait, ""); got.Outcome != dispatch.ConnectFailed {
+	if got := callOnce(
+		testPool(),
+		&Endpoint{address: l.Addr().String()},
+		st.Wait,
+		"",
+	); got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -463,8 +502,8 @@
 	}
 }
 
-// A call whose answer begins with 200 has ended, and its slot is free, soon after: whether the rest of that answer ever comes is of
-// no interest. A shared call's answer counts as a whole and is waited for.
+// A call whose answer begins with 200 has ended, and its slot is free, soon after: whether the rest of that answer
+// ever comes is of no interest. A shared call's answer counts as a whole and is waited for.
 func TestTheRestOfADeliveryIsNotWaitedForLong(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{
@@ -491,7 +530,13 @@
 			ctx, cancel := context.WithTimeout(context.Background(), responseTailTimeout+300*time.Millisecond)
 			defer cancel()
 			items := []*Item{{ID: "a"}}
-			if ends := callBatch(ctx, &Endpoint{address: e.Addr}, items, time.Second); ends[0].Outcome == dispatch.Served || ctx.Err() == nil {
+			if ends := callBatch(
+				ctx,
+				&Endpoint{address: e.Addr},
+				items,
+				time.Second,
+			); ends[0].Outcome == dispatch.Served ||
+				ctx.Err() == nil {
 				t.Errorf("of a shared call: %+v, %v", ends, ctx.Err())
 			}
 		})
@@ -549,8 +594,8 @@
 	}
 }
 
-// An endpoint that moves while a call waits for its connection gets the call at the new address: whose the old one is now
-// is not known.
+// An endpoint that moves while a call waits for its connection gets the call at the new address: whose the old one is
+// now is not known.
 func TestAnAddressThatMovesWhileACallWaits(t *testing.T) {
 	t.Parallel()
 	old, now := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
--- a/internal/endpoint/exchange.go
+++ b/internal/endpoint/exchange.go
@@ -59,8 +59,8 @@
 	return text.Bytes(), err
 }
 
-// remaining is how long an endpoint is told that its response is waited for, in whole milliseconds: what is left when the
-// call is written, as the connection may have taken its time.
+// remaining is how long an endpoint is told that its response is waited for, in whole milliseconds: what is left when
+// the call is written, as the connection may have taken its time.
 func remaining(until time.Time) time.Duration {
 	return max(time.Millisecond, time.Until(until).Truncate(time.Millisecond))
 }
@@ -74,7 +74,11 @@
 
 // exchange writes one request, rendered once there is a connection, and reads the head of the response. Without a
 // readable response it closes the connection. ctx ends the call, start only until its last byte is written.
-func (p *Pool) exchange(ctx, start context.Context, e *Endpoint, render func(address string) (request, error)) exchange {
+func (p *Pool) exchange(
+	ctx, start context.Context,
+	e *Endpoint,
+	render func(address string) (request, error),
+) exchange {
 	// Nothing has been written yet: however it fails up to the last byte, the call never ran.
 	c, err := p.get(start, e)
 	if err != nil {
--- a/internal/endpoint/response.go
+++ b/internal/endpoint/response.go
@@ -20,9 +20,13 @@
 	maxRetryAfterMsec = 1e9 // more than any sender waits
 )
 
-// interpretHead is what a response's head says. Where it holds a Retry-After and its rest is still to come, that is passed
-// on at once, and its end returned as retryAt; else that is the zero time.
-func (p *Pool) interpretHead(e *Endpoint, c *conn, response *http.Response) (result dispatch.AttemptResult, retryAt time.Time) {
+// interpretHead is what a response's head says. Where it holds a Retry-After and its rest is still to come, that is
+// passed on at once, and its end returned as retryAt; else that is the zero time.
+func (p *Pool) interpretHead(
+	e *Endpoint,
+	c *conn,
+	response *http.Response,
+) (result dispatch.AttemptResult, retryAt time.Time) {
 	result.Endpoint = e.Number
 	result.Outcome, result.Final = outcomeOf(c, response)
 	wait, ok := retryAfterOf(response)
--- a/internal/endpoint/single.go
+++ b/internal/endpoint/single.go
@@ -10,11 +10,16 @@
 
 const singlePath = "/hook"
 
-// callSingle makes one attempt with one message and says how it ended. It never makes a second one: an endpoint counts
-// each call whose last byte has arrived. ctx ends it early, its deadline being the timeout; start does until the last byte
-// is written. A response that begins after the time told in the call is late, however soon the timeout is noticed: the
-// endpoint's side has given the call up, and does not count the message as delivered.
-func (p *Pool) callSingle(ctx, start context.Context, e *Endpoint, item *Item, timeout time.Duration) dispatch.AttemptResult {
+// callSingle makes one attempt with one message and says how it ended. It never makes a second one: an endpoint
+// counts each call whose last byte has arrived. ctx ends it early, its deadline being the timeout; start does until
+// the last byte is written. A response that begins after the time told in the call is late, however soon the timeout
+// is noticed: the endpoint's side has given the call up, and does not count the message as delivered.
+func (p *Pool) callSingle(
+	ctx, start context.Context,
+	e *Endpoint,
+	item *Item,
+	timeout time.Duration,
+) dispatch.AttemptResult {
 	until := time.Now().Add(timeout)
 	x := p.exchange(ctx, start, e, func(address string) (request, error) {
 		left := remaining(until)
@@ -33,8 +38,8 @@
 	}
 	result, retryAt := p.interpretHead(e, x.conn, x.response)
 	result.ConnectionIdle = x.connectionIdle()
-	// A status line of 200 is true whatever follows, if it comes in time. Any other response counts only if it is complete:
-	// that a call never ran is not to be concluded from half a response.
+	// A status line of 200 is true whatever follows, if it comes in time. Any other response counts only if it is
+	// complete: that a call never ran is not to be concluded from half a response.
 	_, isComplete := p.readBody(e, x.conn, x.response)
 	if !retryAt.IsZero() {
 		result.RetryAfter = max(0, time.Until(retryAt))
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,3 +1,9 @@
+// Package invariant checks, at run time, the promises that the sender makes to its clients and endpoints.
+//
+// The checks stand at the points where a promise can be broken: before a call is written, before a message is sent
+// again, when a client's connection is closed, when a message is promised to have had no effect, and when the process
+// starts to own the journal. The decisions are made elsewhere and should never conflict with them, so each violation
+// is a defect: it is counted in the operators' figures and logged.
 package invariant
 
 import (
@@ -10,36 +16,54 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// Rule names a promise that the guard checks at run time. Its violations are counted as violations.RULE in the
-// operators' figures.
+// Rule names an invariant. Its violations are counted as violations.RULE in the operators' figures.
 type Rule string
 
-// The rules that the guard checks.
+// The invariants.
 const (
-	RuleDrain      Rule = "drain"      // no call to an endpoint later than the drain grace after it was told to drain
-	RuleRetryAfter Rule = "wait"       // no call to a destination before a wait that it told is over
-	RuleRepeat     Rule = "repeat"     // no repeat that the message's class, or the window of its key, forbids
-	RuleConcurrent Rule = "concurrent" // no two attempts of one message out at a time
-	RuleAnswer     Rule = "answer"     // no connection closed with a request that was read whole and not answered
-	RulePromise    Rule = "promise"    // no promise of no effect whose record is not in the journal
-	RuleOwnership  Rule = "ownership"  // no start without the lock on the state folder
+	// RuleDrain: no call to an endpoint later than the grace after the sender was notified that it drains.
+	RuleDrain Rule = "drain"
+	// RuleRetryAfter: no call to a destination before the Retry-After that it sent is over.
+	RuleRetryAfter Rule = "wait"
+	// RuleRepeat: no repeat that the message's class, or the window of its idempotency key, forbids.
+	RuleRepeat Rule = "repeat"
+	// RuleConcurrent: no two attempts of one message in flight at a time.
+	RuleConcurrent Rule = "concurrent"
+	// RuleAnswer: no connection closed with a request that was read completely and not answered.
+	RuleAnswer Rule = "answer"
+	// RulePromise: no promise of no effect whose record is not in the journal.
+	RulePromise Rule = "promise"
+	// RuleOwnership: no start without the lock on the state directory.
+	RuleOwnership Rule = "ownership"
 )
 
-var allRules = []Rule{RuleDrain, RuleRetryAfter, RuleRepeat, RuleConcurrent, RuleAnswer, RulePromise, RuleOwnership}
+// RuleNames are the names of all rules.
+func RuleNames() []string {
+	return []string{
+		string(RuleDrain),
+		string(RuleRetryAfter),
+		string(RuleRepeat),
+		string(RuleConcurrent),
+		string(RuleAnswer),
+		string(RulePromise),
+		string(RuleOwnership),
+	}
+}
 
 const (
-	// drainGrace is how long calls may go on to an endpoint that has been told to drain (protocol: 500 ms and 50 ms of slack).
+	// drainGrace is how long calls may go to an endpoint that the sender was notified to drain (protocol: 500 ms and
+	// 50 ms of slack).
 	drainGrace = 500 * time.Millisecond
-	// drainKnown is how long calls may still be written once it is known that an endpoint drains. That is known up to 0.25 s
-	// after the agent has it (listwatch.go), and a sender may be held up for 0.15 s before it writes.
-	drainKnown = 100 * time.Millisecond
-	// waitGrace is how long after a told wait calls still pass: the protocol lets those through that arrive within 100 ms.
-	waitGrace = 50 * time.Millisecond
+	// drainWriteGrace is how long calls may still be written once it is known that an endpoint drains. That is known
+	// up to 0.25 s after the agent has it (see package discovery), and a sender may be paused for 0.15 s before it
+	// writes.
+	drainWriteGrace = 100 * time.Millisecond
+	// retryAfterGrace is how long after a Retry-After came calls still pass: the protocol accepts those that arrive
+	// within 100 ms.
+	retryAfterGrace = 50 * time.Millisecond
 )
 
-// guard stands at the four points where a promise can be broken: before a call is written, before a message is sent
-// again, when a client's connection is closed, and when the process starts to own the journal. The decisions are made
-// elsewhere and should never come into conflict with it, so what it refuses it also counts. It is safe for concurrent use.
+// Checker checks the invariants. It is safe for concurrent use.
 type Checker struct {
 	log     *slog.Logger
 	metrics *metrics.Registry
@@ -48,21 +72,22 @@
 	waits map[Scope]waitSpan
 }
 
-// waitScope is what a told wait binds: a destination, or one endpoint where routes are apart.
+// Scope is what a Retry-After binds: a destination, or one endpoint where each has limits of its own.
 type Scope struct {
 	Destination dispatch.DestinationID
-	Endpoint    dispatch.EndpointID // only where apart
+	Endpoint    dispatch.EndpointID // only with PerEndpoint
 	PerEndpoint bool
 }
 
-// waitSpan is a told wait.
+// waitSpan is the time of a Retry-After.
 type waitSpan struct{ from, until time.Time }
 
-func NewChecker(log *slog.Logger, f *metrics.Registry) *Checker {
-	return &Checker{log: log, metrics: f, waits: map[Scope]waitSpan{}}
+// NewChecker makes a checker that counts violations in a registry.
+func NewChecker(log *slog.Logger, registry *metrics.Registry) *Checker {
+	return &Checker{log: log, metrics: registry, waits: map[Scope]waitSpan{}}
 }
 
-// violationError is a call that the guard did not let pass.
+// ViolationError says why a call may not be written or a promise not be made.
 type ViolationError struct {
 	Rule   Rule
 	Detail string
@@ -71,59 +96,46 @@
 func (e *ViolationError) Error() string { return fmt.Sprintf("rule %s: %s", e.Rule, e.Detail) }
 
 // violated counts and logs a violation and returns it as an error.
-func (g *Checker) violated(rule Rule, id, detail string) error {
-	g.metrics.CountReason(metrics.ReasonViolation, string(rule))
-	g.log.Error("rule violated", "rule", rule, "id", id, "detail", detail)
-	return &ViolationError{rule, detail}
+func (c *Checker) violated(rule Rule, id, detail string) error {
+	c.metrics.CountReason(metrics.ReasonViolation, string(rule))
+	c.log.Error("rule violated", "rule", rule, "id", id, "detail", detail)
+	return &ViolationError{Rule: rule, Detail: detail}
 }
 
-// waitTold books a wait that an endpoint has told, from the moment that its answer's head was read.
-func (g *Checker) RetryAfterReceived(scope Scope, wait time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// RetryAfterReceived notes a Retry-After, from the moment that the head of its response was read.
+func (c *Checker) RetryAfterReceived(scope Scope, wait time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	span := g.waits[scope]
+	span := c.waits[scope]
 	if now.After(span.until) {
 		span.from = now
 	}
 	if until := now.Add(wait); until.After(span.until) {
 		span.until = until
 	}
-	g.waits[scope] = span
+	c.waits[scope] = span
 }
 
-// waits reports whether a told wait keeps calls from scope at the time.
-func (g *Checker) mustWait(scope Scope, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	span, told := g.waits[scope]
-	if told && now.After(span.until) {
-		delete(g.waits, scope)
+// mustWait reports whether a Retry-After forbids calls to scope at a time.
+func (c *Checker) mustWait(scope Scope, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	span, ok := c.waits[scope]
+	if ok && now.After(span.until) {
+		delete(c.waits, scope)
 		return false
 	}
-	return told && now.After(span.from.Add(waitGrace))
+	return ok && now.After(span.from.Add(retryAfterGrace))
 }
 
-// permit is what the guard has to know of a message in a call.
+// SendPermit is what has to be known of a message before it is written to an endpoint.
 type SendPermit struct {
 	MessageID       string
 	MayHaveRun      bool      // an earlier attempt may have run
 	NonRepeatable   bool      // then it may not be sent again
 	RepeatableUntil time.Time // or only until then; the zero time for no bound
-	InFlight        int       // attempts of it that are out
-}
-
-// checkRepeat tells why a message may not be sent, nil if it may.
-func (g *Checker) checkRepeat(p SendPermit, now time.Time) error {
-	switch {
-	case p.InFlight > 0:
-		return g.violated(RuleConcurrent, p.MessageID, "another attempt is out")
-	case p.MayHaveRun && p.NonRepeatable:
-		return g.violated(RuleRepeat, p.MessageID, "it may have run, and its class allows no repeat")
-	case p.MayHaveRun && !p.RepeatableUntil.IsZero() && !now.Before(p.RepeatableUntil):
-		return g.violated(RuleRepeat, p.MessageID, "its key may be forgotten already")
-	}
-	return nil
+	InFlight        int       // other attempts with it
 }
 
 // Target is the endpoint that a call goes to.
@@ -133,55 +145,59 @@
 	Scope     Scope
 }
 
-// checkSend tells why a call to e may not be written now, nil if it may.
-func (g *Checker) CheckSend(to Target, permits []SendPermit) error {
+// CheckSend returns why a call may not be written now, as a *ViolationError, or nil.
+func (c *Checker) CheckSend(to Target, permits []SendPermit) error {
 	now := time.Now()
-	if known := now.Sub(to.DrainedAt); !to.DrainedAt.IsZero() && known > drainKnown {
-		if known > drainGrace {
-			return g.violated(RuleDrain, to.ID, "it drains or is gone")
+	if drainedFor := now.Sub(to.DrainedAt); !to.DrainedAt.IsZero() && drainedFor > drainWriteGrace {
+		const detail = "it drains or is gone"
+		if drainedFor > drainGrace {
+			return c.violated(RuleDrain, to.ID, detail)
 		}
-		return &ViolationError{RuleDrain, "it drains or is gone"} // nothing has gone wrong: the call was under way
+		return &ViolationError{Rule: RuleDrain, Detail: detail} // no defect: the call was under way
 	}
-	if g.mustWait(to.Scope, now) {
-		return g.violated(RuleRetryAfter, to.ID, "a told wait is not over")
+	if c.mustWait(to.Scope, now) {
+		return c.violated(RuleRetryAfter, to.ID, "its Retry-After is not over")
 	}
-	for _, p := range permits {
-		if err := g.checkRepeat(p, now); err != nil {
+	for _, permit := range permits {
+		if err := c.checkRepeat(permit, now); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkClose counts a client's connection that is closed while it is owed an answer.
-func (g *Checker) CheckClose(reason string, unanswered bool) {
-	g.metrics.CountReason(metrics.ReasonClosed, reason)
-	if unanswered {
-		g.violated(RuleAnswer, "", "a connection is closed with a whole request and no answer")
+// checkRepeat returns why a message may not be sent, or nil.
+func (c *Checker) checkRepeat(permit SendPermit, now time.Time) error {
+	switch {
+	case permit.InFlight > 0:
+		return c.violated(RuleConcurrent, permit.MessageID, "another attempt is in flight")
+	case permit.MayHaveRun && permit.NonRepeatable:
+		return c.violated(RuleRepeat, permit.MessageID, "it may have run, and its class allows no repeat")
+	case permit.MayHaveRun && !permit.RepeatableUntil.IsZero() && !now.Before(permit.RepeatableUntil):
+		return c.violated(RuleRepeat, permit.MessageID, "its idempotency window may be over")
 	}
+	return nil
 }
 
-// checkPromise tells why a message may not be promised to have had no effect, nil if it may: its end has to be
-// written, or the next process would send it.
-func (g *Checker) CheckPromise(id string, written bool) error {
-	if written {
-		return nil
+// CheckClose counts a client's connection that is closed, and a violation if a request on it has no answer.
+func (c *Checker) CheckClose(reason string, isUnanswered bool) {
+	c.metrics.CountReason(metrics.ReasonClosed, reason)
+	if isUnanswered {
+		_ = c.violated(RuleAnswer, "", "a connection is closed with a complete request and no answer")
 	}
-	return g.violated(RulePromise, id, "its end is not in the journal")
 }
 
-// checkStart counts a start without the lock that makes this process the only one to own the journal.
-func (g *Checker) CheckOwnership(locked bool) {
-	if !locked {
-		g.violated(RuleOwnership, "", "the state folder is used without its lock")
+// CheckPromise counts a violation if a message is promised to have had no effect although its end is not recorded: the
+// next process would send it.
+func (c *Checker) CheckPromise(id string, isRecorded bool) {
+	if !isRecorded {
+		_ = c.violated(RulePromise, id, "its end is not in the journal")
 	}
 }
 
-// ruleNames are the names of all rules that are checked.
-func RuleNames() []string {
-	names := make([]string, 0, len(allRules))
-	for _, rule := range allRules {
-		names = append(names, string(rule))
+// CheckOwnership counts a start without the lock that makes this process the only one to own the journal.
+func (c *Checker) CheckOwnership(isLocked bool) {
+	if !isLocked {
+		_ = c.violated(RuleOwnership, "", "the state directory is used without its lock")
 	}
-	return names
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -11,25 +11,25 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-func testGuard() (*Checker, *metrics.Registry) {
+func testChecker() (*Checker, *metrics.Registry) {
 	f := metrics.New(nil)
 	return NewChecker(slog.New(slog.DiscardHandler), f), f
 }
 
-// wantRule checks which rule an error of the guard names; "" for none.
+// wantRule checks which rule an error names; "" for none.
 func wantRule(t *testing.T, err error, want Rule) {
 	t.Helper()
 	var violation *ViolationError
 	errors.As(err, &violation)
 	switch {
 	case want == "" && err != nil:
-		t.Errorf("it is refused: %v", err)
+		t.Errorf("it is stopped: %v", err)
 	case want != "" && (violation == nil || violation.Rule != want):
 		t.Errorf("%v, want rule %s", err, want)
 	}
 }
 
-func TestGuardChecksWhereACallGoes(t *testing.T) {
+func TestCallsToDrainingAndWaitingEndpointsAreStopped(t *testing.T) {
 	t.Parallel()
 	shared := Scope{Destination: 3}
 	for name, c := range map[string]struct {
@@ -38,19 +38,32 @@
 		waitFor    time.Duration
 		waitedFor  time.Duration
 		want       Rule
-		passed     bool // it is not counted as a violation
+		isExpected bool // it is not counted as a violation
 	}{
-		"nothing told":             {},
-		"just drained":             {drainedFor: drainKnown / 2},
-		"drained as it was begun":  {drainedFor: drainGrace / 2, want: RuleDrain, passed: true},
-		"drained for long":         {drainedFor: 2 * drainGrace, want: RuleDrain},
-		"a wait that is not over":  {scope: shared, waitFor: time.Minute, waitedFor: time.Second, want: RuleRetryAfter},
-		"a wait told just now":     {scope: shared, waitFor: time.Minute},
-		"a wait that is over":      {scope: shared, waitFor: time.Second, waitedFor: 2 * time.Second},
-		"a wait somewhere else":    {scope: Scope{Destination: 4}, waitFor: time.Minute, waitedFor: time.Second},
-		"a wait of a single route": {scope: Scope{Endpoint: 3, PerEndpoint: true}, waitFor: time.Minute, waitedFor: time.Second},
+		"serving":                       {},
+		"draining for a moment":         {drainedFor: drainWriteGrace / 2},
+		"draining since the call began": {drainedFor: drainGrace / 2, want: RuleDrain, isExpected: true},
+		"draining for long":             {drainedFor: 2 * drainGrace, want: RuleDrain},
+		"Retry-After is not over": {
+			scope:     shared,
+			waitFor:   time.Minute,
+			waitedFor: time.Second,
+			want:      RuleRetryAfter,
+		},
+		"Retry-After came just now": {scope: shared, waitFor: time.Minute},
+		"Retry-After is over":       {scope: shared, waitFor: time.Second, waitedFor: 2 * time.Second},
+		"Retry-After of another destination": {
+			scope:     Scope{Destination: 4},
+			waitFor:   time.Minute,
+			waitedFor: time.Second,
+		},
+		"Retry-After of one endpoint": {
+			scope:     Scope{Endpoint: 3, PerEndpoint: true},
+			waitFor:   time.Minute,
+			waitedFor: time.Second,
+		},
 	} {
-		g, f := testGuard()
+		g, f := testChecker()
 		e := Target{ID: "e", Scope: shared}
 		if c.drainedFor > 0 {
 			e.DrainedAt = time.Now().Add(-c.drainedFor)
@@ -62,7 +75,7 @@
 		t.Run(name, func(t *testing.T) {
 			wantRule(t, g.CheckSend(e, nil), c.want)
 			want := uint64(1)
-			if c.want == "" || c.passed {
+			if c.want == "" || c.isExpected {
 				want = 0
 			}
 			if n := f.ReasonCount(metrics.ReasonViolation, string(c.want)); n != want {
@@ -72,8 +85,8 @@
 	}
 }
 
-// Reasons are part of what operators read, and violations stand there also while there are none.
-func TestFiguresTellReasons(t *testing.T) {
+// The reasons are part of what operators read, and violations are listed also while there are none.
+func TestDumpListsViolationsAtZero(t *testing.T) {
 	t.Parallel()
 	f := metrics.New([]string{"safe"}, RuleNames()...)
 	f.CountReason(metrics.ReasonRetried, "timed_out")
