--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -14,8 +14,8 @@
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 )
 
-// The hand-over's format outlives a release. The streams under testdata were written by the release of commit 5d1fee9, and
-// the texts beside them list their fields.
+// The hand-over's format outlives a release. The streams under testdata were written by the release of commit
+// 5d1fee9, and the texts beside them list their fields.
 
 // golden compares a text with a file of testdata.
 func golden(t *testing.T, name, got string) {
@@ -114,16 +114,16 @@
 			if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&read); err != nil {
 				t.Fatal(err)
 			}
-			golden(t, ""+name+".txt", packetText(read))
+			golden(t, name+".txt", packetText(read))
 			var stream bytes.Buffer
-			if err := gob.NewEncoder(&stream).Encode(freeze(read.thaw())); err != nil {
+			if err := gob.NewEncoder(&stream).Encode(read.thaw().freeze()); err != nil {
 				t.Fatal(err)
 			}
 			var written frozenPacket
 			if err := gob.NewDecoder(&stream).Decode(&written); err != nil {
 				t.Fatal(err)
 			}
-			golden(t, ""+name+".txt", packetText(written))
+			golden(t, name+".txt", packetText(written))
 		})
 	}
 }
--- a/internal/handover/frozen.go
+++ b/internal/handover/frozen.go
@@ -1,9 +1,10 @@
 package handover
 
-// The hand-over's wire format. It is gob, so the field names below are what stands on the wire: gob matches fields by name and
-// drops, without an error, what the other side does not know. A release in service hands over to its successor and takes over
-// from it again on a roll-back, so these types keep the names that they had in the first release with a hand-over. They are
-// used for nothing else: packets are translated to and from them where they are written and read.
+// The hand-over's wire format. It is gob, so the field names below are what stands on the wire: gob matches fields by
+// name and drops, without an error, what the other side does not know. A release in service hands over to its
+// successor and takes over from it again on a roll-back, so these types keep the names that they had in the first
+// release with a hand-over. They are used for nothing else: packets are translated to and from them where they are
+// written and read.
 //
 // FROZEN: never rename, retype or remove a field. A new field may be added; the other side may lack it.
 
@@ -176,60 +177,59 @@
 	Crowded       time.Duration
 }
 
-// freeze translates a packet to what is written.
-func freeze(p Packet) frozenPacket {
-	var f frozenPacket
-	if p.Hello != nil {
-		f.Hello = &frozenHello{Version: p.Hello.Version}
-	}
-	if p.Snapshot != nil {
-		f.Estate = freezeSnapshot(p.Snapshot)
-	}
-	if p.Submit != nil {
-		f.Submit = &frozenRequest{Seq: p.Submit.Sequence, Record: freezeRecord(p.Submit.Record)}
-	}
-	if p.Answer != nil {
-		f.Answer = &frozenAnswer{Seq: p.Answer.Sequence, Status: p.Answer.Status, Retry: p.Answer.RetryAfter, Text: p.Answer.Text}
-	}
-	if p.AttemptEnded != nil {
-		f.Ended = &frozenAttemptEnd{Flight: freezeAttemptID(p.AttemptEnded.Attempt), End: freezeOutcome(p.AttemptEnded.Result)}
-	}
-	if p.RetryAfter != nil {
-		f.Wait = &frozenWait{Endpoint: p.RetryAfter.Endpoint, Wait: p.RetryAfter.RetryAfter}
-	}
-	if p.Cancel != nil {
-		id := freezeAttemptID(*p.Cancel)
-		f.Cancel = &id
-	}
-	return f
+func (h Hello) freeze() frozenPacket {
+	return frozenPacket{Hello: &frozenHello{Version: h.Version}}
+}
+
+func (s *Snapshot) freeze() frozenPacket {
+	return frozenPacket{Estate: freezeSnapshot(s)}
+}
+
+func (r ForwardedRequest) freeze() frozenPacket {
+	return frozenPacket{Submit: &frozenRequest{Seq: r.Sequence, Record: freezeRecord(r.Record)}}
+}
+
+func (r ForwardedResponse) freeze() frozenPacket {
+	return frozenPacket{Answer: &frozenAnswer{Seq: r.Sequence, Status: r.Status, Retry: r.RetryAfter, Text: r.Text}}
 }
 
-// thaw translates what was read to a packet.
+func (r AttemptReport) freeze() frozenPacket {
+	return frozenPacket{Ended: &frozenAttemptEnd{Flight: freezeAttemptID(r.Attempt), End: freezeOutcome(r.Result)}}
+}
+
+func (r RetryAfterReport) freeze() frozenPacket {
+	return frozenPacket{Wait: &frozenWait{Endpoint: r.Endpoint, Wait: r.RetryAfter}}
+}
+
+func (c CancelAttempt) freeze() frozenPacket {
+	id := freezeAttemptID(c.Attempt)
+	return frozenPacket{Cancel: &id}
+}
+
+// thaw translates what was read to a packet, nil if this release does not know it.
 func (f frozenPacket) thaw() Packet {
-	var p Packet
-	if f.Hello != nil {
-		p.Hello = &Hello{Version: f.Hello.Version}
-	}
-	if f.Estate != nil {
-		p.Snapshot = f.Estate.thaw()
-	}
-	if f.Submit != nil {
-		p.Submit = &ForwardedRequest{Sequence: f.Submit.Seq, Record: f.Submit.Record.thaw()}
-	}
-	if f.Answer != nil {
-		p.Answer = &ForwardedResponse{Sequence: f.Answer.Seq, Status: f.Answer.Status, RetryAfter: f.Answer.Retry, Text: f.Answer.Text}
-	}
-	if f.Ended != nil {
-		p.AttemptEnded = &AttemptReport{Attempt: f.Ended.Flight.thaw(), Result: f.Ended.End.thaw()}
-	}
-	if f.Wait != nil {
-		p.RetryAfter = &RetryAfterReport{Endpoint: f.Wait.Endpoint, RetryAfter: f.Wait.Wait}
-	}
-	if f.Cancel != nil {
-		id := f.Cancel.thaw()
-		p.Cancel = &id
+	switch {
+	case f.Hello != nil:
+		return Hello{Version: f.Hello.Version}
+	case f.Estate != nil:
+		return f.Estate.thaw()
+	case f.Submit != nil:
+		return ForwardedRequest{Sequence: f.Submit.Seq, Record: f.Submit.Record.thaw()}
+	case f.Answer != nil:
+		return ForwardedResponse{
+			Sequence:   f.Answer.Seq,
+			Status:     f.Answer.Status,
+			RetryAfter: f.Answer.Retry,
+			Text:       f.Answer.Text,
+		}
+	case f.Ended != nil:
+		return AttemptReport{Attempt: f.Ended.Flight.thaw(), Result: f.Ended.End.thaw()}
+	case f.Wait != nil:
+		return RetryAfterReport{Endpoint: f.Wait.Endpoint, RetryAfter: f.Wait.Wait}
+	case f.Cancel != nil:
+		return CancelAttempt{Attempt: f.Cancel.thaw()}
 	}
-	return p
+	return nil
 }
 
 func freezeAttemptID(id AttemptID) frozenAttemptID {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -30,11 +30,12 @@
 
 // outgoing is a packet to be written, or with flushed a question whether all before it has been.
 type outgoing struct {
-	packet  Packet
+	packet  Packet        // nil with flushed
 	flushed chan struct{} // closed when all packets before it have been written
 }
 
-// newLink makes a link on a connection. Its writer ends with Close.
+// newLink makes a link on a connection. Its writer's goroutine ends with Close; nobody waits for it, as a write that
+// blocks would then hold up the event loop.
 func newLink(c net.Conn) *Link {
 	l := &Link{conn: c, decoder: gob.NewDecoder(c), out: make(chan outgoing, linkQueue), gone: make(chan struct{})}
 	go l.write()
@@ -52,7 +53,7 @@
 			}
 			// A connection that takes no deadline fails in the write as well.
 			_ = l.conn.SetWriteDeadline(time.Now().Add(linkTimeout))
-			if encoder.Encode(freeze(o.packet)) != nil {
+			if encoder.Encode(o.packet.freeze()) != nil {
 				l.Close()
 				return
 			}
@@ -73,11 +74,11 @@
 	}
 }
 
-// Receive waits for the next packet of the other process.
+// Receive waits for the next packet of the other process. The packet is nil if this release does not know it.
 func (l *Link) Receive() (Packet, error) {
 	var f frozenPacket
 	if err := l.decoder.Decode(&f); err != nil {
-		return Packet{}, err
+		return nil, err
 	}
 	return f.thaw(), nil
 }
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -9,37 +9,37 @@
 	"syscall"
 )
 
-// The lock on the state folder, and where its holder listens for a newcomer.
-
-// lockFolder takes the lock on the state folder; nil if another process holds it.
+// LockStateDir takes the lock on the state directory. The file is nil if another process holds the lock; closing it
+// frees the lock.
 func LockStateDir(dir string) (*os.File, error) {
-	f, err := os.Open(dir)
+	lock, err := os.Open(dir)
 	if err != nil {
 		return nil, err
 	}
-	err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+	err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if err == nil {
-		return f, nil
+		return lock, nil
 	}
-	f.Close()
+	_ = lock.Close() // nothing was written
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return nil, nil
 	}
 	return nil, err
 }
 
-// socketAt calls use with the path of the holder's socket. It stands in the temporary folder, as what stands in
-// the state folder is kept and counted. A socket's path is short, so a long one is reached through its folder.
-func WithSocket(state string, use func(path string) error) error {
-	if abs, err := filepath.Abs(state); err == nil {
-		state = abs
+// WithSocket calls use with the path of the socket on which the lock owner listens for a successor. The socket is in
+// the temporary directory, because the files in the state directory are kept and count against the disk limit. The
+// length of a socket's path is limited, so the path leads through the directory's descriptor.
+func WithSocket(stateDir string, use func(path string) error) error {
+	if abs, err := filepath.Abs(stateDir); err == nil {
+		stateDir = abs
 	}
-	h := fnv.New64a()
-	h.Write([]byte(state))
+	hash := fnv.New64a()
+	hash.Write([]byte(stateDir))
 	dir, err := os.Open(os.TempDir())
 	if err != nil {
 		return err
 	}
 	defer dir.Close()
-	return use(fmt.Sprintf("/proc/self/fd/%d/saffronyard-%016x.sock", dir.Fd(), h.Sum64()))
+	return use(fmt.Sprintf("/proc/self/fd/%d/saffronyard-%016x.sock", dir.Fd(), hash.Sum64()))
 }
--- a/internal/handover/packet.go
+++ b/internal/handover/packet.go
@@ -8,65 +8,66 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// What two processes tell one another in a hand-over, and the connection between them.
-
-// packet is what the processes tell one another; each sets one field.
-type Packet struct {
-	Hello        *Hello             // newcomer: hand over
-	Snapshot     *Snapshot          // holder: here it is (the name is that of the first version, which may be on the other side)
-	Submit       *ForwardedRequest  // old one: a request that came on one of my connections
-	Answer       *ForwardedResponse // newcomer: its answer
-	AttemptEnded *AttemptReport     // old one: how an attempt ended
-	RetryAfter   *RetryAfterReport  // old one: a wait told to a call that has not ended
-	Cancel       *AttemptID         // newcomer: call it off
-
+// Packet is one message between the two processes of an upgrade: Hello, *Snapshot, ForwardedRequest, ForwardedResponse,
+// AttemptReport, RetryAfterReport or CancelAttempt. A packet that this release does not know is read as nil.
+type Packet interface {
+	// freeze translates the packet to what is written.
+	freeze() frozenPacket
 }
 
+// Hello is the successor's request for the snapshot.
 type Hello struct{ Version int }
 
-// snapshot is what a process hands over beside the journal.
+// Snapshot is what the lock owner hands over beside the journal.
 type Snapshot struct {
 	ListVersion  int64
-	Endpoints    []endpointlist.Endpoint // by the module's number, those that are gone as DELETED
+	Endpoints    []endpointlist.Endpoint // by the dispatcher's number; deleted ones keep their place as DELETED
 	InFlight     []InFlightAttempt
-	BackoffUntil map[string]time.Duration // until when messages rest after a failed attempt
+	BackoffUntil map[string]time.Duration // by message ID: when its next attempt may start after a failed one
 	Dispatcher   dispatch.Snapshot
 }
 
-// flightID names an attempt: both processes know a message by its id, and its attempts by their place.
+// AttemptID names an attempt: both processes know a message by its ID, and its attempts by their index in the journal.
 type AttemptID struct {
 	Message string
 	Attempt int
 }
 
-// flight is an attempt that is out.
+// InFlightAttempt is an attempt that the predecessor has in flight.
 type InFlightAttempt struct {
 	ID       AttemptID
-	Call     uint64 // attempts of one call share it
+	Call     uint64 // the attempts of one call share it
 	Endpoint dispatch.EndpointID
 	SentAt   time.Duration
 	Timeout  time.Duration
 }
 
+// AttemptReport is the predecessor's report of how an attempt ended.
 type AttemptReport struct {
 	Attempt AttemptID
 	Result  dispatch.AttemptResult
 }
 
-// relayedWait is a wait that an endpoint has told, by the endpoint's id and from now on.
+// RetryAfterReport is the predecessor's report that an endpoint asked for a pause in a response whose call has not
+// ended yet.
 type RetryAfterReport struct {
-	Endpoint   string
+	Endpoint   string // its ID on the endpoint list
 	RetryAfter time.Duration
 }
 
+// ForwardedRequest is a client's request that came on one of the predecessor's connections.
 type ForwardedRequest struct {
 	Sequence uint64
 	Record   journal.Record
 }
 
+// ForwardedResponse is the successor's response to a ForwardedRequest.
 type ForwardedResponse struct {
 	Sequence   uint64
 	Status     int
 	RetryAfter time.Duration
 	Text       string
 }
+
+// CancelAttempt is the successor's instruction to cancel an attempt's call.
+type CancelAttempt struct{ Attempt AttemptID }
--- a/internal/handover/upgrade.go
+++ b/internal/handover/upgrade.go
@@ -24,7 +24,8 @@
 
 var errNoSnapshot = errors.New("the answer holds no snapshot")
 
-// RequestSnapshot asks the owner of a state directory's lock for its snapshot. The owner frees the lock when it sends it.
+// RequestSnapshot asks the owner of a state directory's lock for its snapshot. The owner frees the lock when it sends
+// it.
 func RequestSnapshot(ctx context.Context, stateDir string) (*Link, *Snapshot, error) {
 	var conn net.Conn
 	err := WithSocket(stateDir, func(path string) (err error) {
@@ -35,21 +36,22 @@
 		return nil, nil, err
 	}
 	link := newLink(conn)
-	link.Send(Packet{Hello: &Hello{protocolVersion}})
+	link.Send(Hello{Version: protocolVersion})
 	p, err := link.receiveWithin()
-	if err == nil && p.Snapshot == nil {
+	snapshot, ok := p.(*Snapshot)
+	if err == nil && !ok {
 		err = errNoSnapshot
 	}
 	if err != nil {
 		link.Close()
 		return nil, nil, fmt.Errorf("the lock owner's snapshot: %w", err)
 	}
-	return link, p.Snapshot, nil
+	return link, snapshot, nil
 }
 
-// AwaitSuccessor waits until a successor asks for the snapshot, and returns the link to it. It fails only when ctx ends or the
-// socket cannot be listened on. It is called with the lock held, so what stands at the socket's path is left from an
-// earlier owner.
+// AwaitSuccessor waits until a successor asks for the snapshot, and returns the link to it. It fails only when ctx
+// ends or the socket cannot be listened on. It is called with the lock held, so what stands at the socket's path is
+// left from an earlier owner.
 func AwaitSuccessor(ctx context.Context, log *slog.Logger, stateDir string) (*Link, error) {
 	var listener net.Listener
 	err := retry.OnTransient(ctx, log, "the socket for an upgrade", func() error {
@@ -77,7 +79,7 @@
 		}
 		link := newLink(conn)
 		p, err := link.receiveWithin()
-		if err == nil && p.Hello != nil && p.Hello.Version == protocolVersion {
+		if hello, ok := p.(Hello); err == nil && ok && hello.Version == protocolVersion {
 			return link, nil
 		}
 		log.Warn("a successor that is not understood", "err", err)
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -31,7 +31,7 @@
 
 // withhold ends calls that have not been written yet.
 func (s *Sender) abortUnsent(which func(*outCall) bool) {
-	for _, m := range s.messages {
+	for _, m := range s.messages.byNumber {
 		for _, c := range m.calls {
 			if which(c) {
 				c.withhold()
@@ -67,7 +67,7 @@
 	var calls []*plannedCall
 	open := map[*listedEndpoint]*plannedCall{}
 	for _, send := range sends {
-		m, to := s.messages[send.Message], s.endpoint(send.Endpoint)
+		m, to := s.messages.byNumber[send.Message], s.endpoint(send.Endpoint)
 		if m == nil || to == nil {
 			continue
 		}
--- a/internal/sender/environment.go
+++ b/internal/sender/environment.go
@@ -9,12 +9,13 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// Environment is what a sender takes from its operating system where that may fail or mislead: clocks, the state
-// folder, the clients' listener and sockets to endpoints. Tests and the soak command replace parts of it by failing ones.
+// Environment is what a sender gets from its operating system where that may fail or be wrong: clocks, the state
+// directory, the clients' listener and sockets to endpoints. Tests and the soak command replace parts of it by ones that
+// fail.
 type Environment struct {
 	// Wall is the wall clock. It may be stepped at any time.
 	Wall func() time.Time
-	// Files gives access to the state folder.
+	// Files gives access to the state directory.
 	Files FileSystem
 	// ReadFile reads the configuration.
 	ReadFile func(path string) ([]byte, error)
@@ -29,8 +30,8 @@
 	return Environment{Wall: time.Now, Files: journal.OSFileSystem{}, ReadFile: os.ReadFile}
 }
 
-// File and FileSystem are the journal's.
-type (
-	File       = journal.File
-	FileSystem = journal.FileSystem
-)
+// File is a file in the state directory.
+type File = journal.File
+
+// FileSystem gives access to the state directory.
+type FileSystem = journal.FileSystem
--- a/internal/sender/faults_test.go
+++ b/internal/sender/faults_test.go
@@ -464,7 +464,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.gracePeriod, s.drainTimeout = 0, 20*time.Millisecond
+		s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 20*time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
 		failing := failFirst(times, &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", syscall.EADDRNOTAVAIL)})
 		done, addr := make(chan error, 1), make(chan string, 1)
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -2,223 +2,154 @@
 
 import (
 	"context"
-	"fmt"
 	"os"
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/handover"
-	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
-// An upgrade: a second process starts while the first serves. At any moment one of them, the holder of the lock
-// on the state folder, owns the journal and lets its module decide. A newcomer that finds the lock held asks the
-// holder over a Unix socket. That stops accepting, closes the journal, frees the lock and sends its snapshot. Its
-// calls in flight stay where they are; to the newcomer's module they are calls like any other, whose ends the old
-// process reports. Requests that still come on the old one's connections are passed on and answered there.
-
-type (
-	// helloEvent: a newcomer asks for the snapshot.
-	successorEvent struct{ *handover.Link }
-	// linkEvent: the other process says something; with lost it is dead, or its connection is.
-	linkEvent struct {
-		link *handover.Link
-		handover.Packet
-		lost bool
+// canHandOver reports whether the journal has all that a successor needs to know. If not, the successor has to ask
+// again.
+func (s *Sender) canHandOver(ctx context.Context, successor *handover.Link) bool {
+	if !s.journal.Failed() || s.journal.Compact() == nil {
+		return true
 	}
-	// lockEvent: the lock that another held is ours again.
-	lockAcquiredEvent struct{ lock *os.File }
-)
-
-// tryLock takes the lock on the state folder, nil if another process holds it.
-func (s *Sender) tryLock(ctx context.Context) (lock *os.File, err error) {
-	err = retry.OnTransient(ctx, s.log, "the lock on the state folder", func() (err error) {
-		lock, err = handover.LockStateDir(s.stateDir)
-		return err
-	})
-	return lock, err
+	s.log.Warn("no hand-over while the journal cannot be written")
+	successor.Close()
+	go s.upgrade.awaitSuccessor(ctx)
+	return false
 }
 
-// relock waits for the lock that a dead successor has left, and gives it to the loop.
-func (s *Sender) waitForLock(ctx context.Context) {
-	for {
-		if lock, err := s.tryLock(ctx); lock != nil || err != nil {
-			s.post(ctx, lockAcquiredEvent{lock})
-			return
-		}
-		select {
-		case <-time.After(handover.LockPollInterval):
-		case <-ctx.Done():
-			return
-		}
+// handOver gives the ownership to a successor, between two steps.
+func (s *Sender) handOver(successor *handover.Link) {
+	s.upgrade.successor, s.upgrade.handedOver = successor, true
+	s.server.closing.Store(true)
+	s.server.shut()
+	s.pool.KeepIdle(false)
+	for _, e := range s.list.byNumber {
+		s.pool.CloseIdle(e.Endpoint, 0)
 	}
+	s.abortUnsent(func(*outCall) bool { return true }) // from now on only the successor knows whether a call may start
+	snapshot := s.snapshot()
+	s.upgrade.handedSnapshot, s.upgrade.handedBackoffUntil = snapshot.Dispatcher, snapshot.BackoffUntil
+	s.log.Info("handing over", "pending", s.messages.pending, "calls", len(snapshot.InFlight))
+	s.closeJournal()
+	s.messages.pending, s.notices.pending = 0, nil
+	s.timer.Stop()
+	s.upgrade.releaseLock() // the journal is closed by now
+	successor.Send(snapshot)
 }
 
-// own waits until this process holds the lock, and opens the journal: at once if nobody holds it, else from its
-// holder or, if that dies, after it. The snapshot is nil unless the holder gave one.
-func (s *Sender) acquireOwnership(ctx context.Context) (*handover.Snapshot, error) {
-	var st *handover.Snapshot
-	var from *handover.Link
-	for told := false; ; {
-		lock, err := s.tryLock(ctx)
-		if retry.IsTransient(err) {
-			return nil, fmt.Errorf("the state folder: %w", err)
-		}
-		if err != nil {
-			s.log.Warn("the state folder cannot be locked: an upgrade will not be noticed", "err", err)
-			s.invariants.CheckOwnership(false)
-		}
-		if lock != nil || err != nil {
-			s.lock = lock
-			break
-		}
-		if from == nil {
-			l, e, err := handover.RequestSnapshot(ctx, s.stateDir)
-			if err == nil {
-				from, st, s.predecessor = l, e, l
-				continue
-			}
-			if !told {
-				told = true
-				s.log.Info("another process holds the state folder", "err", err)
-			}
-		}
-		select {
-		case <-time.After(handover.LockPollInterval):
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		}
+// snapshot is what a successor gets beside the journal.
+func (s *Sender) snapshot() *handover.Snapshot {
+	snapshot := &handover.Snapshot{
+		ListVersion:  s.listVersion,
+		InFlight:     s.inFlightAttempts(),
+		BackoffUntil: map[string]time.Duration{},
+		Dispatcher:   s.dispatcher.Snapshot(),
 	}
-	return st, s.openJournal(ctx)
-}
-
-// awaitSuccessor waits for a successor until ctx ends, and gives its link to the loop. It is called with the lock held.
-func (s *Sender) awaitSuccessor(ctx context.Context) {
-	if s.lock == nil {
-		return
+	for _, e := range s.list.byNumber {
+		snapshot.Endpoints = append(snapshot.Endpoints, e.entry)
 	}
-	link, err := handover.AwaitSuccessor(ctx, s.log, s.stateDir)
-	if err != nil {
-		return
+	for number, until := range s.dispatcher.BackoffUntil() {
+		if m := s.messages.byNumber[number]; m != nil {
+			snapshot.BackoffUntil[m.ID] = until
+		}
 	}
-	s.post(ctx, successorEvent{link})
-	go s.listenToPeer(ctx, link)
+	return snapshot
 }
 
-// listenToPeer passes on what the other process sends, and that it is gone.
-func (s *Sender) listenToPeer(ctx context.Context, link *handover.Link) {
-	link.Listen(
-		func(p handover.Packet) { s.post(ctx, linkEvent{link: link, Packet: p}) },
-		func() { s.post(ctx, linkEvent{link: link, lost: true}) })
-}
-
-// flights is every attempt out, with its message in the journal.
+// inFlightAttempts lists the attempts in flight whose message has not ended.
 func (s *Sender) inFlightAttempts() []handover.InFlightAttempt {
 	var list []handover.InFlightAttempt
-	for _, m := range s.messages {
+	for _, m := range s.messages.byNumber {
 		for attempt, c := range m.calls {
-			if try := m.base + attempt; !m.ended && try < len(m.Attempts) {
-				list = append(list, handover.InFlightAttempt{
-					ID:   handover.AttemptID{Message: m.ID, Attempt: try},
-					Call: c.number, Endpoint: c.endpoint, SentAt: m.Attempts[try].SentAt, Timeout: c.timeout})
+			index := m.base + attempt // in the journal
+			if m.ended || index >= len(m.Attempts) {
+				continue
 			}
+			list = append(list, handover.InFlightAttempt{
+				ID:       handover.AttemptID{Message: m.ID, Attempt: index},
+				Call:     c.number,
+				Endpoint: c.endpoint,
+				SentAt:   m.Attempts[index].SentAt,
+				Timeout:  c.timeout,
+			})
 		}
 	}
 	return list
 }
 
-// mayHandOver reports whether the journal holds all that a newcomer has to know. If not, that has to ask again.
-func (s *Sender) canHandOver(ctx context.Context, to *handover.Link) bool {
-	if !s.journal.Failed() || s.journal.Compact() == nil {
-		return true
-	}
-	s.log.Warn("no hand-over while the journal cannot be written")
-	to.Close()
-	go s.awaitSuccessor(ctx)
-	return false
-}
-
-// handOver gives all up to a newcomer, between two steps.
-func (s *Sender) handOver(to *handover.Link) {
-	s.successor, s.handedOver = to, true
-	s.server.closing.Store(true)
-	s.server.shut()
-	s.pool.KeepIdle(false)
-	for _, e := range s.list.byNumber {
-		s.pool.CloseIdle(e.Endpoint, 0)
-	}
-	s.abortUnsent(func(*outCall) bool { return true }) // of what is begun from now on only the newcomer knows whether it may
-	st := &handover.Snapshot{ListVersion: s.listVersion, InFlight: s.inFlightAttempts(), BackoffUntil: map[string]time.Duration{}, Dispatcher: s.dispatcher.Snapshot()}
-	for _, e := range s.list.byNumber {
-		st.Endpoints = append(st.Endpoints, e.entry)
-	}
-	for id, until := range s.dispatcher.BackoffUntil() {
-		if m := s.messages[id]; m != nil {
-			st.BackoffUntil[m.ID] = until
-		}
-	}
-	s.handedSnapshot, s.handedBackoff = st.Dispatcher, st.BackoffUntil
-	s.log.Info("handing over", "held", s.pending, "calls", len(st.InFlight))
-	s.journal.Flush()
-	s.journal.Compact() // the successor reads it while clients wait; where it fails, the longer file says the same
+// closeJournal closes the journal before the lock is freed. It is compacted first, because the successor reads it
+// while clients wait; where that fails, the longer file says the same.
+func (s *Sender) closeJournal() {
+	_ = s.journal.Flush() // the close reports what cannot be written
+	_ = s.journal.Compact()
 	if err := s.journal.Close(); err != nil {
 		s.log.Warn("journal", "err", err)
 	}
 	s.journal = nil
-	s.pending, s.pendingNotices = 0, nil
-	s.timer.Stop()
-	if s.lock != nil {
-		s.lock.Close() // and frees it
-		s.lock = nil
-	}
-	to.Send(handover.Packet{Snapshot: st})
 }
 
-// regain takes everything up again after the successor's death. What that had out may have run; our own calls
-// are still out.
+// reclaimOwnership resumes everything after the successor's death. What that had in flight may have run; the calls
+// that this process had in flight at the hand-over still are.
 func (s *Sender) reclaimOwnership(ctx context.Context, lock *os.File) {
-	st := &handover.Snapshot{InFlight: s.inFlightAttempts(), BackoffUntil: s.handedBackoff, Dispatcher: s.handedSnapshot}
-	s.lock = lock
+	snapshot := &handover.Snapshot{
+		InFlight:     s.inFlightAttempts(),
+		BackoffUntil: s.upgrade.handedBackoffUntil,
+		Dispatcher:   s.upgrade.handedSnapshot,
+	}
+	s.upgrade.lock = lock
 	if err := s.openJournal(ctx); err != nil {
-		s.log.Error("the journal cannot be had again", "err", err)
-		s.journal = nil
-		if lock != nil {
-			lock.Close()
-			s.lock = nil
-		}
-		go func() {
-			time.Sleep(time.Second)
-			s.waitForLock(ctx)
-		}()
+		s.log.Error("the journal cannot be opened again", "err", err)
+		s.abandonReclaim(ctx)
 		return
 	}
-	s.handedOver = false
+	s.upgrade.handedOver = false
 	s.dispatcher = dispatch.New(s.config.Settings, s.config.Seed)
 	s.pool.KeepIdle(true)
-	old := s.byID
-	s.messages, s.byID, s.pending = map[dispatch.MessageID]*message{}, map[string]*message{}, 0
-	s.restoreState(ctx, st, func(f handover.InFlightAttempt) *outCall { // the calls themselves are ours as before
-		c := *old[f.ID.Message].calls[f.ID.Attempt-old[f.ID.Message].base]
+	handed := s.messages.byID
+	s.messages.clear()
+	s.restoreState(ctx, snapshot, func(attempt handover.InFlightAttempt) *outCall {
+		m := handed[attempt.ID.Message]
+		c := *m.calls[attempt.ID.Attempt-m.base] // the call itself is this process's as before
 		c.end = nil
 		return &c
 	})
-	s.log.Warn("serving again after the successor's death", "held", s.pending)
-	go s.awaitSuccessor(ctx)
-	waiting := s.forwarded
-	s.forwarded = map[uint64]forwardedRequest{}
+	s.log.Warn("serving again after the successor's death", "pending", s.messages.pending)
+	go s.upgrade.awaitSuccessor(ctx)
+	s.dispatch(ctx, s.missedEvents(ctx, handed))
+	if !s.dispatchStopped && s.listening.open != nil {
+		s.listening.open()
+	}
+}
+
+// abandonReclaim frees the lock and tries to get it again after a while.
+func (s *Sender) abandonReclaim(ctx context.Context) {
+	s.journal = nil
+	s.upgrade.releaseLock()
+	go func() { // ends with ctx, at most relockInterval later
+		time.Sleep(relockInterval)
+		s.upgrade.awaitLock(ctx)
+	}()
+}
+
+// missedEvents are the events since the hand-over that the dead successor may not have written to the journal: what
+// it has written is known from there, and is not handled twice.
+func (s *Sender) missedEvents(ctx context.Context, handed map[string]*message) []dispatch.Event {
+	waiting := s.upgrade.takeForwarded()
 	events := []dispatch.Event{dispatch.EndpointListStale{Stale: s.discovery.IsListStale()}}
-	for _, m := range old {
+	for _, m := range handed {
 		for attempt, c := range m.calls {
-			if c.end != nil { // the dead one may have heard it, and then it is in the journal
-				events = append(events, s.handleCallEnd(callEndedEvent{ends: []attemptEnd{{m, attempt, *c.end}}})...)
+			if c.end != nil {
+				end := attemptEnd{message: m, attempt: attempt, AttemptResult: *c.end}
+				events = append(events, s.handleCallEnd(callEndedEvent{ends: []attemptEnd{end}})...)
 			}
 		}
 	}
-	for _, p := range waiting { // the dead one may have taken it on: then it is in the journal
-		events = append(events, s.handleEvent(ctx, p.submission)...)
-	}
-	s.dispatch(ctx, events)
-	if !s.dispatchStopped && s.reopenListener != nil {
-		s.reopenListener()
+	for _, request := range waiting {
+		events = append(events, s.handleEvent(ctx, submissionEvent{request.submission})...)
 	}
+	return events
 }
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -271,9 +271,9 @@
 					t.Fatalf("calls handed over: %+v", snapshot.InFlight)
 				}
 				close(open)
-				told, err := l.Receive()
-				if err != nil || told.AttemptEnded == nil {
-					t.Fatalf("the successor is told %+v, %v", told, err)
+				packet, err := l.Receive()
+				if _, ok := packet.(handover.AttemptReport); err != nil || !ok {
+					t.Fatalf("the successor receives %+v, %v", packet, err)
 				}
 				l.Close()
 				waitHealth(t, admin, "ok\n")
@@ -324,7 +324,7 @@
 	hung := st.NewEndpoint(t, st.Silent)
 	addr, listen := platformSocket(t)
 	l := &leaver{Sender: newTest(t, st.NewPlatform(t, hung.Addr), nil), done: make(chan error, 1)}
-	l.gracePeriod, l.drainTimeout = 0, 2*time.Second
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
 	var ctx context.Context
 	ctx, l.stop = context.WithCancel(context.Background())
 	go func() { l.done <- l.Run(ctx, listen) }()
@@ -342,7 +342,7 @@
 		c.Write(text.Bytes()[:text.Len()-1])
 		halves = append(halves, c)
 	}
-	successor, _ := takeOver(t, l.stateDir)
+	successor, _ := takeOver(t, l.upgrade.stateDir)
 	l.stop()
 	successor.Close()
 	refused := false
@@ -417,7 +417,7 @@
 	hung := st.NewEndpoint(t, st.Silent)
 	addr, listen := platformSocket(t)
 	l := &leaver{Sender: newTest(t, st.NewPlatform(t, hung.Addr), nil), done: make(chan error, 1)}
-	l.gracePeriod, l.drainTimeout = 0, 2*time.Second
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
 	var ctx context.Context
 	ctx, l.stop = context.WithCancel(context.Background())
 	go func() { l.done <- l.Run(ctx, listen) }()
@@ -427,14 +427,14 @@
 		t.Fatal(resp.Status)
 	}
 	hung.Next(t)
-	successor, _ := takeOver(t, l.stateDir)
+	successor, _ := takeOver(t, l.upgrade.stateDir)
 	io.WriteString(c, written(t, st.Message(t, addr, "passed", "unsafe", 0, 15*time.Second, "x")))
 	for {
 		p, err := successor.Receive()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if p.Submit != nil {
+		if _, ok := p.(handover.ForwardedRequest); ok {
 			break
 		}
 	}
--- a/internal/sender/leaving_test.go
+++ b/internal/sender/leaving_test.go
@@ -57,7 +57,7 @@
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), l.stateDir, 1<<20)
+	j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), l.upgrade.stateDir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *config.Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 100 })
-	l.gracePeriod, l.drainTimeout = 150*time.Millisecond, 400*time.Millisecond
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 150*time.Millisecond, 400*time.Millisecond
 	var mu sync.Mutex
 	taken, open := map[string]bool{}, map[string]bool{} // answered 202, and not answered
 	var clients sync.WaitGroup
@@ -151,7 +151,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, e.Addr), func(c *config.Config) { c.Limits.Sockets = 4 }) // two clients at once
-	l.gracePeriod, l.drainTimeout = 0, 5*time.Second
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 5*time.Second
 	st.HandIn(t, l.addr, "out", "unsafe", 0, 15*time.Second) // keeps it from leaving at once
 	e.Next(t)
 	var conns []net.Conn
@@ -188,7 +188,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, e.Addr), nil)
-	l.gracePeriod, l.drainTimeout = 0, 2*time.Second
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
 	st.HandIn(t, l.addr, "held", "safe", 0, 15*time.Second)
 	e.Next(t)
 	l.stop()
@@ -247,7 +247,7 @@
 	open := map[string]bool{}
 	edit := func(c *config.Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 10; c.Discovery = addr }
 	l := startLeaver(t, st.NewPlatform(t, hung.Addr), edit)
-	l.gracePeriod, l.drainTimeout = 500*time.Millisecond, 700*time.Millisecond
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 500*time.Millisecond, 700*time.Millisecond
 	hand := func(from, to int, class string, left time.Duration) {
 		for i := from; i < to; i++ {
 			id := class + strconv.Itoa(i)
@@ -263,10 +263,10 @@
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(began); took > l.drainTimeout+queueTime+answersEnd+500*time.Millisecond { // with room for a slow machine
+	if took := time.Since(began); took > l.shutdown.drainTimeout+queueTime+answersEnd+500*time.Millisecond { // with room for a slow machine
 		t.Errorf("it left after %v", took)
 	}
-	next := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *config.Config) { edit(c); c.State = l.stateDir })
+	next := startLeaver(t, st.NewPlatform(t, hung.Addr), func(c *config.Config) { edit(c); c.State = l.upgrade.stateDir })
 	ready := time.Now()
 	for len(open) > 0 {
 		delete(open, st.Receive(t, told))
@@ -285,7 +285,7 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, hung.Addr), nil)
-	l.gracePeriod, l.drainTimeout = 100*time.Millisecond, 300*time.Millisecond
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 100*time.Millisecond, 300*time.Millisecond
 	for _, text := range []string{"", "POST /api HT", "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"} {
 		c, err := net.Dial("tcp", l.addr)
 		if err != nil {
@@ -299,7 +299,7 @@
 	l.stop()
 	began := time.Now()
 	left := l.left(t)
-	if took := time.Since(began); took < l.drainTimeout || took > l.drainTimeout+queueTime+answersEnd+500*time.Millisecond {
+	if took := time.Since(began); took < l.shutdown.drainTimeout || took > l.shutdown.drainTimeout+queueTime+answersEnd+500*time.Millisecond {
 		t.Errorf("it left after %v", took)
 	}
 	if left["out"] == nil || len(left) != 1 {
@@ -326,7 +326,7 @@
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	next := startLeaver(t, p, func(c *config.Config) { c.State = l.stateDir })
+	next := startLeaver(t, p, func(c *config.Config) { c.State = l.upgrade.stateDir })
 	again(next.addr)
 	if n := st.Receive(t, p.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
@@ -377,7 +377,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, e.Addr), nil)
-	l.gracePeriod, l.drainTimeout = 2*time.Second, 2*time.Second
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 2*time.Second, 2*time.Second
 	st.HandIn(t, l.addr, "out", "safe", 0, 15*time.Second)
 	e.Next(t)
 	l.stop()
@@ -406,7 +406,7 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
 	l := startLeaver(t, st.NewPlatform(t, hung.Addr), nil)
-	l.gracePeriod, l.drainTimeout = 0, 5*time.Second
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 5*time.Second
 	st.HandIn(t, l.addr, "out", "unsafe", 0, 15*time.Second)
 	hung.Next(t)
 	type client struct {
@@ -454,16 +454,16 @@
 			answer: make(chan clientResponse, 1)}
 	}
 	for i := range 19 {
-		s.processEvents(ctx, hand("m"+strconv.Itoa(i)))
+		s.processEvents(ctx, submissionEvent{hand("m" + strconv.Itoa(i))})
 	}
 	first, second := hand("x"), hand("x")
-	s.events <- second
-	s.processEvents(ctx, first)
+	s.events <- submissionEvent{second}
+	s.processEvents(ctx, submissionEvent{first})
 	if a, b := st.Receive(t, first.answer), st.Receive(t, second.answer); a.status != http.StatusServiceUnavailable || b != a {
 		t.Errorf("answered %+v and %+v", a, b)
 	}
-	if s.pending != 19 {
-		t.Errorf("%d messages are held", s.pending)
+	if s.messages.pending != 19 {
+		t.Errorf("%d messages are held", s.messages.pending)
 	}
 }
 
@@ -473,14 +473,14 @@
 	t.Parallel()
 	for name, end := range map[string]func(t *testing.T, l *leaver) *handover.Link{
 		"after the grace": func(t *testing.T, l *leaver) *handover.Link { l.stop(); return nil },
-		"hand-over":       func(t *testing.T, l *leaver) *handover.Link { link, _ := takeOver(t, l.stateDir); return link },
+		"hand-over":       func(t *testing.T, l *leaver) *handover.Link { link, _ := takeOver(t, l.upgrade.stateDir); return link },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := st.NewEndpoint(t, st.Status(200))
 			p := st.NewPlatform(t, e.Addr)
 			l := &leaver{Sender: newTest(t, p, nil), done: make(chan error, 1)}
-			l.gracePeriod, l.drainTimeout = 0, 5*time.Second
+			l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 5*time.Second
 			dialing, up := make(chan struct{}, 1), make(chan struct{})
 			l.pool = l.newPool(func(string, string, syscall.RawConn) error {
 				dialing <- struct{}{}
@@ -489,7 +489,7 @@
 			})
 			withheld := make(chan struct{}, 1)
 			l.log = slog.New(onLine(func(line string) {
-				if strings.Contains(line, "no call is begun") || strings.Contains(line, "handing over") {
+				if strings.Contains(line, "no further calls are started") || strings.Contains(line, "handing over") {
 					withheld <- struct{}{}
 				}
 			}))
@@ -503,9 +503,10 @@
 			st.Receive(t, withheld)
 			close(up)
 			if successor != nil {
-				told, err := successor.Receive()
-				if err != nil || told.AttemptEnded == nil || told.AttemptEnded.Result.Outcome != dispatch.NotSent {
-					t.Errorf("the successor is told %+v, %v", told, err)
+				packet, err := successor.Receive()
+				report, ok := packet.(handover.AttemptReport)
+				if err != nil || !ok || report.Result.Outcome != dispatch.NotSent {
+					t.Errorf("the successor receives %+v, %v", packet, err)
 				}
 			}
 			l.stop()
@@ -518,7 +519,7 @@
 			if successor != nil {
 				return
 			}
-			run(t, p, func(c *config.Config) { c.State = l.stateDir })
+			run(t, p, func(c *config.Config) { c.State = l.upgrade.stateDir })
 			if c := e.Next(t); c.ID != "m" {
 				t.Errorf("the endpoint got %s", c.ID)
 			}
@@ -592,12 +593,12 @@
 	if err := s.Run(ctx, func() (net.Listener, error) { t.Error("it listens"); return nil, net.ErrClosed }); err != nil {
 		t.Error(err)
 	}
-	j := openJournal(t, s.stateDir, 1<<20)
+	j := openJournal(t, s.upgrade.stateDir, 1<<20)
 	if m := j.Message("m"); m == nil || len(m.Attempts) > 0 {
 		t.Errorf("it leaves %+v", m)
 	}
 	j.Close()
-	run(t, p, func(c *config.Config) { c.State = s.stateDir })
+	run(t, p, func(c *config.Config) { c.State = s.upgrade.stateDir })
 	if c := e.Next(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
--- /dev/null
+++ b/internal/sender/listening.go
@@ -0,0 +1,86 @@
+package sender
+
+import (
+	"context"
+	"fmt"
+	"net"
+
+	"onyxdyke.example/onyxdyke/internal/retry"
+)
+
+// ListenFunc opens a listener for clients.
+type ListenFunc = func() (net.Listener, error)
+
+// listening is how the loop gets its listener for clients, and hears that it has ended.
+type listening struct {
+	open   func() // starts to open a listener; nil before Run is that far
+	opened chan listenerOrError
+	ended  chan error // nil where this process has closed it
+}
+
+// listenerOrError is a listener for clients, or why there is none.
+type listenerOrError struct {
+	net.Listener
+	err error
+}
+
+func newListening() *listening {
+	return &listening{opened: make(chan listenerOrError, 1), ended: make(chan error, 1)}
+}
+
+// startListening opens the listener for clients, unless the shutdown has been requested already: then the process
+// only ends what it has resumed. The goroutine ends by itself, at the latest some time after ctx; its result stays
+// unread then.
+func (s *Sender) startListening(ctx context.Context, listen ListenFunc) {
+	s.listening.open = func() {
+		go func() { s.listening.opened <- s.openListener(ctx, listen) }()
+	}
+	if ctx.Err() == nil {
+		s.listening.open()
+	}
+}
+
+// openListener opens a listener for clients. As long as it fails for a transient reason it tries again, until ctx ends.
+func (s *Sender) openListener(ctx context.Context, listen ListenFunc) listenerOrError {
+	var listener net.Listener
+	err := retry.OnTransient(ctx, s.log, "the clients' address", func() (err error) {
+		listener, err = listen()
+		return err
+	})
+	return listenerOrError{Listener: listener, err: err}
+}
+
+// handleListener serves an opened listener. After a shutdown request or a hand-over it is too late for that: new
+// clients are the next process's.
+func (s *Sender) handleListener(ctx context.Context, opened listenerOrError) {
+	switch {
+	case opened.err != nil && ctx.Err() == nil:
+		s.shutdown.finish(fmt.Errorf("listen: %w", opened.err))
+	case opened.err != nil:
+	case ctx.Err() != nil || s.upgrade.handedOver:
+		_ = opened.Close() // nobody has connected through it
+	default:
+		s.serveListener(opened.Listener)
+	}
+}
+
+// serveListener accepts clients from a listener. The goroutine ends when the listener is closed, by the server's end
+// at the latest.
+func (s *Sender) serveListener(listener net.Listener) {
+	if s.env.WrapListener != nil {
+		listener = s.env.WrapListener(listener)
+	}
+	limited := s.server.listenOn(listener)
+	go func() { s.listening.ended <- s.server.serve(limited) }()
+	s.server.closing.Store(false)
+	s.server.ready.Store(true)
+	s.log.Info("ready", "name", s.config.Name, "listen", listener.Addr().String(),
+		"resumed", s.messages.pending, "notices", len(s.notices.pending))
+}
+
+// handleListenerEnd ends the process if its listener has failed for good.
+func (s *Sender) handleListenerEnd(err error) {
+	if err != nil && !s.upgrade.handedOver {
+		s.shutdown.finish(fmt.Errorf("clients: %w", err))
+	}
+}
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -7,24 +7,59 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// What the loop does with news of the endpoint list.
+// handleEndpointList appends what a list changes to the journal and applies it.
+func (s *Sender) handleEndpointList(e endpointListEvent) []dispatch.Event {
+	changes := s.list.changes(e.Update)
+	s.logEndpointList(e.Version, changes)
+	s.journal.AppendEndpointList(e.Version, changes)
+	return []dispatch.Event{s.applyEndpointList(e.Update, e.Full)}
+}
+
+// logEndpointList logs what a list changes: one line, and at debug level one for each endpoint that accepts no new
+// calls.
+func (s *Sender) logEndpointList(version int64, changes []endpointlist.Endpoint) {
+	if len(changes) == 0 {
+		return
+	}
+	notServing := 0
+	for _, t := range changes {
+		if t.State != endpointlist.StateServing {
+			notServing++
+			s.log.Debug("endpoint stops", "endpoint", t.ID, "state", t.State, "version", version)
+		}
+	}
+	s.log.Info("list changed", "version", version, "endpoints", len(changes), "not_serving", notServing)
+}
+
+// applyEndpointList updates the endpoints by a list, or by changes to it, and translates that for the dispatcher.
+func (s *Sender) applyEndpointList(update endpointlist.Update, full bool) dispatch.Event {
+	translated := dispatch.EndpointListUpdate{Full: full}
+	s.listVersion = update.Version
+	if full {
+		s.list.clear()
+	}
+	for _, target := range update.Endpoints {
+		translated.Endpoints = append(translated.Endpoints, s.list.line(target, s.config, s.pool))
+	}
+	return translated
+}
 
-// relist is the list as news for a module that knows nothing yet: each endpoint once, so that the calls that are
-// out have theirs even if it drains or is gone, and then the list as it is.
-func (s *Sender) endpointListEvents() []dispatch.Event {
-	var all, now dispatch.EndpointListUpdate
-	all.Full, now.Full = true, true
+// endpointListEvents is the list for a dispatcher that knows nothing yet. It comes first with each endpoint as ready, so
+// that the calls in flight have theirs even if it drains or is gone, and then as it is.
+func (s *Sender) endpointListEvents() (allReady, current dispatch.EndpointListUpdate) {
+	allReady.Full, current.Full = true, true
 	for _, e := range s.list.byNumber {
-		line := s.list.line(e.entry, s.config, s.pool)
-		ready := line
+		translated := s.list.line(e.entry, s.config, s.pool)
+		ready := translated
 		ready.Ready = true
-		all.Endpoints, now.Endpoints = append(all.Endpoints, ready), append(now.Endpoints, line)
+		allReady.Endpoints = append(allReady.Endpoints, ready)
+		current.Endpoints = append(current.Endpoints, translated)
 	}
-	return []dispatch.Event{all, now}
+	return allReady, current
 }
 
-// listStale books whether the list is stale. What has not been written by then is not written any more.
-func (s *Sender) setEndpointListStale(stale bool) dispatch.Event {
+// setEndpointListStale notes whether the list is stale. Calls that are not written by then are aborted.
+func (s *Sender) setEndpointListStale(stale bool) []dispatch.Event {
 	if stale {
 		s.metrics.CountReason(metrics.ReasonDiscovery, discovery.ReasonStale)
 		s.log.Warn("the list is stale: discovery cannot be asked, and nothing is sent")
@@ -32,42 +67,24 @@
 	} else {
 		s.log.Info("the list is fresh again")
 	}
-	return dispatch.EndpointListStale{Stale: stale}
-}
-
-// logList logs what a list changes: one line, and where the log level asks for it one for each endpoint that takes nothing
-// new any more.
-func (s *Sender) logList(version int64, changes []endpointlist.Endpoint) {
-	if len(changes) == 0 {
-		return
-	}
-	stopped := 0
-	for _, t := range changes {
-		if t.State != endpointlist.StateServing {
-			stopped++
-			s.log.Debug("endpoint stops", "endpoint", t.ID, "state", t.State, "version", version)
-		}
-	}
-	s.log.Info("list changed", "version", version, "endpoints", len(changes), "not_serving", stopped)
+	return []dispatch.Event{dispatch.EndpointListStale{Stale: stale}}
 }
 
-func (s *Sender) applyEndpointList(t endpointlist.Update, whole bool) dispatch.Event {
-	news := dispatch.EndpointListUpdate{Full: whole}
-	s.listVersion = t.Version
-	if whole {
-		s.list.clear()
-	}
-	for _, line := range t.Endpoints {
-		news.Endpoints = append(news.Endpoints, s.list.line(line, s.config, s.pool))
+// handleDiscoveryFailure watches the list again.
+func (s *Sender) handleDiscoveryFailure(err error) []dispatch.Event {
+	s.log.Warn("discovery failed", "err", err)
+	if !s.config.Settings.PollsEndpointList {
+		s.requestEndpointList()
 	}
-	return news
+	return []dispatch.Event{dispatch.EndpointListUpdate{Failed: true}}
 }
 
-// ask begins a watch of the list. Where the settings have the list pushed, the module asks for nothing, and the
-// sender watches by itself from its start on: on sockets a change comes to nobody unasked.
+// requestEndpointList asks discovery's goroutine to watch the list. Where the settings have the list pushed, the
+// dispatcher never asks for it, and the sender watches by itself from its start on: on a socket no change arrives
+// without a request.
 func (s *Sender) requestEndpointList() {
 	select {
 	case s.watchRequests <- struct{}{}:
-	default:
+	default: // one request is queued already
 	}
 }
--- a/internal/sender/logwriter.go
+++ b/internal/sender/logwriter.go
@@ -10,44 +10,46 @@
 )
 
 const (
-	logRoom  = 1024                   // lines on their way
-	logFlush = 100 * time.Millisecond // at the end, for those to be written
+	logQueueLength  = 1024                   // lines that wait to be written
+	logFlushTimeout = 100 * time.Millisecond // at the end of the process, for those to be written
 )
 
-// logWriter writes lines to a destination that may stand still or be gone, and never holds its caller up: lines for
-// which there is no room are dropped, and their number is written when there is room again.
+// logWriter writes lines to a destination that may block or be closed, and never blocks its caller: lines for which the
+// queue is full are dropped, and their number is written once there is room again.
 type logWriter struct {
-	to      io.Writer
-	lines   chan logLine
-	dropped atomic.Int64
+	destination io.Writer
+	lines       chan logLine
+	dropped     atomic.Int64
 }
 
-// logLine is a line to be written or, with done, a mark that is closed when it is reached.
+// logLine is a line to be written or, with reached, a mark in the queue.
 type logLine struct {
-	text []byte
-	done chan struct{}
+	text    []byte
+	reached chan struct{} // closed when all lines before it are written
 }
 
-func newLogWriter(to io.Writer) *logWriter {
-	w := &logWriter{to: to, lines: make(chan logLine, logRoom)}
+// newLogWriter starts a writer. Its goroutine ends with the process only: a write that blocks cannot be ended.
+func newLogWriter(destination io.Writer) *logWriter {
+	w := &logWriter{destination: destination, lines: make(chan logLine, logQueueLength)}
 	go w.run()
 	return w
 }
 
 func (w *logWriter) run() {
 	for line := range w.lines {
-		if line.done != nil {
-			close(line.done)
+		if line.reached != nil {
+			close(line.reached)
 			continue
 		}
+		// Where a write fails there is nobody left to report that to.
 		if n := w.dropped.Swap(0); n > 0 {
-			fmt.Fprintf(w.to, "level=WARN msg=\"log lines dropped\" lines=%d\n", n)
+			_, _ = fmt.Fprintf(w.destination, "level=WARN msg=\"log lines dropped\" lines=%d\n", n)
 		}
-		w.to.Write(line.text) // nobody could be told that it fails
+		_, _ = w.destination.Write(line.text)
 	}
 }
 
-// Write takes a line. It reports success also where the line is dropped.
+// Write queues a line. It reports success also where the line is dropped.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- logLine{text: append([]byte(nil), line...)}:
@@ -57,23 +59,23 @@
 	return len(line), nil
 }
 
-// flush waits a moment until what was taken has been written.
+// flush waits until what is queued has been written, at most for logFlushTimeout.
 func (w *logWriter) flush() {
-	timeout := time.After(logFlush)
-	mark := logLine{done: make(chan struct{})}
+	timeout := time.After(logFlushTimeout)
+	mark := logLine{reached: make(chan struct{})}
 	select {
 	case w.lines <- mark:
 	case <-timeout:
 		return
 	}
 	select {
-	case <-mark.done:
+	case <-mark.reached:
 	case <-timeout:
 	}
 }
 
-// NewLogger writes to standard error from the level that EDGE_LOG_LEVEL names, else from info. At debug each message is
-// followed by its id. flush is to be called before the process ends.
+// NewLogger logs to standard error, from the level that EDGE_LOG_LEVEL names, else from info. At debug level each
+// message's way is logged under its ID. The caller calls flush before the process ends.
 func NewLogger() (log *slog.Logger, flush func()) {
 	var level slog.Level
 	if level.UnmarshalText([]byte(os.Getenv("EDGE_LOG_LEVEL"))) != nil {
--- /dev/null
+++ b/internal/sender/messageend.go
@@ -0,0 +1,68 @@
+package sender
+
+import (
+	"net/http"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
+	"onyxdyke.example/onyxdyke/internal/metrics"
+)
+
+// endedMessage is a message that the dispatcher has ended. Its end is announced once it is written to the journal.
+type endedMessage struct {
+	*message
+	outcome    string                // journal.OutcomeGivenUp or journal.OutcomeReturned
+	clients    []chan clientResponse // wait for the response; without any the end is announced by a notice
+	retryAfter time.Duration
+}
+
+// endMessage records the end of a message that the dispatcher has ended, and appends it to ended for announceEnd.
+func (s *Sender) endMessage(
+	ended []endedMessage, id dispatch.MessageID, outcome string, retryAfter time.Duration,
+) []endedMessage {
+	m := s.messages.byNumber[id]
+	if m == nil || m.ended {
+		return ended
+	}
+	if outcome == journal.OutcomeReturned {
+		s.metrics.CountReason(metrics.ReasonRejected, "by_decision")
+		s.metrics.MessageDeclined(m.Class)
+	} else {
+		s.metrics.MessageAborted(m.Class)
+	}
+	end := endedMessage{message: m, outcome: outcome, clients: m.clients, retryAfter: retryAfter}
+	m.clients = nil
+	if end.clients != nil {
+		s.recordEnd(m, journal.Record{Outcome: journal.OutcomeAnswered})
+	} else {
+		s.recordEnd(m, journal.Record{Outcome: outcome, RetryAfterMS: retryAfter.Milliseconds()})
+	}
+	s.messages.removeIfDone(m)
+	return append(ended, end)
+}
+
+// announceEnd announces a message's end: in the response to its client, or by a notice if the client has been told
+// already that the message is accepted. That the message had no effect is promised only if its end is written: else
+// the next process, which may start at any moment, would send it.
+func (s *Sender) announceEnd(end endedMessage, written bool) {
+	if end.outcome == journal.OutcomeReturned && !written {
+		s.metrics.CountReason(metrics.ReasonRejected, "not_written")
+		end.outcome, end.retryAfter = journal.OutcomeGivenUp, 0
+		if end.clients == nil {
+			s.journal.Append(end.Message, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+		}
+	}
+	if end.clients == nil {
+		s.notices.add(noticeOf(end.Message))
+		return
+	}
+	status := http.StatusInternalServerError
+	if end.outcome == journal.OutcomeReturned {
+		status = http.StatusServiceUnavailable
+		_ = s.invariants.CheckPromise(end.ID, written) // it counts and logs a violation
+	}
+	for _, client := range end.clients {
+		client <- clientResponse{status: status, retryAfter: end.retryAfter, text: end.outcome}
+	}
+}
--- a/internal/sender/notices_test.go
+++ b/internal/sender/notices_test.go
@@ -39,21 +39,21 @@
 			t.Fatal(err)
 		}
 		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
-		s.pendingNotices = append(s.pendingNotices, noticeOf(m))
-		s.deliverNotices()
+		s.notices.add(noticeOf(m))
+		s.notices.deliver()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go s.discovery.DeliverNotices(ctx, s.noticeBatches, func(n []discovery.Notice) { s.post(ctx, noticesDeliveredEvent{n}) })
+	go s.discovery.DeliverNotices(ctx, s.notices.batches, func(n []discovery.Notice) { s.post(ctx, noticesDeliveredEvent{n}) })
 	owe("a")
 	if text := st.Receive(t, posts); !strings.Contains(text, `"a"`) {
 		t.Fatalf("first %s", text)
 	}
 	began := time.Now()
 	owe("b")
-	for len(s.pendingNotices) > 0 {
+	for len(s.notices.pending) > 0 {
 		s.handleEvent(ctx, st.Receive(t, s.events))
-		s.deliverNotices()
+		s.notices.deliver()
 	}
 	if text := st.Receive(t, posts); !strings.Contains(text, `"a"`) || !strings.Contains(text, `"b"`) {
 		t.Errorf("then %s", text)
--- a/internal/sender/process.go
+++ b/internal/sender/process.go
@@ -4,7 +4,6 @@
 	"context"
 	"log/slog"
 	"math"
-	"net"
 	"os"
 	"os/signal"
 	"runtime"
@@ -15,12 +14,12 @@
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
-// memoryPart of the machine's memory is what the collector aims to stay under; the journal's pages and
-// the kernel's buffers count as well.
-const memoryPart = 0.6
+// heapShare of the memory limit is what the garbage collector aims to stay under: the journal's pages and the kernel's
+// buffers count against the limit as well.
+const heapShare = 0.6
 
-// RunProcess is a sender as a process of its own: it reads its configuration, listens, and serves until SIGTERM. SIGHUP
-// makes it read the configuration again.
+// RunProcess runs a sender as a process of its own: it reads its configuration, listens, and serves until SIGTERM. At
+// SIGHUP it reads the configuration again.
 func RunProcess(env Environment) error {
 	log, flush := NewLogger()
 	defer flush()
@@ -34,21 +33,16 @@
 func runProcess(env Environment, log *slog.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hup := make(chan os.Signal, 1) // from the first: unheeded it would end the process
+	hup := make(chan os.Signal, 1) // before all else: without a handler SIGHUP would end the process
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go: the write fails then, as any other
+	signal.Ignore(syscall.SIGPIPE) // the log's reader may be gone: the write fails then like any other
 	c, err := config.Load(ctx, log, env.ReadFile, os.Getenv)
 	if err != nil {
 		return err
 	}
-	if c.Limits.Cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
-	}
-	if c.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(c.Limits.MemoryMB * 1e6 * memoryPart))
-	}
-	var listen func() (net.Listener, error)
+	limitRuntime(c.Limits)
+	var listen ListenFunc
 	err = retry.OnTransient(ctx, log, "the passed socket", func() (err error) {
 		listen, err = c.Listener()
 		return err
@@ -60,13 +54,23 @@
 	if err != nil {
 		return err
 	}
-	serving, ended := context.WithCancel(context.Background()) // for longer than ctx: also while it leaves
-	defer ended()
-	go s.reloadOn(serving, hup)
+	serving, cancel := context.WithCancel(context.Background()) // for longer than ctx: through the shutdown as well
+	defer cancel()
+	go s.reloadOn(serving, hup) // nobody waits for it: the process ends
 	return s.Run(ctx, listen)
 }
 
-// reloadOn takes a new configuration at each signal.
+// limitRuntime keeps Go's runtime within the machine's limits.
+func limitRuntime(limits config.Limits) {
+	if limits.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
+	}
+	if limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(limits.MemoryMB * 1e6 * heapShare))
+	}
+}
+
+// reloadOn applies a new configuration at each signal, until ctx ends.
 func (s *Sender) reloadOn(ctx context.Context, hup <-chan os.Signal) {
 	for {
 		select {
--- a/internal/sender/reload.go
+++ b/internal/sender/reload.go
@@ -9,10 +9,8 @@
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
-// New configurations in service.
-
-// Reload reads the configuration again and takes from it what may change in service: the platform's address and
-// the settings. A file that cannot be used changes nothing.
+// Reload reads the configuration again and applies what may change in service: the platform's address and the settings.
+// A file that cannot be used changes nothing. It may be called from any goroutine.
 func (s *Sender) Reload(ctx context.Context, getenv func(string) string) error {
 	var c *config.Config
 	err := retry.OnTransient(ctx, s.log, "the new configuration", func() (err error) {
@@ -25,17 +23,19 @@
 	}
 	s.discovery.Move(c.Discovery)
 	if s.post(ctx, reloadEvent{c}) {
-		s.server.conf.Store(c) // from here on requests are read by it; the loop has it first
+		s.server.conf.Store(c) // requests are read by it from here on; the loop has it first
 	}
 	return nil
 }
 
-// applyConfig goes on by a new configuration. Messages held keep the rules that they were taken under.
+// applyConfig switches to a new configuration. Pending messages keep the rules under which they were accepted.
 func (s *Sender) applyConfig(c *config.Config) []dispatch.Event {
 	s.config = c
 	s.pool.SetMaxIdle(c.MaxIdleConnections())
 	s.metrics.RegisterClasses(c.Classes)
 	s.metrics.ConfigReloaded(true)
-	s.log.Info("reloaded", "discovery", c.Discovery, "classes", strings.Join(c.Classes, ","), "attempts", c.Settings.MaxAttempts)
-	return []dispatch.Event{dispatch.SettingsChanged{Settings: c.Settings}, s.endpointListEvents()[1]}
+	s.log.Info("reloaded", "discovery", c.Discovery, "classes", strings.Join(c.Classes, ","),
+		"attempts", c.Settings.MaxAttempts)
+	_, current := s.endpointListEvents()
+	return []dispatch.Event{dispatch.SettingsChanged{Settings: c.Settings}, current}
 }
--- /dev/null
+++ b/internal/sender/restore.go
@@ -0,0 +1,116 @@
+package sender
+
+import (
+	"context"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/handover"
+	"onyxdyke.example/onyxdyke/internal/journal"
+)
+
+// firstListTimeout is how long a start waits for discovery's first answer.
+const firstListTimeout = 300 * time.Millisecond
+
+// callFactory makes this process's entry for an attempt that a snapshot names as in flight.
+type callFactory func(handover.InFlightAttempt) *outCall
+
+// restoreState gives the dispatcher what an earlier process left, before any client is accepted. The snapshot is nil
+// unless the earlier process handed over.
+func (s *Sender) restoreState(ctx context.Context, snapshot *handover.Snapshot, newCall callFactory) {
+	var events []dispatch.Event
+	if snapshot != nil {
+		s.restoreSnapshot(ctx, snapshot)
+	} else {
+		events = s.restoreEndpointList(ctx)
+	}
+	inFlight := map[string]handover.InFlightAttempt{}
+	if snapshot != nil {
+		for _, attempt := range snapshot.InFlight {
+			inFlight[attempt.ID.Message] = attempt
+		}
+	}
+	for _, stored := range s.journal.Messages() {
+		if stored.PendingOutcome != "" {
+			s.notices.add(noticeOf(stored))
+			continue
+		}
+		restored := s.restoreMessage(stored)
+		if snapshot != nil {
+			restored.NotBefore = snapshot.BackoffUntil[stored.ID]
+		}
+		if attempt, ok := inFlight[stored.ID]; ok && s.canBeInFlight(stored, attempt) {
+			s.restoreCall(&restored, attempt, newCall)
+		}
+		events = append(events, restored)
+	}
+	s.dispatch(ctx, events)
+}
+
+// restoreSnapshot restores the endpoint list and the dispatcher. A snapshot's list is as new as can be.
+func (s *Sender) restoreSnapshot(ctx context.Context, snapshot *handover.Snapshot) {
+	for _, target := range snapshot.Endpoints { // in the order of the other dispatcher's numbers
+		s.list.line(target, s.config, s.pool)
+		s.listVersion = snapshot.ListVersion
+	}
+	for _, attempt := range snapshot.InFlight {
+		s.lastCallNumber = max(s.lastCallNumber, attempt.Call)
+	}
+	allReady, current := s.endpointListEvents()
+	s.dispatch(ctx, []dispatch.Event{allReady, current})
+	s.dispatcher.Restore(snapshot.Dispatcher)
+}
+
+// restoreEndpointList starts with the list that is known. The configuration's list may be older than what the earlier
+// process was told, so the journal's changes are applied to it. An endpoint on it may have drained since then:
+// nothing is sent until discovery has answered once, or firstListTimeout has passed.
+func (s *Sender) restoreEndpointList(ctx context.Context) []dispatch.Event {
+	known := s.journal.MergeEndpointList(s.config.Known)
+	s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(known, true)})
+	s.dispatch(ctx, []dispatch.Event{s.list.knownOutages(s.journal.Outages())})
+	select {
+	case e := <-s.events:
+		return s.handleEvent(ctx, e)
+	case <-time.After(firstListTimeout):
+		return nil
+	}
+}
+
+// restoreMessage translates a message from the journal for the dispatcher.
+func (s *Sender) restoreMessage(stored *journal.Message) dispatch.Message {
+	firstRun, mayHaveRun := stored.FirstRun()
+	return dispatch.Message{
+		ID:            s.messages.add(stored).number,
+		Class:         config.IndexOf(s.config.Classes, stored.Class, -1),
+		Tenant:        config.IndexOf(s.config.Tenants, stored.Tenant, -1),
+		Destination:   dispatch.DestinationID(stored.Destination),
+		Deadline:      stored.Deadline,
+		PriorAttempts: len(stored.Attempts),
+		MayHaveRun:    mayHaveRun,
+		FirstRunAt:    firstRun.SentAt,
+		FirstRunZone:  firstRun.Zone,
+		Rules:         stored.Rules.ForDispatcher(),
+		Resumed:       true,
+	}
+}
+
+// canBeInFlight reports whether a snapshot's attempt fits the message in the journal: only its last attempt can be in
+// flight, and an endpoint that was never listed has no call.
+func (s *Sender) canBeInFlight(stored *journal.Message, attempt handover.InFlightAttempt) bool {
+	return attempt.ID.Attempt == len(stored.Attempts)-1 && int(attempt.Endpoint) < len(s.list.byNumber)
+}
+
+// restoreCall makes a message's last attempt its first one in this process, in flight.
+func (s *Sender) restoreCall(restored *dispatch.Message, attempt handover.InFlightAttempt, newCall callFactory) {
+	m := s.messages.byNumber[restored.ID]
+	m.base, m.sends = attempt.ID.Attempt, 1
+	m.calls[0] = newCall(attempt)
+	restored.PriorAttempts = attempt.ID.Attempt
+	restored.InFlight = &dispatch.InFlightAttempt{
+		Endpoint: attempt.Endpoint,
+		Call:     attempt.Call,
+		SentAt:   attempt.SentAt,
+		Timeout:  attempt.Timeout,
+	}
+}
--- /dev/null
+++ b/internal/sender/sender.go
@@ -0,0 +1,189 @@
+package sender
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/discovery"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/endpoint"
+	"onyxdyke.example/onyxdyke/internal/invariant"
+	"onyxdyke.example/onyxdyke/internal/journal"
+	"onyxdyke.example/onyxdyke/internal/metrics"
+	"onyxdyke.example/onyxdyke/internal/retry"
+)
+
+const (
+	eventQueueLength = 1024 // events that wait for the loop
+	journalDiskShare = 0.96 // of the disk limit: the rest is for the file system's overhead
+
+	// heartbeatTimeout is how long the event loop may be silent before it counts as stuck.
+	heartbeatTimeout = 5 * time.Second
+)
+
+// Sender is one message sender. Its fields belong to the goroutine that runs Run, except where a comment says
+// otherwise.
+type Sender struct {
+	env        Environment
+	config     *config.Config
+	log        *slog.Logger
+	clock      *clock.Clock
+	dispatcher *dispatch.Dispatcher
+	journal    *journal.Journal // nil after a hand-over, and until this process is the owner
+	pool       *endpoint.Pool
+	list       endpoints
+	discovery  *discovery.Client
+	server     *server
+	metrics    *metrics.Registry
+	invariants *invariant.Checker
+
+	events        chan event    // posted by any goroutine
+	watchRequests chan struct{} // to discovery: watch the endpoint list
+	timer         *time.Timer   // the dispatcher's
+	journalRetry  *time.Timer   // when a journal that could not be written is tried again
+
+	messages        *messageTable
+	notices         *noticeQueue
+	callsInFlight   int
+	batchedMessages int    // messages so far that shared the call of another one
+	lastCallNumber  uint64 // calls so far, those of the predecessor included
+	listVersion     int64  // of the endpoint list
+
+	storageFailing  bool        // the dispatcher has been told that the journal cannot be written
+	journalFailing  atomic.Bool // the journal's last write failed; read by health
+	dispatchStopped bool        // the dispatcher makes no more decisions: events only go to the journal
+
+	listening *listening
+	upgrade   *upgrade
+	shutdown  *shutdown
+}
+
+// New opens the journal, unless another process holds the lock on the state directory; Run does the rest.
+func New(c *config.Config, log *slog.Logger) (*Sender, error) {
+	return NewIn(context.Background(), OperatingSystem(), c, log)
+}
+
+// NewIn is New in an environment other than the operating system's. What fails for a transient reason is retried
+// until ctx ends.
+func NewIn(ctx context.Context, env Environment, c *config.Config, log *slog.Logger) (*Sender, error) {
+	registry := metrics.New(c.Classes, invariant.RuleNames()...)
+	checker := invariant.NewChecker(log, registry)
+	s := &Sender{
+		env:           env,
+		config:        c,
+		log:           log,
+		clock:         clock.New(env.Wall()),
+		dispatcher:    dispatch.New(c.Settings, c.Seed),
+		list:          endpoints{byID: map[string]*listedEndpoint{}},
+		metrics:       registry,
+		invariants:    checker,
+		events:        make(chan event, eventQueueLength),
+		watchRequests: make(chan struct{}, 1),
+		timer:         time.NewTimer(time.Hour),
+		journalRetry:  time.NewTimer(time.Hour),
+		messages:      newMessageTable(),
+		notices:       newNoticeQueue(),
+		listening:     newListening(),
+		shutdown:      newShutdown(),
+	}
+	s.pool = s.newPool(env.Control)
+	s.discovery = discovery.New(discovery.Options{
+		Address: c.Discovery,
+		Senders: c.Settings.Senders,
+		Polled:  c.Settings.PollsEndpointList,
+		Metrics: s.metrics,
+		Log:     log,
+		Control: env.Control,
+	})
+	s.server = newServer(c, s.clock, log, func(ctx context.Context, sub submission) bool {
+		return s.post(ctx, submissionEvent{sub})
+	})
+	s.server.invariants, s.server.metrics = s.invariants, s.metrics
+	s.upgrade = newUpgrade(c.State, log, checker, s.post)
+	owned, err := s.upgrade.tryOwnership(ctx)
+	if err != nil {
+		return nil, err
+	}
+	if !owned {
+		return s, nil // another process holds the lock: Run takes over from it
+	}
+	return s, s.openJournal(ctx)
+}
+
+// openJournal opens the journal. It is called with the lock held.
+func (s *Sender) openJournal(ctx context.Context) error {
+	var opened *journal.Journal
+	err := retry.OnTransient(ctx, s.log, "the journal", func() (err error) {
+		budget := int64(s.config.Limits.DiskMB * 1e6 * journalDiskShare)
+		opened, err = journal.Open(s.env.Files, s.clock, s.config.State, budget)
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	if opened.Failed() {
+		s.log.Warn("the journal cannot be written: no message is accepted until it can", "directory", s.config.State)
+	}
+	if opened.DamagedLines() > 0 {
+		s.log.Warn("the journal has damaged records", "lines", opened.DamagedLines())
+	}
+	s.journal = opened
+	return nil
+}
+
+// Why the process is not ready to serve. HEALTH prints these texts.
+var (
+	errStarting       = errors.New("starting")
+	errLeaving        = errors.New("leaving")
+	errJournalFailing = errors.New("the journal cannot be written")
+	errAcceptFailing  = errors.New("clients cannot be accepted")
+	errLoopStuck      = errors.New("the loop is stuck")
+)
+
+// health returns why the process is not ready to serve, nil if it is. It may be called from any goroutine.
+func (s *Sender) health() error {
+	switch {
+	case !s.server.ready.Load():
+		return errStarting
+	case s.server.closing.Load():
+		return errLeaving
+	case s.journalFailing.Load():
+		return errJournalFailing
+	case s.server.acceptFails():
+		return errAcceptFailing
+	case time.Since(s.metrics.LastHeartbeat()) > heartbeatTimeout:
+		return errLoopStuck
+	}
+	return nil
+}
+
+// trace logs at debug level what happens to one message, under its ID.
+func (s *Sender) trace(what, id string, details ...any) {
+	if s.log.Enabled(context.Background(), slog.LevelDebug) {
+		s.log.Debug(what, append([]any{"id", id}, details...)...)
+	}
+}
+
+// publishMetrics stores the gauges where they can be read without the loop.
+func (s *Sender) publishMetrics() {
+	s.metrics.SetGauges(metrics.Gauges{
+		Outstanding: s.messages.pending,
+		Discovered:  s.list.listed,
+		Ejected:     s.dispatcher.EjectedEndpoints(),
+	})
+}
+
+// endpoint returns the endpoint with the dispatcher's number, nil if there is none.
+func (s *Sender) endpoint(number dispatch.EndpointID) *listedEndpoint {
+	e, err := s.list.number(number)
+	if err != nil {
+		s.log.Error("the dispatcher names an endpoint", "err", err)
+		return nil
+	}
+	return e
+}
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.gracePeriod, s.drainTimeout = 0, 100*time.Millisecond
+	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 100*time.Millisecond
 	return s
 }
 
@@ -452,7 +452,7 @@
 	addr := run(t, p, nil)
 	st.HandIn(t, addr, "early", "safe", 0, 20*time.Second)
 	e.Next(t)
-	st.HandIn(t, addr, "close", "safe", 0, clockSlack-10*time.Millisecond)
+	st.HandIn(t, addr, "close", "safe", 0, deliveryMargin-10*time.Millisecond)
 	if n := st.Receive(t, p.Notices); n.Message != "close" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
 	}
@@ -775,15 +775,15 @@
 			t.Fatal(err)
 		}
 		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
-		s.pendingNotices = append(s.pendingNotices, noticeOf(m))
+		s.notices.add(noticeOf(m))
 		if id == "c" {
-			s.deliverNotices()
+			s.notices.deliver()
 		}
 	}
-	batch := st.Receive(t, s.noticeBatches)
+	batch := st.Receive(t, s.notices.batches)
 	s.handleEvent(context.Background(), noticesDeliveredEvent{batch})
-	if len(s.pendingNotices) != 1 || s.pendingNotices[0].Message != "d" || s.journal.Message("d") == nil || s.journal.Len() != 1 {
-		t.Errorf("told %v, still owed %v, in the journal %d", batch, s.pendingNotices, s.journal.Len())
+	if len(s.notices.pending) != 1 || s.notices.pending[0].Message != "d" || s.journal.Message("d") == nil || s.journal.Len() != 1 {
+		t.Errorf("told %v, still owed %v, in the journal %d", batch, s.notices.pending, s.journal.Len())
 	}
 }
 
@@ -856,7 +856,7 @@
 			list.Endpoints[1].Cell = 0
 			s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(list, true)})
 			r := journal.Record{ID: "m1", Class: "safe", Tenant: "acme", Deadline: s.clock.Now() + st.Wait}
-			s.dispatch(ctx, s.handleEvent(ctx, submission{Record: r, answer: make(chan clientResponse, 1)}))
+			s.dispatch(ctx, s.handleEvent(ctx, submissionEvent{submission{Record: r, answer: make(chan clientResponse, 1)}}))
 			st.Receive(t, dialing)
 			s.dispatch(ctx, news(s, list))
 			close(up)
--- /dev/null
+++ b/internal/sender/shutdown.go
@@ -0,0 +1,138 @@
+package sender
+
+import (
+	"context"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/handover"
+)
+
+const (
+	// After SIGTERM the sender goes on unchanged for the grace period: clients still connect for a while, and what is
+	// delivered now does not wait for the next process. Then it starts no more calls, and waits for those in flight
+	// until the drain timeout, which counts from SIGTERM as well. The platform kills what is left at 3.7 s.
+	defaultGracePeriod  = 2200 * time.Millisecond
+	defaultDrainTimeout = 3200 * time.Millisecond
+)
+
+// shutdown is how far the end of the process has come. Its phases are
+//
+//	grace   from the request on: as before, but each response closes its connection
+//	drain   from graceOver on: no call is started; what is in flight ends
+//	answer  from drainOver on, or once nothing is in flight: the requests that have arrived are answered
+//
+// After a hand-over the calls that are in flight at drainOver are cancelled and reported to the successor, until
+// cancelOver.
+type shutdown struct {
+	gracePeriod  time.Duration
+	drainTimeout time.Duration // from the request on, the grace period included
+
+	requested  <-chan struct{} // nil once the shutdown has begun
+	graceOver  <-chan time.Time
+	drainOver  <-chan time.Time
+	cancelOver <-chan time.Time // nil unless calls have been cancelled
+	answered   chan struct{}    // closed when the server has ended; nil before that starts
+
+	finished bool
+	cause    error // why the process ends by itself, if it does
+}
+
+func newShutdown() *shutdown {
+	return &shutdown{gracePeriod: defaultGracePeriod, drainTimeout: defaultDrainTimeout}
+}
+
+// begin starts the clocks.
+func (d *shutdown) begin() {
+	d.graceOver, d.drainOver = time.After(d.gracePeriod), time.After(d.drainTimeout)
+}
+
+// finish ends the event loop.
+func (d *shutdown) finish(cause error) { d.finished, d.cause = true, cause }
+
+// beginShutdown starts the grace period.
+func (s *Sender) beginShutdown() {
+	s.shutdown.requested = nil
+	s.log.Info("stopping", "pending", s.messages.pending, "calls", s.callsInFlight)
+	s.server.closing.Store(true)
+	s.shutdown.begin()
+}
+
+// stopDispatching ends the grace period: from here on no call is started.
+func (s *Sender) stopDispatching() {
+	s.shutdown.graceOver = nil
+	s.dispatchStopped = true
+	if s.upgrade.handedOver && s.upgrade.successor == nil {
+		s.abandonForwarded() // this process does not take the lock again from here on
+	}
+	s.abortUnsent(func(*outCall) bool { return true })
+	s.log.Info("no further calls are started", "pending", s.messages.pending, "calls", s.callsInFlight)
+	s.server.leave()
+}
+
+// endDrain answers the remaining requests. A successor must not send again what the calls in flight carry, so these
+// are cancelled first, and each one's end is reported.
+func (s *Sender) endDrain() {
+	s.shutdown.drainOver = nil
+	if !s.upgrade.handedOver || s.callsInFlight == 0 {
+		s.endServer()
+		return
+	}
+	s.cancelCalls()
+	s.shutdown.cancelOver = time.After(handover.CancelTimeout)
+}
+
+// cancelCalls cancels the calls in flight.
+func (s *Sender) cancelCalls() {
+	for _, m := range s.messages.byNumber {
+		for _, c := range m.calls {
+			c.cancel()
+		}
+	}
+}
+
+// endServer answers the requests that have arrived and accepts no more. The goroutine's time is bounded by the
+// server, and the loop waits for it at answered.
+func (s *Sender) endServer() {
+	if s.shutdown.answered != nil {
+		return
+	}
+	answered := make(chan struct{})
+	s.shutdown.answered = answered
+	go func() {
+		s.server.end()
+		close(answered)
+	}()
+}
+
+// advanceShutdown goes on to the next phase as soon as nothing is left to wait for.
+func (s *Sender) advanceShutdown() {
+	switch {
+	case s.shutdown.finished:
+	case s.callsInFlight > 0 || len(s.notices.pending) > 0:
+	case s.shutdown.cancelOver != nil:
+		s.shutdown.finish(nil)
+	case s.dispatchStopped && s.server.idle():
+		s.endServer()
+	}
+}
+
+// stop ends the process's work. The calls that are still in flight are cut off; the journal has them as started. The
+// lock is freed last, after the journal is closed.
+func (s *Sender) stop(cancelWork context.CancelFunc) error {
+	cancelWork()
+	s.server.close()
+	s.log.Info("stopped", "pending", s.messages.pending, "calls", s.callsInFlight,
+		"notices", len(s.notices.pending), "batched", s.batchedMessages)
+	if s.upgrade.successor != nil {
+		s.upgrade.successor.Drain()
+	}
+	var err error
+	if s.journal != nil {
+		err = s.journal.Close()
+	}
+	if s.upgrade.lock != nil {
+		s.upgrade.removeSocket()
+		s.upgrade.releaseLock()
+	}
+	return err
+}
