--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -43,10 +43,10 @@
 	}
 }
 
-func TestSocketIsNamedAsReleased(t *testing.T) {
+func TestSocketKeepsItsReleasedName(t *testing.T) {
 	err := WithSocket("/state", func(path string) error {
 		if name := filepath.Base(path); name != "saffronyard-87517253f26a8523.sock" {
-			t.Errorf("the socket of the state folder is %s", name)
+			t.Errorf("the socket is named %s", name)
 		}
 		return nil
 	})
@@ -55,17 +55,17 @@
 	}
 }
 
-// leaves lists the fields of a value that are not zero, with their paths.
-func leaves(path string, v reflect.Value, to *[]string) {
+// appendFields lists the fields of a value that are not zero, with their paths.
+func appendFields(path string, v reflect.Value, to *[]string) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			leaves(path, v.Elem(), to)
+			appendFields(path, v.Elem(), to)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.IsExported() {
-				leaves(path+"."+f.Name, v.Field(i), to)
+				appendFields(path+"."+f.Name, v.Field(i), to)
 			}
 		}
 	case reflect.Slice, reflect.Array:
@@ -74,11 +74,11 @@
 			return
 		}
 		for i := range v.Len() {
-			leaves(fmt.Sprintf("%s[%d]", path, i), v.Index(i), to)
+			appendFields(fmt.Sprintf("%s[%d]", path, i), v.Index(i), to)
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			leaves(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key), to)
+			appendFields(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key), to)
 		}
 	case reflect.Int, reflect.Int64:
 		if v.Int() != 0 {
@@ -97,13 +97,13 @@
 
 func packetText(p any) string {
 	var lines []string
-	leaves("packet", reflect.ValueOf(p), &lines)
+	appendFields("packet", reflect.ValueOf(p), &lines)
 	slices.Sort(lines)
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// A packet of the release is read whole, and what is written of it holds the same fields under the same names.
-func TestHandOverPacketsAreThoseReleased(t *testing.T) {
+// Each packet of the release is read completely, and is written again with the same fields under the same names.
+func TestPacketsKeepTheReleasedFormat(t *testing.T) {
 	for _, name := range []string{"Hello", "Estate", "Submit", "Answer", "Ended", "Wait", "Cancel"} {
 		t.Run(name, func(t *testing.T) {
 			raw, err := os.ReadFile(filepath.Join("testdata", name+".gob"))
@@ -129,12 +129,22 @@
 }
 
 // An outcome has the same number on the wire as in the release.
-func TestHandOverNumbersOfOutcomes(t *testing.T) {
-	numbers := []dispatch.Outcome{dispatch.Served, dispatch.Errored, dispatch.Rejected, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionBroken,
-		dispatch.Cancelled, dispatch.NotSent, dispatch.NotStarted}
+func TestOutcomesKeepTheirReleasedNumbers(t *testing.T) {
+	numbers := []dispatch.Outcome{
+		dispatch.Served,
+		dispatch.Errored,
+		dispatch.Rejected,
+		dispatch.TimedOut,
+		dispatch.ConnectFailed,
+		dispatch.ConnectionBroken,
+		dispatch.Cancelled,
+		dispatch.NotSent,
+		dispatch.NotStarted,
+	}
 	for number, outcome := range numbers {
 		f := frozenOutcome{Outcome: uint8(number)}
-		if f.thaw().Outcome != outcome || freezeOutcome(dispatch.AttemptResult{Outcome: outcome}).Outcome != uint8(number) {
+		written := freezeOutcome(dispatch.AttemptResult{Outcome: outcome})
+		if f.thaw().Outcome != outcome || written.Outcome != uint8(number) {
 			t.Errorf("outcome %s is not %d", outcome, number)
 		}
 	}
--- a/internal/handover/frozensnapshot.go
+++ b/internal/handover/translatesnapshot.go
@@ -1,6 +1,6 @@
 package handover
 
-// The decision module's part of the hand-over's wire format, to and from its own types.
+// The dispatcher's snapshot to and from the wire format.
 
 import "onyxdyke.example/onyxdyke/internal/dispatch"
 
@@ -13,18 +13,44 @@
 }
 
 func freezeOracle(o dispatch.EstimatorSnapshot) frozenOracle {
-	return frozenOracle{Count: o.Count, Sum: o.Sum, Seen: o.Seen, Past: o.Past, Mean: o.Mean, Best: o.Best, Median: o.Median,
-		Quickest: o.Quickest, Doubled: o.Doubled, DoubledAt: o.DoubledAt}
+	return frozenOracle{
+		Count:     o.Count,
+		Sum:       o.Sum,
+		Seen:      o.Seen,
+		Past:      o.Past,
+		Mean:      o.Mean,
+		Best:      o.Best,
+		Median:    o.Median,
+		Quickest:  o.Quickest,
+		Doubled:   o.Doubled,
+		DoubledAt: o.DoubledAt,
+	}
 }
 
 func (f frozenOracle) thaw() dispatch.EstimatorSnapshot {
-	return dispatch.EstimatorSnapshot{Count: f.Count, Sum: f.Sum, Seen: f.Seen, Past: f.Past, Mean: f.Mean, Best: f.Best, Median: f.Median,
-		Quickest: f.Quickest, Doubled: f.Doubled, DoubledAt: f.DoubledAt}
+	return dispatch.EstimatorSnapshot{
+		Count:     f.Count,
+		Sum:       f.Sum,
+		Seen:      f.Seen,
+		Past:      f.Past,
+		Mean:      f.Mean,
+		Best:      f.Best,
+		Median:    f.Median,
+		Quickest:  f.Quickest,
+		Doubled:   f.Doubled,
+		DoubledAt: f.DoubledAt,
+	}
 }
 
 func freezeMemory(m dispatch.Snapshot) frozenMemory {
-	f := frozenMemory{Started: m.StartedAt, Came: freezeFading(m.Arrivals), All: freezeOracle(m.Overall), Keep: m.IdleTimeouts, Random: m.Random,
-		Tenants: m.Tenants}
+	f := frozenMemory{
+		Started: m.StartedAt,
+		Came:    freezeFading(m.Arrivals),
+		All:     freezeOracle(m.Overall),
+		Keep:    m.IdleTimeouts,
+		Random:  m.Random,
+		Tenants: m.Tenants,
+	}
 	for _, c := range m.Classes {
 		f.Classes = append(f.Classes, [2]frozenFading{freezeFading(c[0]), freezeFading(c[1])})
 	}
@@ -32,13 +58,25 @@
 		f.Routes = append(f.Routes, freezeRoute(r))
 	}
 	for _, e := range m.Endpoints {
-		f.Ends = append(f.Ends, frozenEndpoint{Endpoint: uint32(e.Endpoint), Recent: e.Recent, Fails: e.Fails, Crowded: e.Crowded})
+		f.Ends = append(f.Ends, frozenEndpoint{
+			Endpoint: uint32(e.Endpoint),
+			Recent:   e.Recent,
+			Fails:    e.Fails,
+			Crowded:  e.Crowded,
+		})
 	}
 	return f
 }
 
 func (f frozenMemory) thaw() dispatch.Snapshot {
-	m := dispatch.Snapshot{StartedAt: f.Started, Arrivals: f.Came.thaw(), Overall: f.All.thaw(), IdleTimeouts: f.Keep, Random: f.Random, Tenants: f.Tenants}
+	m := dispatch.Snapshot{
+		StartedAt:    f.Started,
+		Arrivals:     f.Came.thaw(),
+		Overall:      f.All.thaw(),
+		IdleTimeouts: f.Keep,
+		Random:       f.Random,
+		Tenants:      f.Tenants,
+	}
 	for _, c := range f.Classes {
 		m.Classes = append(m.Classes, [2]dispatch.DecayingCount{c[0].thaw(), c[1].thaw()})
 	}
@@ -46,8 +84,12 @@
 		m.Routes = append(m.Routes, r.thaw())
 	}
 	for _, e := range f.Ends {
-		m.Endpoints = append(m.Endpoints, dispatch.EndpointSnapshot{Endpoint: dispatch.EndpointID(e.Endpoint), Recent: e.Recent, Fails: e.Fails,
-			Crowded: e.Crowded})
+		m.Endpoints = append(m.Endpoints, dispatch.EndpointSnapshot{
+			Endpoint: dispatch.EndpointID(e.Endpoint),
+			Recent:   e.Recent,
+			Fails:    e.Fails,
+			Crowded:  e.Crowded,
+		})
 	}
 	return m
 }
@@ -64,7 +106,8 @@
 }
 
 func (f frozenRoute) thaw() dispatch.RouteSnapshot {
-	return dispatch.RouteSnapshot{Destination: dispatch.DestinationID(f.Destination), Endpoint: dispatch.EndpointID(f.Endpoint), PerEndpoint: f.Apart,
+	return dispatch.RouteSnapshot{Destination: dispatch.DestinationID(f.Destination),
+		Endpoint: dispatch.EndpointID(f.Endpoint), PerEndpoint: f.Apart,
 		Estimator: f.Oracle.thaw(), Tried: f.Tried.thaw(), Done: f.Done.thaw(),
 		Window: f.Window, Fails: f.Fails, Recent: f.Recent, Served: f.Served, Before: f.Before,
 		Limit: f.Limit, Pace: f.Pace, Tokens: f.Tokens,
