--- a/internal/handover/frozen.go
+++ b/internal/handover/frozen.go
@@ -1,19 +1,14 @@
 package handover
 
-// The hand-over's wire format. It is gob, so the field names below are what stands on the wire: gob matches fields by name and
-// drops, without an error, what the other side does not know. A release in service hands over to its successor and takes over
-// from it again on a roll-back, so these types keep the names that they had in the first release with a hand-over. They are
-// used for nothing else: packets are translated to and from them where they are written and read.
+// The hand-over's wire format. It is gob, so the field names below are what stands on the wire: gob matches fields by
+// name and drops, without an error, what the other side does not know. A release in service hands over to its
+// successor and takes over from it again on a roll-back, so these types keep the names that they had in the first
+// release with a hand-over. They are used for nothing else: packets are translated to and from them where they are
+// written and read.
 //
 // FROZEN: never rename, retype or remove a field. A new field may be added; the other side may lack it.
 
-import (
-	"time"
-
-	"onyxdyke.example/onyxdyke/internal/dispatch"
-	"onyxdyke.example/onyxdyke/internal/endpointlist"
-	"onyxdyke.example/onyxdyke/internal/journal"
-)
+import "time"
 
 type frozenPacket struct {
 	Hello  *frozenHello
@@ -88,7 +83,7 @@
 	Record frozenRecord
 }
 
-// frozenRecord is a journal record, of which a request sets the message's fields only.
+// frozenRecord is a journal record. A request sets only the fields of its message.
 type frozenRecord struct {
 	Op       string
 	ID       string
@@ -128,7 +123,7 @@
 	Text   string
 }
 
-// frozenMemory is what one decision module leaves to the next.
+// frozenMemory is the dispatcher's snapshot.
 type frozenMemory struct {
 	Started time.Duration
 	Came    frozenFading
@@ -175,151 +170,3 @@
 	Recent, Fails float64
 	Crowded       time.Duration
 }
-
-// freeze translates a packet to what is written.
-func freeze(p Packet) frozenPacket {
-	var f frozenPacket
-	if p.Hello != nil {
-		f.Hello = &frozenHello{Version: p.Hello.Version}
-	}
-	if p.Snapshot != nil {
-		f.Estate = freezeSnapshot(p.Snapshot)
-	}
-	if p.Submit != nil {
-		f.Submit = &frozenRequest{Seq: p.Submit.Sequence, Record: freezeRecord(p.Submit.Record)}
-	}
-	if p.Answer != nil {
-		f.Answer = &frozenAnswer{Seq: p.Answer.Sequence, Status: p.Answer.Status, Retry: p.Answer.RetryAfter, Text: p.Answer.Text}
-	}
-	if p.AttemptEnded != nil {
-		f.Ended = &frozenAttemptEnd{Flight: freezeAttemptID(p.AttemptEnded.Attempt), End: freezeOutcome(p.AttemptEnded.Result)}
-	}
-	if p.RetryAfter != nil {
-		f.Wait = &frozenWait{Endpoint: p.RetryAfter.Endpoint, Wait: p.RetryAfter.RetryAfter}
-	}
-	if p.Cancel != nil {
-		id := freezeAttemptID(*p.Cancel)
-		f.Cancel = &id
-	}
-	return f
-}
-
-// thaw translates what was read to a packet.
-func (f frozenPacket) thaw() Packet {
-	var p Packet
-	if f.Hello != nil {
-		p.Hello = &Hello{Version: f.Hello.Version}
-	}
-	if f.Estate != nil {
-		p.Snapshot = f.Estate.thaw()
-	}
-	if f.Submit != nil {
-		p.Submit = &ForwardedRequest{Sequence: f.Submit.Seq, Record: f.Submit.Record.thaw()}
-	}
-	if f.Answer != nil {
-		p.Answer = &ForwardedResponse{Sequence: f.Answer.Seq, Status: f.Answer.Status, RetryAfter: f.Answer.Retry, Text: f.Answer.Text}
-	}
-	if f.Ended != nil {
-		p.AttemptEnded = &AttemptReport{Attempt: f.Ended.Flight.thaw(), Result: f.Ended.End.thaw()}
-	}
-	if f.Wait != nil {
-		p.RetryAfter = &RetryAfterReport{Endpoint: f.Wait.Endpoint, RetryAfter: f.Wait.Wait}
-	}
-	if f.Cancel != nil {
-		id := f.Cancel.thaw()
-		p.Cancel = &id
-	}
-	return p
-}
-
-func freezeAttemptID(id AttemptID) frozenAttemptID {
-	return frozenAttemptID{ID: id.Message, Try: id.Attempt}
-}
-
-func (f frozenAttemptID) thaw() AttemptID { return AttemptID{Message: f.ID, Attempt: f.Try} }
-
-func freezeSnapshot(s *Snapshot) *frozenSnapshot {
-	f := &frozenSnapshot{ListVersion: s.ListVersion, Rests: s.BackoffUntil, Memory: freezeMemory(s.Dispatcher)}
-	for _, t := range s.Endpoints {
-		f.Endpoints = append(f.Endpoints, frozenTarget{ID: t.ID, Addr: t.Addr, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell,
-			State: t.State, Weight: t.Weight})
-	}
-	for _, l := range s.InFlight {
-		f.Flights = append(f.Flights, frozenFlight{ID: freezeAttemptID(l.ID), Call: l.Call, Endpoint: uint32(l.Endpoint),
-			At: l.SentAt, Timeout: l.Timeout})
-	}
-	return f
-}
-
-func (f *frozenSnapshot) thaw() *Snapshot {
-	s := &Snapshot{ListVersion: f.ListVersion, BackoffUntil: f.Rests, Dispatcher: f.Memory.thaw()}
-	for _, t := range f.Endpoints {
-		s.Endpoints = append(s.Endpoints, endpointlist.Endpoint{ID: t.ID, Addr: t.Addr, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell,
-			State: t.State, Weight: t.Weight})
-	}
-	for _, l := range f.Flights {
-		s.InFlight = append(s.InFlight, InFlightAttempt{ID: l.ID.thaw(), Call: l.Call, Endpoint: dispatch.EndpointID(l.Endpoint),
-			SentAt: l.At, Timeout: l.Timeout})
-	}
-	return s
-}
-
-// frozenOutcomes gives each outcome's number on the wire.
-var frozenOutcomes = [...]dispatch.Outcome{
-	0: dispatch.Served,
-	1: dispatch.Errored,
-	2: dispatch.Rejected,
-	3: dispatch.TimedOut,
-	4: dispatch.ConnectFailed,
-	5: dispatch.ConnectionBroken,
-	6: dispatch.Cancelled,
-	7: dispatch.NotSent,
-	8: dispatch.NotStarted,
-}
-
-func freezeOutcome(e dispatch.AttemptResult) frozenOutcome {
-	f := frozenOutcome{Message: uint64(e.Message), Attempt: e.Attempt, Endpoint: uint32(e.Endpoint), Outcome: uint8(e.Outcome),
-		Elapsed: e.Elapsed, Idle: e.ConnectionIdle, Over: e.Final, Wait: e.RetryAfter, Reported: e.HasLoadReport, Left: e.QuotaLeft, Limit: e.RateLimit}
-	for number, outcome := range frozenOutcomes {
-		if outcome == e.Outcome {
-			f.Outcome = uint8(number)
-		}
-	}
-	return f
-}
-
-func (f frozenOutcome) thaw() dispatch.AttemptResult {
-	e := dispatch.AttemptResult{Message: dispatch.MessageID(f.Message), Attempt: f.Attempt, Endpoint: dispatch.EndpointID(f.Endpoint),
-		Outcome: dispatch.Outcome(f.Outcome), Elapsed: f.Elapsed, ConnectionIdle: f.Idle, Final: f.Over, RetryAfter: f.Wait, HasLoadReport: f.Reported,
-		QuotaLeft: f.Left, RateLimit: f.Limit}
-	if int(f.Outcome) < len(frozenOutcomes) {
-		e.Outcome = frozenOutcomes[f.Outcome]
-	}
-	return e
-}
-
-func freezeRecord(r journal.Record) frozenRecord {
-	f := frozenRecord{Op: r.Op, ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Dest: r.Destination, Deadline: r.Deadline, Body: r.Body}
-	if r.Rules != nil {
-		f.Rules = &frozenRules{Effect: uint8(r.Rules.Effect), InZone: r.Rules.KeyScopedToZone, Ordered: r.Rules.Ordered,
-			Attempts: r.Rules.MaxAttempts, Aim: r.Rules.LatencyObjective, Deadline: r.Rules.Deadline, Window: r.Rules.IdempotencyWindow,
-			Worth: r.Rules.PriorityWeight, LateWorth: r.Rules.LateWeight}
-	}
-	for _, t := range r.Attempts {
-		f.Tries = append(f.Tries, frozenTry{At: t.SentAt, Endpoint: t.Endpoint, Zone: t.Zone, Never: t.NeverRan})
-	}
-	return f
-}
-
-func (f frozenRecord) thaw() journal.Record {
-	r := journal.Record{Op: f.Op, ID: f.ID, Key: f.Key, Class: f.Class, Tenant: f.Tenant, Destination: f.Dest, Deadline: f.Deadline, Body: f.Body}
-	if f.Rules != nil {
-		r.Rules = &journal.Rules{Effect: dispatch.Effect(f.Rules.Effect), KeyScopedToZone: f.Rules.InZone, Ordered: f.Rules.Ordered,
-			MaxAttempts: f.Rules.Attempts, LatencyObjective: f.Rules.Aim, Deadline: f.Rules.Deadline, IdempotencyWindow: f.Rules.Window,
-			PriorityWeight: f.Rules.Worth, LateWeight: f.Rules.LateWorth}
-	}
-	for _, t := range f.Tries {
-		r.Attempts = append(r.Attempts, journal.Attempt{SentAt: t.At, Endpoint: t.Endpoint, Zone: t.Zone, NeverRan: t.Never})
-	}
-	return r
-}
