--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -4,12 +4,16 @@
 	"context"
 	"io"
 	"net"
+	"strconv"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
+	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpoint"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -35,78 +39,164 @@
 	return <-result
 }
 
-// A call's bytes wait for a connection. A message that could not arrive in time any more by then has ended, and is not
-// written: the call goes on without it.
-func TestAMessageThatEndsBeforeItsSharedCallIsWrittenIsLeftOut(t *testing.T) {
+// A Retry-After applies from its header line on, also where the response never ends.
+func TestRetryAfterOfAnUnfinishedResponseApplies(t *testing.T) {
 	t.Parallel()
-	for name, short := range map[string]*endpoint.Item{"time up": {Timeout: 10 * time.Millisecond},
-		"too late to begin": {StartWithin: 10 * time.Millisecond, Timeout: st.Wait}} {
-		t.Run(name, func(t *testing.T) { testLeftOut(t, short) })
+	const wait = 1200 * time.Millisecond
+	var told atomic.Int64
+	e := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
+		if c.ID != "first" {
+			return st.Status(200)(c, conn)
+		}
+		told.Store(time.Now().UnixNano())
+		io.WriteString(conn, "HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: "+strconv.FormatInt(wait.Milliseconds(), 10)+"\r\nContent-Length: 100\r\n\r\nhalf")
+		return st.Silent(c, conn)
+	})
+	admin := freeAddress(t)
+	s := startSenderIn(t, OperatingSystem(), st.NewPlatform(t, e.Addr), func(c *config.Config) { c.Admin = admin })
+	st.HandIn(t, s.addr, "first", "unsafe", 0, 15*time.Second)
+	e.Next(t)
+	for told.Load() == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	time.Sleep(150 * time.Millisecond)
+	st.HandIn(t, s.addr, "second", "safe", 0, 15*time.Second)
+	c := e.Next(t)
+	if after := time.Since(time.Unix(0, told.Load())); c.ID != "second" || after < wait {
+		t.Errorf("%s comes %v after a wait of %v was told", c.ID, after, wait)
+	}
+	if got := readMetrics(t, admin)["violations.wait"]; got != 0 {
+		t.Errorf("the guard had to stop %d calls", got)
 	}
 }
 
-func testLeftOut(t *testing.T, short *endpoint.Item) {
-	e := st.NewEndpoint(t, st.Text(200, `[{"id":"b","state":"ok"},{"id":"a","state":"ok"}]`))
-	s := newTest(t, st.NewPlatform(t, e.Addr), nil)
-	up := make(chan struct{})
-	s.config.ConnectTimeout = st.Wait
-	s.pool = s.newPool(func(string, string, syscall.RawConn) error { <-up; return nil })
-	var items []callItem
-	for id, item := range map[string]*endpoint.Item{"a": short, "b": {Timeout: st.Wait}} {
-		item.ID, item.LastAttempt = id, true
-		items = append(items, callItem{Item: item, message: testMessage(id)})
+// A machine that was cut off leaves idle connections that are silent: after a time-out there the next call opens a new
+// connection.
+func TestTimeoutClosesIdleConnections(t *testing.T) {
+	t.Parallel()
+	var cut atomic.Bool
+	both := make(chan struct{}, 2)
+	answer := make(chan struct{})
+	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
+		if c.Conn <= 2 && cut.Load() {
+			return st.Silent(c, nc)
+		}
+		if c.Conn <= 2 {
+			both <- struct{}{}
+			<-answer // two connections are needed
+		}
+		return st.Status(200)(c, nc)
+	})
+	p := st.NewPlatform(t, e.Addr)
+	s := newTest(t, p, nil)
+	at := testEndpoint(e.Addr)
+	s.list.byNumber = append(s.list.byNumber, at)
+	served := make(chan struct{}, 2)
+	for range 2 {
+		go func() { callOnce(s.pool, at, st.Wait, ""); served <- struct{}{} }()
 	}
-	s.startCall(context.Background(), testEndpoint(e.Addr), items, true)
-	alone := st.Receive(t, s.events).(callEndedEvent)
-	if end := alone.ends[0]; alone.callDone || end.message.ID != "a" || end.Outcome != dispatch.NotSent {
-		t.Errorf("first ends %s: %+v", end.message.ID, alone)
+	st.Receive(t, both)
+	st.Receive(t, both)
+	close(answer)
+	st.Receive(t, served)
+	st.Receive(t, served)
+	if n := s.pool.IdleConnections(); n != 2 {
+		t.Fatalf("%d idle connections", n)
 	}
-	close(up)
-	if parts := e.Next(t).Parts(t); len(parts) != 1 || parts[0].ID != "b" {
-		t.Errorf("the endpoint got %+v", parts)
+	cut.Store(true)
+	began := time.Now()
+	end := callOnce(s.pool, at, 30*time.Millisecond, "")
+	end.Elapsed = time.Since(began)
+	m := &message{Message: &journal.Message{}, ended: true, calls: map[int]*outCall{0: {cancel: func() {}}}}
+	s.handleCallEnd(callEndedEvent{[]attemptEnd{{m, 0, end}}, true})
+	if n := s.pool.IdleConnections(); n != 0 {
+		t.Errorf("%d idle connections after a time-out", n)
 	}
-	for _, end := range st.Receive(t, s.events).(callEndedEvent).ends {
-		if want := map[string]dispatch.Outcome{"a": dispatch.NotSent, "b": dispatch.Served}[end.message.ID]; end.Outcome != want {
-			t.Errorf("%s ended as %d, want %d", end.message.ID, end.Outcome, want)
-		}
+	if got := callOnce(s.pool, at, st.Wait, ""); !got.Final {
+		t.Errorf("the next call: %+v", got)
 	}
 }
 
-// In a shared call whose bytes have not arrived when one message's time is up, they would arrive after its end: the call
-// is abandoned for all.
-func TestASharedCallThatHasNotArrivedIsAbandonedAtAnEnd(t *testing.T) {
+// Whether the idempotency window is still open is checked when a retry is written, not when it was decided: one whose
+// connection comes up after the window is not written at all.
+func TestRetryAfterTheIdempotencyWindowIsNotWritten(t *testing.T) {
 	t.Parallel()
-	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
-	}}
-	l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	const window = 500 * time.Millisecond
+	e := st.NewEndpoint(t, st.Status(500, "Connection: close"))
+	p := st.NewPlatform(t, e.Addr)
+	s := newTest(t, p, func(c *config.Config) {
+		c.Settings.Classes[1].IdempotencyWindow = window
+		c.Settings.MaxAttempts = 2 // the repeat is the last, and has all the time that is left
+	})
+	var dials atomic.Int32
+	again, up := make(chan struct{}), make(chan struct{})
+	s.pool = s.newPool(func(string, string, syscall.RawConn) error {
+		if dials.Add(1) == 2 {
+			close(again)
+			<-up
+		}
+		return nil
+	})
+	addr, listen := platformSocket(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- s.Run(ctx, listen) }()
+	st.HandIn(t, addr, "m", "keyed", 0, 15*time.Second)
+	e.Next(t)
+	first := time.Now()
+	st.Receive(t, again)
+	<-time.After(time.Until(first.Add(window)))
+	close(up)
+	if n := st.Receive(t, p.Notices); n.Message != "m" || n.Outcome != "given_up" {
+		t.Errorf("notice %+v", n)
 	}
-	defer l.Close()
-	s := newTest(t, st.NewPlatform(t), nil)
-	var items []callItem
-	for id, timeout := range map[string]time.Duration{"a": 50 * time.Millisecond, "b": time.Hour} {
-		item := &endpoint.Item{ID: id, Body: make([]byte, 20<<10), Timeout: timeout, LastAttempt: true}
-		items = append(items, callItem{Item: item, message: testMessage(id)})
+	cancel()
+	if err := st.Receive(t, done); err != nil {
+		t.Error(err)
 	}
-	s.startCall(context.Background(), testEndpoint(l.Addr().String()), items, true)
-	c, err := l.Accept() // it takes nothing in but what the machine does
-	if err != nil {
-		t.Fatal(err)
+	if len(e.Calls) > 0 {
+		t.Error("its repeat has been written")
 	}
-	defer c.Close()
-	// The call's end may overtake that of the message alone, which is booked once all the same.
-	for over := false; !over; {
-		end := st.Receive(t, s.events).(callEndedEvent)
-		over = end.callDone
-		for _, it := range end.ends {
-			if it.message.ID == "b" && it.Outcome != dispatch.ConnectionBroken {
-				t.Errorf("b ended as %d", it.Outcome)
+}
+
+// A call that still waits for its connection when its endpoint drains or is removed is not written any more: it could
+// arrive after the drain applies.
+func TestUnsentCallToADrainedEndpointIsAborted(t *testing.T) {
+	t.Parallel()
+	for name, news := range map[string]func(s *Sender, list endpointlist.Update) []dispatch.Event{
+		"the endpoint drains": func(s *Sender, list endpointlist.Update) []dispatch.Event {
+			list.Endpoints[0].State = "DRAINING"
+			return []dispatch.Event{s.applyEndpointList(list, false)}
+		},
+		"the endpoint is gone": func(s *Sender, list endpointlist.Update) []dispatch.Event {
+			return []dispatch.Event{s.applyEndpointList(endpointlist.Update{Endpoints: list.Endpoints[1:]}, true)}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			e := st.NewEndpoint(t, st.Status(200))
+			p := st.NewPlatform(t, e.Addr, e.Addr)
+			s := newTest(t, p, nil)
+			dialing, up := make(chan struct{}, 1), make(chan struct{})
+			s.pool = s.newPool(func(string, string, syscall.RawConn) error {
+				dialing <- struct{}{}
+				<-up
+				return nil
+			})
+			ctx, list := context.Background(), s.config.Known
+			list.Endpoints[1].Cell = 0
+			s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(list, true)})
+			r := journal.Record{ID: "m1", Class: "safe", Tenant: "acme", Deadline: s.clock.Now() + st.Wait}
+			s.dispatch(ctx, s.handleEvent(ctx, submissionEvent{submission{Record: r, answer: make(chan clientResponse, 1)}}))
+			st.Receive(t, dialing)
+			s.dispatch(ctx, news(s, list))
+			close(up)
+			end := st.Receive(t, s.events).(callEndedEvent)
+			if got := end.ends[0]; got.message.ID != "m1" || got.Outcome != dispatch.NotSent {
+				t.Errorf("%+v", got)
 			}
-		}
-	}
-	if _, err := io.Copy(io.Discard, c); err == nil {
-		t.Error("the connection ended in order")
+			if len(e.Calls) > 0 {
+				t.Errorf("the endpoint got %+v", <-e.Calls)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/sender/delivery_test.go
@@ -0,0 +1,210 @@
+package sender
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/journal"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
+)
+
+// A message that arrives twice in one step has one outcome: where the first is rejected the second is not accepted.
+func TestDuplicateInOneStepGetsTheSameResponse(t *testing.T) {
+	t.Parallel()
+	s := newTest(t, st.NewPlatform(t, "127.0.0.1:1"), func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
+	defer s.journal.Close()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	hand := func(id string) submission {
+		return submission{Record: journal.Record{ID: id, Class: "safe", Tenant: "acme", Destination: 5, Deadline: s.clock.Now() + time.Minute},
+			answer: make(chan clientResponse, 1)}
+	}
+	for i := range 19 {
+		s.processEvents(ctx, submissionEvent{hand("m" + strconv.Itoa(i))})
+	}
+	first, second := hand("x"), hand("x")
+	s.events <- submissionEvent{second}
+	s.processEvents(ctx, submissionEvent{first})
+	if a, b := st.Receive(t, first.answer), st.Receive(t, second.answer); a.status != http.StatusServiceUnavailable || b != a {
+		t.Errorf("answered %+v and %+v", a, b)
+	}
+	if s.messages.pending != 19 {
+		t.Errorf("%d messages are held", s.messages.pending)
+	}
+}
+
+// A message is delivered with its ID, its key and its body.
+func TestMessageIsDelivered(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Status(200))
+	addr := startSender(t, st.NewPlatform(t, e.Addr), nil)
+	body := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("x", maxBody-4)
+	r := st.Message(t, addr, "m1", "keyed", 0, 5*time.Second, body)
+	r.Header.Set("X-Addressing", "other=1, dest=0")
+	if resp, text := st.Do(t, r); resp.StatusCode != http.StatusAccepted {
+		t.Fatalf("%s %s", resp.Status, text)
+	}
+	if c := e.Next(t); c.ID != "m1" || c.Key != "key-m1" || c.Body != body {
+		t.Errorf("%s %s, %d bytes", c.ID, c.Key, len(c.Body))
+	}
+}
+
+// The settings choose the names of classes and tenants: blanks and commas are allowed.
+func TestNamesMayContainBlanksAndCommas(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, e.Addr)
+	text := st.Config(p, t.TempDir())
+	settings := text["settings"].(map[string]any)
+	settings["services"].([]any)[1].(map[string]any)["name"] = "order, new"
+	settings["orgs"].([]any)[0].(map[string]any)["name"] = "acme & sons"
+	raw, err := json.Marshal(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := startSender(t, p, func(c *config.Config) {
+		parsed, err := config.Parse(raw)
+		if err != nil {
+			t.Fatal(err)
+		}
+		*c = *parsed
+	})
+	r := st.Message(t, addr, "m", "order, new", 0, 5*time.Second, "x")
+	r.Header.Set("X-Tenant", "acme & sons")
+	if resp, text := st.Do(t, r); resp.StatusCode != http.StatusAccepted {
+		t.Fatalf("%s %s", resp.Status, text)
+	}
+	if c := e.Next(t); c.ID != "m" {
+		t.Errorf("the endpoint got %s", c.ID)
+	}
+}
+
+// What cannot be stored is rejected before it is sent, and the response says when the client may retry.
+func TestMessagesOverTheLimitAreRejected(t *testing.T) {
+	t.Parallel()
+	for name, edit := range map[string]func(*config.Config){
+		"held limit": func(c *config.Config) { c.Settings.MaxPendingMessages = 3 },
+		"disk":       func(c *config.Config) { c.Limits.DiskMB = 0.012 },
+	} {
+		e := st.NewEndpoint(t, st.Silent)
+		addr := startSender(t, st.NewPlatform(t, e.Addr), edit)
+		refused := false
+		for i := 0; i < 20 && !refused; i++ {
+			resp, _ := st.Do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, "body"))
+			switch resp.StatusCode {
+			case http.StatusAccepted:
+			case http.StatusServiceUnavailable:
+				refused = true
+				if wait, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || wait != 2 {
+					t.Errorf("%s: Retry-After %q", name, resp.Header.Get("Retry-After"))
+				}
+			default:
+				t.Fatalf("%s: %s", name, resp.Status)
+			}
+			if i == 0 && refused {
+				t.Errorf("%s: the first is refused", name)
+			}
+		}
+		if !refused {
+			t.Errorf("%s: nothing is refused", name)
+		}
+	}
+}
+
+// A message that the dispatcher gives up ends at once: in the response if there is none yet, else by a notice, which is
+// repeated until it is accepted.
+func TestGivenUpMessageEndsAtOnce(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Status(500))
+	p := st.NewPlatform(t, e.Addr)
+	p.Deaf(true)
+	addr := startSender(t, p, nil)
+	if resp, _ := st.Do(t, st.Message(t, addr, "late", "safe", 0, 0, "")); resp.StatusCode != http.StatusInternalServerError {
+		t.Errorf("a message out of time is answered %s", resp.Status)
+	}
+	began := time.Now()
+	st.HandIn(t, addr, "doubt", "unsafe", 0, 19*time.Second)
+	e.Next(t)
+	p.Deaf(false)
+	if n := st.Receive(t, p.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
+		t.Errorf("notice %+v", n)
+	}
+	if took := time.Since(began); took > 10*time.Second {
+		t.Errorf("it was held back for %v", took)
+	}
+	if len(e.Calls) != 0 {
+		t.Error("an unsafe message that may have run was sent again")
+	}
+}
+
+// Whether a delivery near the deadline was in time only the client's clock can tell: a notice is sent as well. It is
+// pending until it is accepted, and none is sent of a message that was delivered earlier.
+func TestDeliveryNearTheDeadlineIsNotified(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, e.Addr)
+	addr := startSender(t, p, nil)
+	st.HandIn(t, addr, "early", "safe", 0, 20*time.Second)
+	e.Next(t)
+	st.HandIn(t, addr, "close", "safe", 0, deliveryMargin-10*time.Millisecond)
+	if n := st.Receive(t, p.Notices); n.Message != "close" || n.Outcome != "given_up" {
+		t.Errorf("notice %+v", n)
+	}
+	if len(p.Notices) > 0 {
+		t.Errorf("a further notice: %+v", <-p.Notices)
+	}
+}
+
+// A message that the dispatcher rejects after it was accepted is announced with the time after which to retry.
+func TestReturnedMessageIsNotified(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Silent)
+	p := st.NewPlatform(t, e.Addr)
+	addr := startSender(t, p, func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
+	for i := range 20 { // the module makes room from 95% on
+		resp, body := st.Do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, ""))
+		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
+			t.Fatalf("%s %s", resp.Status, body)
+		}
+		if resp.StatusCode == http.StatusServiceUnavailable {
+			if resp.Header.Get("Retry-After") != "2.000" {
+				t.Errorf("Retry-After %q", resp.Header.Get("Retry-After"))
+			}
+			return
+		}
+	}
+	if n := st.Receive(t, p.Notices); n.Outcome != "handed_back" || n.RetryMS != 2000 {
+		t.Errorf("notice %+v", n)
+	}
+}
+
+// After a Retry-After no call goes to that destination before the pause is over.
+func TestRetryAfterDelaysCalls(t *testing.T) {
+	t.Parallel()
+	var first atomic.Bool
+	told := make(chan time.Time, 1)
+	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
+		if first.CompareAndSwap(false, true) {
+			told <- time.Now()
+			return st.Status(429, "X-RateLimit-Wait-Ms: 700")(c, nc)
+		}
+		return st.Status(200)(c, nc)
+	})
+	addr := startSender(t, st.NewPlatform(t, e.Addr), nil)
+	st.HandIn(t, addr, "a", "keyed", 0, 15*time.Second)
+	e.Next(t)
+	from := st.Receive(t, told)
+	st.HandIn(t, addr, "b", "keyed", 0, 15*time.Second)
+	e.Next(t)
+	if waited := time.Since(from); waited < 700*time.Millisecond {
+		t.Errorf("a call after %v", waited)
+	}
+}
--- /dev/null
+++ b/internal/sender/discovery_test.go
@@ -0,0 +1,171 @@
+package sender
+
+import (
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/journal"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
+)
+
+// While discovery is silent a restarted sender uses the list that the earlier process knew last, though the
+// configuration's is older: an endpoint that drains gets nothing, and one that was added in its place is used.
+func TestRestartUsesTheLastKnownListWhileDiscoveryIsSilent(t *testing.T) {
+	t.Parallel()
+	for name, state := range map[string]string{"draining": "DRAINING", "gone": "DELETED"} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			old, kept, fresh := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+			p := st.NewPlatform(t, old.Addr, kept.Addr)
+			folder := t.TempDir()
+			var known endpointlist.Update
+			first := startSenderIn(t, OperatingSystem(), p, func(c *config.Config) { c.State, known = folder, c.Known })
+			p.Change(st.Target("s-0", old.Addr, 0, state))
+			p.Change(st.Target("s-2", fresh.Addr, 0, "SERVING"))
+			st.HandIn(t, first.addr, "before", "unsafe", 0, 15*time.Second)
+			for heeded, n := false, 0; !heeded; n++ {
+				select {
+				case <-old.Calls:
+					st.HandIn(t, first.addr, "again"+strconv.Itoa(n), "unsafe", 0, 15*time.Second)
+				case <-fresh.Calls:
+					heeded = true
+				case <-time.After(st.Wait):
+					t.Fatal("no call")
+				}
+			}
+			first.stop()
+			second := startSenderIn(t, OperatingSystem(), p, func(c *config.Config) { c.State, c.Known, c.Discovery = folder, known, silentAddress(t) })
+			for _, id := range []string{"a", "b", "c"} {
+				st.HandIn(t, second.addr, id, "unsafe", 0, 15*time.Second)
+			}
+			st.HandIn(t, second.addr, "other", "unsafe", 1, 15*time.Second)
+			kept.Next(t)
+			for range 3 {
+				select {
+				case call := <-fresh.Calls:
+					t.Log(call.ID, "is sent to the new one")
+				case call := <-old.Calls:
+					t.Fatalf("%s is sent to the old one", call.ID)
+				case <-time.After(3 * time.Second):
+					t.Fatal("nothing is sent")
+				}
+			}
+		})
+	}
+}
+
+// awaitWatch waits until the sender watches the list from a version on.
+func awaitWatch(t *testing.T, p *st.Platform, version int) {
+	t.Helper()
+	for !strings.HasPrefix(st.Receive(t, p.Lists), "after="+strconv.Itoa(version)+"&") {
+	}
+}
+
+// forEachListMode runs a test where the dispatcher polls the list and where the list is pushed: on sockets the sender
+// watches either way.
+func forEachListMode(t *testing.T, test func(t *testing.T, edit func(*config.Config))) {
+	t.Parallel()
+	for name, asks := range map[string]bool{"on request": true, "pushed": false} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			test(t, func(c *config.Config) { c.Settings.PollsEndpointList = asks })
+		})
+	}
+}
+
+func TestDrainingEndpointGetsNoCalls(t *testing.T) { forEachListMode(t, testDrain) }
+
+func testDrain(t *testing.T, edit func(*config.Config)) {
+	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, old.Addr)
+	addr := startSender(t, p, edit)
+	st.HandIn(t, addr, "a", "keyed", 0, 15*time.Second)
+	old.Next(t)
+	awaitWatch(t, p, 1)
+	p.Change(st.Target("s-0", old.Addr, 0, "DRAINING"))
+	awaitWatch(t, p, 2)
+	st.HandIn(t, addr, "b", "keyed", 0, 15*time.Second)
+	p.Change(st.Target("s-9", other.Addr, 0, "SERVING"))
+	if c := other.Next(t); c.ID != "b" {
+		t.Errorf("the new endpoint got %s", c.ID)
+	}
+	if len(old.Calls) != 0 {
+		t.Error("the draining endpoint got a call")
+	}
+}
+
+// While discovery is down the sender goes on with the list that it has. Then it requests the full list, as it has
+// missed changes, and watches from there.
+func TestDiscoveryOutageKeepsTheKnownList(t *testing.T) { forEachListMode(t, testDiscoveryOutage) }
+
+func testDiscoveryOutage(t *testing.T, edit func(*config.Config)) {
+	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, e.Addr)
+	addr := startSender(t, p, edit)
+	awaitWatch(t, p, 1)
+	p.Down(true)
+	for st.Receive(t, p.Lists) != "" { // it asks for the whole, in vain
+	}
+	st.HandIn(t, addr, "a", "keyed", 0, 15*time.Second)
+	e.Next(t)
+	p.Change(st.Target("s-0", other.Addr, 0, "SERVING"))
+	p.Down(false)
+	awaitWatch(t, p, 2)
+	st.HandIn(t, addr, "b", "keyed", 0, 15*time.Second)
+	if c := other.Next(t); c.ID != "b" {
+		t.Errorf("the new address got %s", c.ID)
+	}
+}
+
+// A watch may stay unanswered for good after an outage of discovery. It times out, and the list is requested anew
+// before much is sent to endpoints that are gone.
+func TestUnansweredWatchIsRepeated(t *testing.T) { forEachListMode(t, testLostWatch) }
+
+func testLostWatch(t *testing.T, edit func(*config.Config)) {
+	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, e.Addr)
+	addr := startSender(t, p, edit)
+	awaitWatch(t, p, 1)
+	p.Lose()
+	began := time.Now()
+	p.Change(st.Target("s-0", other.Addr, 0, "SERVING"))
+	awaitWatch(t, p, 2)
+	if took := time.Since(began); took > 6*time.Second {
+		t.Errorf("it took %v", took)
+	}
+	st.HandIn(t, addr, "a", "keyed", 0, 15*time.Second)
+	if c := other.Next(t); c.ID != "a" {
+		t.Errorf("the new address got %s", c.ID)
+	}
+}
+
+// The configuration's list may be older than what the earlier process knew: a resumed message does not go to an
+// endpoint that has drained since.
+func TestResumedMessageAvoidsADrainedEndpoint(t *testing.T) {
+	t.Parallel()
+	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, old.Addr)
+	p.Change(st.Target("s-0", old.Addr, 0, "DRAINING"))
+	p.Change(st.Target("s-1", other.Addr, 0, "SERVING"))
+	startSender(t, p, func(c *config.Config) {
+		c.Known = endpointlist.Update{Version: 1, Full: true, Endpoints: []endpointlist.Endpoint{{ID: "s-0", Addr: old.Addr, State: "SERVING", Zone: "a", Kind: "plain"}}}
+		j := openJournal(t, c.State, 1<<20)
+		if _, err := j.Accept(journal.Record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + 15*time.Second}); err != nil {
+			t.Fatal(err)
+		}
+		if err := j.Close(); err != nil {
+			t.Fatal(err)
+		}
+	})
+	if c := other.Next(t); c.ID != "m" {
+		t.Errorf("the new endpoint got %s", c.ID)
+	}
+	if len(old.Calls) != 0 {
+		t.Error("the drained endpoint got a call")
+	}
+}
--- a/internal/sender/format_test.go
+++ b/internal/sender/format_test.go
@@ -15,8 +15,8 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// The formats that outlive a release are pinned here. The files under testdata were written by the release of commit 5d1fee9:
-// the journal, the streams of a hand-over between two processes, and the operators' figures.
+// The formats that outlive a release are pinned here. The files under testdata were written by the release of commit
+// 5d1fee9: the journal, the streams of a hand-over between two processes, and the operators' figures.
 
 // golden compares a text with a file of testdata.
 func golden(t *testing.T, name, got string) {
@@ -44,7 +44,8 @@
 	}
 }
 
-func TestStoredWordsAndNumbers(t *testing.T) {
+// What is stored, and printed for the operators, has the form of the release.
+func TestStoredStringsAndNumbersAreTheReleased(t *testing.T) {
 	for effect, number := range map[dispatch.Effect]uint8{dispatch.Idempotent: 0, dispatch.IdempotentByKey: 1, dispatch.NonIdempotent: 2} {
 		if uint8(effect) != number {
 			t.Errorf("effect %d is stored as %d", number, effect)
@@ -66,7 +67,7 @@
 	}
 }
 
-func TestFiguresAreDumpedAsReleased(t *testing.T) {
+func TestMetricsHaveTheReleasedNames(t *testing.T) {
 	f := metrics.New([]string{"safe", "keyed"}, invariant.RuleNames()...)
 	f.MessageSucceeded("safe")
 	f.MessageDeclined("safe")
@@ -84,7 +85,7 @@
 	golden(t, "admin/dump.txt", dump.String())
 }
 
-func TestReasonsAreNamedAsReleased(t *testing.T) {
+func TestReasonsHaveTheReleasedNames(t *testing.T) {
 	words := []string{endpoint.DroppedAbandoned, endpoint.DroppedUnwritten, endpoint.DroppedUnread, endpoint.DroppedIncomplete, discovery.ReasonMoved,
 		discovery.ReasonHedged, discovery.ReasonRejected, discovery.ReasonSilent, discovery.ReasonStale}
 	golden(t, "admin/reasons.txt", strings.Join(words, "\n")+"\n")
--- /dev/null
+++ b/internal/sender/helpers_test.go
@@ -0,0 +1,347 @@
+package sender
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/handover"
+	"onyxdyke.example/onyxdyke/internal/journal"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
+)
+
+// freeAddress is an address on which nobody listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	return l.Addr().String()
+}
+
+// adminCall makes one call at the admin address and returns the whole reply.
+func adminCall(t *testing.T, addr, call string) string {
+	t.Helper()
+	var c net.Conn
+	var err error
+	for end := time.Now().Add(st.Wait); ; time.Sleep(5 * time.Millisecond) {
+		if c, err = net.Dial("tcp", addr); err == nil {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatal(err)
+		}
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(st.Wait))
+	if _, err := io.WriteString(c, call); err != nil {
+		t.Fatal(err)
+	}
+	reply, err := io.ReadAll(c)
+	if err != nil {
+		t.Fatalf("%q: %v", call, err)
+	}
+	return string(reply)
+}
+
+// readMetrics reads the metrics once.
+func readMetrics(t *testing.T, addr string) map[string]int {
+	t.Helper()
+	text, whole := strings.CutSuffix(adminCall(t, addr, "DUMP\n"), "eof\n")
+	if !whole {
+		t.Fatalf("the figures have no end: %q", text)
+	}
+	got := map[string]int{}
+	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
+		name, value, _ := strings.Cut(line, "=")
+		n, err := strconv.Atoi(value)
+		short, ok := strings.CutPrefix(name, "edge_edge.")
+		if err != nil || !ok {
+			t.Fatalf("line %q", line)
+		}
+		got[short] = n
+	}
+	return got
+}
+
+// awaitMetrics waits until the metrics are as wanted.
+func awaitMetrics(t *testing.T, addr string, want map[string]int) {
+	t.Helper()
+	var got map[string]int
+	for end := time.Now().Add(st.Wait); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		got = readMetrics(t, addr)
+		maps.DeleteFunc(got, func(name string, _ int) bool { _, asked := want[name]; return !asked })
+		if maps.Equal(got, want) {
+			return
+		}
+	}
+	t.Fatalf("figures %v, want %v", got, want)
+}
+
+// runningSender is a sender in this process that a test may stop.
+type runningSender struct {
+	*Sender
+	addr string
+	stop func()
+}
+
+// startSenderIn starts a sender in an environment whose calls may fail. edit may change its configuration.
+func startSenderIn(t *testing.T, env Environment, p *st.Platform, edit func(c *config.Config)) *runningSender {
+	t.Helper()
+	s := newTestIn(t, env, p, edit)
+	ctx, cancel := context.WithCancel(context.Background())
+	done, addr := make(chan error, 1), make(chan string, 1)
+	go func() {
+		done <- s.Run(ctx, func() (net.Listener, error) {
+			l, err := net.Listen("tcp", s.config.Listen)
+			if err == nil {
+				addr <- l.Addr().String()
+			}
+			return l, err
+		})
+	}()
+	l := &runningSender{Sender: s, stop: sync.OnceFunc(func() {
+		cancel()
+		if err := st.Receive(t, done); err != nil {
+			t.Error(err)
+		}
+	})}
+	t.Cleanup(l.stop)
+	l.addr = st.Receive(t, addr)
+	return l
+}
+
+// platformSocket is a clients' socket that the platform holds: each process listens on a descriptor of its own.
+func platformSocket(t *testing.T) (addr string, listen func() (net.Listener, error)) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, err := l.(*net.TCPListener).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { f.Close(); l.Close() })
+	return l.Addr().String(), func() (net.Listener, error) { return net.FileListener(f) }
+}
+
+// startProcess starts a sender whose state directory and socket other senders use as well. It returns its admin address
+// and what stops it.
+func startProcess(t *testing.T, p *st.Platform, state string, listen func() (net.Listener, error)) (admin string, stop func()) {
+	t.Helper()
+	admin = freeAddress(t)
+	s := newTest(t, p, func(c *config.Config) { c.State, c.Admin = state, admin })
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- s.Run(ctx, listen) }()
+	stopped := false
+	stop = func() {
+		if !stopped {
+			stopped = true
+			cancel()
+			if err := st.Receive(t, done); err != nil {
+				t.Error(err)
+			}
+		}
+	}
+	t.Cleanup(stop)
+	awaitHealth(t, admin, "ok\n")
+	return admin, stop
+}
+
+// awaitHealth waits until HEALTH answers as wanted.
+func awaitHealth(t *testing.T, admin, want string) {
+	t.Helper()
+	got := ""
+	for end := time.Now().Add(st.Wait); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if got = adminCall(t, admin, "HEALTH\n"); got == want {
+			return
+		}
+	}
+	t.Fatalf("HEALTH: %q, want %q", got, want)
+}
+
+// answerOnceOpen is an endpoint's script that answers once open is closed.
+func answerOnceOpen(open <-chan struct{}) func(st.Call, net.Conn) bool {
+	return func(c st.Call, conn net.Conn) bool {
+		<-open
+		return st.Status(200)(c, conn)
+	}
+}
+
+// sendOn sends a request on a connection that the client keeps.
+func sendOn(t *testing.T, c net.Conn, r *bufio.Reader, req *http.Request) *http.Response {
+	t.Helper()
+	c.SetDeadline(time.Now().Add(st.Wait))
+	if err := req.Write(c); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(r, req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	return resp
+}
+
+// requestSnapshot plays a successor: it gets the lock owner's snapshot and does nothing with it.
+func requestSnapshot(t *testing.T, state string) (*handover.Link, *handover.Snapshot) {
+	t.Helper()
+	for until := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) { // the holder's socket may come up after its ok
+		l, e, err := handover.RequestSnapshot(context.Background(), state)
+		if err == nil {
+			t.Cleanup(l.Close)
+			return l, e
+		}
+		if time.Now().After(until) {
+			t.Fatal(err)
+		}
+	}
+}
+
+// stoppableSender is a sender whose shutdown a test observes.
+type stoppableSender struct {
+	*Sender
+	addr string
+	stop context.CancelFunc // SIGTERM
+	done chan error
+}
+
+// startStoppable starts a sender and returns once it listens.
+func startStoppable(t *testing.T, p *st.Platform, edit func(c *config.Config)) *stoppableSender {
+	t.Helper()
+	l := &stoppableSender{Sender: newTest(t, p, edit), done: make(chan error, 1)}
+	addr := make(chan string, 1)
+	listen := func() (net.Listener, error) {
+		nl, err := net.Listen("tcp", l.config.Listen)
+		if err == nil {
+			addr <- nl.Addr().String()
+		}
+		return nl, err
+	}
+	var ctx context.Context
+	ctx, l.stop = context.WithCancel(context.Background())
+	go func() { l.done <- l.Run(ctx, listen) }()
+	l.addr = st.Receive(t, addr)
+	return l
+}
+
+// awaitEnd waits for the end of the process and returns the messages that the next one finds.
+func (l *stoppableSender) awaitEnd(t *testing.T) map[string]*journal.Message {
+	t.Helper()
+	if err := st.Receive(t, l.done); err != nil {
+		t.Error(err)
+	}
+	j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), l.upgrade.stateDir, 1<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer j.Close()
+	held := map[string]*journal.Message{}
+	for _, m := range j.Messages() {
+		held[m.ID] = m
+	}
+	return held
+}
+
+// openJournal opens a state directory's journal.
+func openJournal(t *testing.T, dir string, budget int64) *journal.Journal {
+	t.Helper()
+	j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), dir, budget)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return j
+}
+
+// renderRequest is a request as it is written.
+func renderRequest(t *testing.T, r *http.Request) string {
+	t.Helper()
+	var text bytes.Buffer
+	if err := r.Write(&text); err != nil {
+		t.Fatal(err)
+	}
+	return text.String()
+}
+
+// dial connects to an address until the test ends.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(st.Wait))
+	return c
+}
+
+// awaitDrain waits until a sender that shuts down starts no more calls: then it rejects new messages.
+func (l *stoppableSender) awaitDrain(t *testing.T) {
+	t.Helper()
+	for n, status := 0, 0; status != http.StatusServiceUnavailable; n++ {
+		resp, _ := st.Do(t, st.Message(t, l.addr, "probe"+strconv.Itoa(n), "safe", 7, 15*time.Second, "body"))
+		status = resp.StatusCode
+	}
+}
+
+// newTest makes a sender with a short shutdown. edit may change its configuration.
+func newTest(t *testing.T, p *st.Platform, edit func(c *config.Config)) *Sender {
+	t.Helper()
+	return newTestIn(t, OperatingSystem(), p, edit)
+}
+
+// newTestIn is newTest in an environment whose calls may fail.
+func newTestIn(t *testing.T, env Environment, p *st.Platform, edit func(c *config.Config)) *Sender {
+	t.Helper()
+	raw, err := json.Marshal(st.Config(p, t.TempDir()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := config.Parse(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if edit != nil {
+		edit(c)
+	}
+	s, err := NewIn(context.Background(), env, c, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 100*time.Millisecond
+	return s
+}
+
+// startSender starts a sender in this process and returns its address.
+func startSender(t *testing.T, p *st.Platform, edit func(c *config.Config)) string {
+	t.Helper()
+	return startSenderIn(t, OperatingSystem(), p, edit).addr
+}
+
+// marshalConfig is a configuration as it stands in a file.
+func marshalConfig(t *testing.T, text map[string]any) []byte {
+	t.Helper()
+	raw, err := json.Marshal(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
--- a/internal/sender/invariants_test.go
+++ b/internal/sender/invariants_test.go
@@ -13,12 +13,13 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-func testGuard() (*invariant.Checker, *metrics.Registry) {
+// newTestChecker is a checker and the registry in which it counts.
+func newTestChecker() (*invariant.Checker, *metrics.Registry) {
 	f := metrics.New(nil)
 	return invariant.NewChecker(slog.New(slog.DiscardHandler), f), f
 }
 
-// wantRule checks which rule an error of the guard names; "" for none.
+// wantRule checks which rule a violation names, "" for none.
 func wantRule(t *testing.T, err error, want invariant.Rule) {
 	t.Helper()
 	var violation *invariant.ViolationError
@@ -31,7 +32,7 @@
 	}
 }
 
-func TestGuardChecksRepeats(t *testing.T) {
+func TestCheckerChecksRetries(t *testing.T) {
 	t.Parallel()
 	second, now := time.Second, 100*time.Second
 	for name, c := range map[string]struct {
@@ -50,7 +51,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g, _ := testGuard()
+			g, _ := newTestChecker()
 			m := &message{Message: &journal.Message{Record: journal.Record{ID: "m", Rules: &c.rules, Attempts: c.tries}}, calls: map[int]*outCall{}}
 			for n := range c.out {
 				m.calls[n] = &outCall{}
@@ -62,7 +63,7 @@
 
 func TestGuardCountsAConnectionClosedWithARequest(t *testing.T) {
 	t.Parallel()
-	g, f := testGuard()
+	g, f := newTestChecker()
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
 	c := &clientConn{Conn: ours, left: func() {}, closing: func(c *clientConn) { g.CheckClose(c.whyClosed(), c.owed.Load()) }}
--- /dev/null
+++ b/internal/sender/journalfailure_test.go
@@ -0,0 +1,147 @@
+package sender
+
+import (
+	"bytes"
+	"net/http"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/journal"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
+)
+
+// A rejection promises that the message has no effect: it is written first, so that no later process sends the message.
+// Where it cannot be written, nothing is promised.
+func TestRejectionIsWrittenBeforeItIsAnswered(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		write func(b []byte) error // of the refusal's record
+		want  int
+	}{
+		"a disk that is slow":  {func([]byte) error { time.Sleep(300 * time.Millisecond); return nil }, http.StatusServiceUnavailable},
+		"a disk that is full":  {func([]byte) error { return syscall.ENOSPC }, http.StatusInternalServerError},
+		"a disk with an error": {func([]byte) error { return syscall.EIO }, http.StatusInternalServerError},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			hung := st.NewEndpoint(t, st.Silent)
+			var done atomic.Bool
+			env := OperatingSystem()
+			env.Files = failingFiles{write: func(b []byte) error {
+				if !bytes.Contains(b, []byte(`"how":"answered"`)) && (!done.Load() || c.want == http.StatusServiceUnavailable) {
+					return nil
+				}
+				err := c.write(b)
+				done.Store(true)
+				return err
+			}}
+			s := startSenderIn(t, env, st.NewPlatform(t, hung.Addr), func(conf *config.Config) { conf.Settings.MaxPendingMessages = 2 })
+			st.HandIn(t, s.addr, "out", "unsafe", 0, 15*time.Second)
+			hung.Next(t)
+			resp, _ := st.Do(t, st.Message(t, s.addr, "refused", "unsafe", 5, 15*time.Second, "body"))
+			if resp.StatusCode != c.want {
+				t.Errorf("it is answered %s, want %d", resp.Status, c.want)
+			}
+			if !done.Load() {
+				t.Error("it is answered before its end is written")
+			}
+		})
+	}
+}
+
+// A disk that fails for a while costs a message time, and none of its attempts.
+func TestDiskFailureCostsNoAttempt(t *testing.T) {
+	t.Parallel()
+	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			t.Parallel()
+			e := st.NewEndpoint(t, st.Status(200))
+			p := st.NewPlatform(t)
+			var failing atomic.Bool
+			env := OperatingSystem()
+			env.Files = failingFiles{write: func([]byte) error {
+				if failing.Load() {
+					return errno
+				}
+				return nil
+			}}
+			s := startSenderIn(t, env, p, func(c *config.Config) { c.Settings.MaxAttempts = 2 })
+			ids := []string{"a", "b", "c"}
+			for _, id := range ids {
+				st.HandIn(t, s.addr, id, "unsafe", 0, 15*time.Second)
+			}
+			failing.Store(true)
+			p.Change(st.Target("s-0", e.Addr, 0, "SERVING"))
+			time.Sleep(1500 * time.Millisecond)
+			select {
+			case c := <-e.Calls:
+				t.Errorf("%s is sent, and nobody would know after a kill", c.ID)
+			case n := <-p.Notices:
+				t.Errorf("%+v", n)
+			default:
+			}
+			failing.Store(false)
+			for range ids {
+				select {
+				case <-e.Calls:
+				case n := <-p.Notices:
+					t.Fatalf("%+v", n)
+				case <-time.After(3 * time.Second):
+					t.Fatal("nothing is sent when the disk works again")
+				}
+			}
+		})
+	}
+}
+
+// While the journal cannot be written it lacks the ends of messages: it is not handed over then, and a successor that
+// waits gets it complete.
+func TestNoHandOverWhileTheDiskFails(t *testing.T) {
+	t.Parallel()
+	good := st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, good.Addr)
+	state, admin := t.TempDir(), freeAddress(t)
+	var failing atomic.Bool
+	env := OperatingSystem()
+	env.Files = failingFiles{write: func([]byte) error {
+		if failing.Load() {
+			return syscall.ENOSPC
+		}
+		return nil
+	}}
+	gated := make(chan struct{})
+	slow := st.NewEndpoint(t, answerOnceOpen(gated))
+	p.Change(st.Target("s-1", slow.Addr, 1, "SERVING"))
+	first := startSenderIn(t, env, p, func(c *config.Config) { c.State, c.Admin = state, admin })
+	st.HandIn(t, first.addr, "m", "unsafe", 1, 15*time.Second)
+	slow.Next(t)
+	failing.Store(true)
+	close(gated) // it is delivered, and that cannot be written
+	awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": 1, "outstanding": 0})
+
+	took := make(chan struct{})
+	go func() {
+		defer close(took)
+		l, _ := requestSnapshot(t, state)
+		defer l.Close()
+		j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), state, 1<<20)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		if m := j.Message("m"); m != nil {
+			t.Errorf("a message that was delivered is handed over as held: %+v", m.Attempts)
+		}
+	}()
+	select {
+	case <-took:
+		t.Error("the journal is handed over while it cannot be written")
+	case <-time.After(500 * time.Millisecond):
+	}
+	failing.Store(false)
+	st.Receive(t, took)
+}
--- a/internal/sender/notices_test.go
+++ b/internal/sender/notices_test.go
@@ -5,8 +5,11 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"os"
+	"strconv"
 	"strings"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -15,9 +18,78 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// A connection to discovery that has fallen silent delays no notice for longer than its try takes: what has come to be
-// owed meanwhile goes with the next one, on another connection, while it is still in time.
-func TestASilentConnectionHoldsUpNoNotice(t *testing.T) {
+// A notice is delivered as soon as the platform can be reached again: it has 0.3 s from its message's end.
+func TestNoticeIsDeliveredOnceSocketsWorkAgain(t *testing.T) {
+	t.Parallel()
+	const deadline, failing = 500 * time.Millisecond, 250 * time.Millisecond
+	for n := range 8 {
+		t.Run(strconv.Itoa(n), func(t *testing.T) {
+			t.Parallel()
+			p := st.NewPlatform(t)
+			var from, until atomic.Int64 // Unix ns
+			env := OperatingSystem()
+			env.Control = func(string, string, syscall.RawConn) error {
+				if now := time.Now().UnixNano(); from.Load() <= now && now < until.Load() {
+					return os.NewSyscallError("socket", syscall.ENFILE)
+				}
+				return nil
+			}
+			s := startSenderIn(t, env, p, nil)
+			at := time.Now()
+			from.Store(at.UnixNano())
+			until.Store(at.Add(deadline + failing).UnixNano())
+			st.HandIn(t, s.addr, "m", "safe", 5, deadline)
+			if n := st.Receive(t, p.Notices); n.Message != "m" {
+				t.Errorf("%+v", n)
+			}
+			if late := time.Since(at) - deadline; late > 300*time.Millisecond {
+				t.Errorf("it is told %v after the message's time", late)
+			}
+		})
+	}
+}
+
+// A notice is delivered in time also while no socket can be opened at all: a connection is reserved for notices.
+func TestNoticeIsDeliveredOnTheReservedConnection(t *testing.T) {
+	t.Parallel()
+	const deadline = 1200 * time.Millisecond
+	for name, told := range map[string]int{"the first notice": 0, "a later notice": 2} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			p := st.NewPlatform(t)
+			var failing atomic.Bool
+			env := OperatingSystem()
+			env.Control = func(string, string, syscall.RawConn) error {
+				if failing.Load() {
+					return os.NewSyscallError("socket", syscall.ENFILE)
+				}
+				return nil
+			}
+			s := startSenderIn(t, env, p, nil)
+			for n := range told {
+				st.HandIn(t, s.addr, "before"+strconv.Itoa(n), "safe", 5, 50*time.Millisecond)
+				st.Receive(t, p.Notices)
+			}
+			time.Sleep(200 * time.Millisecond)
+			failing.Store(true)
+			at := time.Now()
+			st.HandIn(t, s.addr, "m", "safe", 5, deadline)
+			select {
+			case n := <-p.Notices:
+				if late := time.Since(at) - deadline; n.Message != "m" || late > 300*time.Millisecond {
+					t.Errorf("%+v, %v after the message's time", n, late)
+				}
+			case <-time.After(deadline + 500*time.Millisecond):
+				t.Error("it is not told")
+			}
+			failing.Store(false)
+		})
+	}
+}
+
+// A connection to discovery that has become silent delays no notice for longer than one try: notices added meanwhile go
+// with the next batch, on another connection, while they are still in time.
+func TestSilentDiscoveryConnectionDelaysNoNotice(t *testing.T) {
 	t.Parallel()
 	posts := make(chan string, 10)
 	var heard atomic.Bool
@@ -62,3 +134,25 @@
 		t.Errorf("told after %v", took)
 	}
 }
+
+// A notice that is added while a batch is on its way stays pending: the batch and the queue share no memory.
+func TestNoticesAddedDuringADeliveryStayPending(t *testing.T) {
+	t.Parallel()
+	s := newTest(t, st.NewPlatform(t), nil)
+	for _, id := range []string{"a", "b", "c", "d"} {
+		m, err := s.journal.Accept(journal.Record{ID: id, Class: "safe"})
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+		s.notices.add(noticeOf(m))
+		if id == "c" {
+			s.notices.deliver()
+		}
+	}
+	batch := st.Receive(t, s.notices.batches)
+	s.handleEvent(context.Background(), noticesDeliveredEvent{batch})
+	if len(s.notices.pending) != 1 || s.notices.pending[0].Message != "d" || s.journal.Message("d") == nil || s.journal.Len() != 1 {
+		t.Errorf("told %v, still owed %v, in the journal %d", batch, s.notices.pending, s.journal.Len())
+	}
+}
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -23,9 +23,10 @@
 	stop              func()
 }
 
+// startReloadable starts a sender with a configuration file. edit may change its text.
 func startReloadable(t *testing.T, p *st.Platform, state string, edit func(text map[string]any)) *reloadable {
 	t.Helper()
-	r := &reloadable{text: st.Config(p, state), admin: freeAddr(t), file: filepath.Join(t.TempDir(), "config.json")}
+	r := &reloadable{text: st.Config(p, state), admin: freeAddress(t), file: filepath.Join(t.TempDir(), "config.json")}
 	if edit != nil {
 		edit(r.text)
 	}
@@ -82,6 +83,7 @@
 	}
 }
 
+// services is the list of classes in a configuration's text.
 func services(text map[string]any) []any {
 	return text["settings"].(map[string]any)["services"].([]any)
 }
@@ -92,8 +94,8 @@
 		"dedupScope": "all", "worth": 1.0, "lateValue": 0.5}
 }
 
-// Of a broken file nothing is taken, not even what is sound in it; it is counted, and the next whole one is taken.
-func TestBrokenSettingsAreTurnedDownWhole(t *testing.T) {
+// Nothing of an invalid file is applied, not even its valid parts; it is counted, and the next valid one is applied.
+func TestInvalidConfigurationIsRejectedAsAWhole(t *testing.T) {
 	t.Parallel()
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr)
@@ -153,25 +155,25 @@
 		}
 		n++
 	}
-	wantFigures(t, r.admin, map[string]int{"sighup_applied": 0, "sighup_rejected": n})
+	awaitMetrics(t, r.admin, map[string]int{"sighup_applied": 0, "sighup_rejected": n})
 	if resp, _ := st.Do(t, st.Message(t, r.addr, "m", "fresh", 0, 5*time.Second, "x")); resp.StatusCode != 400 {
 		t.Errorf("a class of a broken file: %s", resp.Status)
 	}
-	if _, shown := readFigures(t, r.admin)["succeeded.fresh"]; shown {
+	if _, shown := readMetrics(t, r.admin)["succeeded.fresh"]; shown {
 		t.Error("a class of a broken file has figures")
 	}
 	r.write(t, string(raw))
 	if err := r.Reload(context.Background(), r.getenv); err != nil {
 		t.Fatal(err)
 	}
-	wantFigures(t, r.admin, map[string]int{"sighup_applied": 1, "sighup_rejected": n, "succeeded.fresh": 0, "aborted.fresh": 0})
+	awaitMetrics(t, r.admin, map[string]int{"sighup_applied": 1, "sighup_rejected": n, "succeeded.fresh": 0, "aborted.fresh": 0})
 	st.HandIn(t, r.addr, "m", "fresh", 0, 5*time.Second)
-	wantFigures(t, r.admin, map[string]int{"succeeded.fresh": 1})
+	awaitMetrics(t, r.admin, map[string]int{"succeeded.fresh": 1})
 }
 
-// Messages keep the effect and the attempts that they were taken under, in this process and in the next one; those
-// taken later have the new ones, under the same name. A dropped class takes no more, and its messages end.
-func TestMessagesKeepTheirRules(t *testing.T) {
+// Messages keep the effect and the attempts under which they were accepted, in this process and in the next one; later
+// ones have the new rules, under the same class name. A dropped class accepts no more, and its messages end.
+func TestPendingMessagesKeepTheirRulesAcrossAReload(t *testing.T) {
 	for name, restart := range map[string]bool{"same process": false, "next process": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -206,7 +208,7 @@
 				if err := r.Reload(context.Background(), r.getenv); err != nil {
 					t.Fatal(err)
 				}
-				wantFigures(t, r.admin, map[string]int{"sighup_applied": 1, "outstanding": 2})
+				awaitMetrics(t, r.admin, map[string]int{"sighup_applied": 1, "outstanding": 2})
 				close(open)
 			}
 			close(later)
@@ -216,7 +218,7 @@
 			if n := st.Receive(t, p.Notices); n.Message != "dropped" || n.Outcome != "given_up" {
 				t.Errorf("notice %+v", n)
 			}
-			wantFigures(t, r.admin, map[string]int{"succeeded.safe": 1, "aborted.unsafe": 1, "outstanding": 0})
+			awaitMetrics(t, r.admin, map[string]int{"succeeded.safe": 1, "aborted.unsafe": 1, "outstanding": 0})
 			if resp, _ := st.Do(t, st.Message(t, r.addr, "m", "unsafe", 0, 5*time.Second, "x")); resp.StatusCode != 400 {
 				t.Errorf("a dropped class: %s", resp.Status)
 			}
--- /dev/null
+++ b/internal/sender/requests_test.go
@@ -0,0 +1,227 @@
+package sender
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/config"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
+)
+
+// Whatever transient error accept fails with, the sender goes on to accept clients.
+func TestTransientAcceptErrorsAreRetried(t *testing.T) {
+	t.Parallel()
+	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM, syscall.ETIMEDOUT} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			t.Parallel()
+			e := st.NewEndpoint(t, st.Status(200))
+			env := OperatingSystem()
+			env.WrapListener = func(l net.Listener) net.Listener {
+				failing := &failingListener{Listener: l, errno: errno}
+				failing.left.Store(3)
+				return failing
+			}
+			s := startSenderIn(t, env, st.NewPlatform(t, e.Addr), nil)
+			client := &http.Client{Timeout: 2 * time.Second}
+			resp, err := client.Do(st.Message(t, s.addr, "m", "safe", 0, 5*time.Second, "body"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			resp.Body.Close()
+			if resp.StatusCode != http.StatusAccepted {
+				t.Errorf("%s", resp.Status)
+			}
+		})
+	}
+}
+
+// A request that has been read completely is answered, also where its connection is evicted while the process is
+// paused.
+func TestCompleteRequestIsAnsweredAfterAPause(t *testing.T) {
+	t.Parallel()
+	env := OperatingSystem()
+	env.WrapListener = func(l net.Listener) net.Listener { return pausingListener{l} }
+	s := startSenderIn(t, env, st.NewPlatform(t), func(c *config.Config) { c.Limits.Sockets = 8 })
+	text := renderRequest(t, st.Message(t, s.addr, "m", "safe", 0, 5*time.Second, "body"))
+	var conns []net.Conn
+	for range 3 {
+		c := dial(t, s.addr)
+		io.WriteString(c, text[:len(text)-4])
+		conns = append(conns, c)
+		time.Sleep(2 * evictAgain)
+	}
+	io.WriteString(conns[0], "body")
+	time.Sleep(10 * time.Millisecond)
+	dial(t, s.addr) // all places are taken now, and the first one has been in the middle of its request for longest
+	conns[0].SetReadDeadline(time.Now().Add(st.Wait))
+	if resp, err := http.ReadResponse(bufio.NewReader(conns[0]), nil); err != nil || resp.StatusCode != http.StatusAccepted {
+		t.Errorf("%+v, %v", resp, err)
+	}
+}
+
+// Invalid input is answered with one plain line, goes no further, and leaves the sender serving.
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Status(200))
+	addr := startSender(t, st.NewPlatform(t, e.Addr), nil)
+	for name, c := range map[string]struct {
+		edit   func(*http.Request)
+		status int
+	}{
+		"no id":            {func(r *http.Request) { r.Header.Del("X-Request-Id") }, 400},
+		"endless id":       {func(r *http.Request) { r.Header.Set("X-Request-Id", strings.Repeat("i", 200)) }, 400},
+		"id not ASCII":     {func(r *http.Request) { r.Header.Set("X-Request-Id", "\xff") }, 400},
+		"no class":         {func(r *http.Request) { r.Header.Del("X-Class") }, 400},
+		"unknown class":    {func(r *http.Request) { r.Header.Set("X-Class", "other") }, 400},
+		"unknown tenant":   {func(r *http.Request) { r.Header.Set("X-Tenant", "other") }, 400},
+		"no key":           {func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
+		"no deadline":      {func(r *http.Request) { r.Header.Del("X-Deadline-Ms") }, 400},
+		"deadline a word":  {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "soon") }, 400},
+		"deadline below 0": {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "-5") }, 400},
+		"deadline endless": {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "9223372036854775807") }, 400},
+		"no dest":          {func(r *http.Request) { r.Header.Del("X-Addressing") }, 400},
+		"dest a word":      {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=here") }, 400},
+		"dest too high":    {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=70000") }, 400},
+		"body too long": {func(r *http.Request) {
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1))), maxBody+1
+		}, 413},
+		"chunked": {func(r *http.Request) {
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1))), -1
+		}, 411},
+		"wrong path":   {func(r *http.Request) { r.URL.Path = "/other" }, 404},
+		"wrong method": {func(r *http.Request) { r.Method = http.MethodPut }, 405},
+	} {
+		r := st.Message(t, addr, "bad", "keyed", 0, 5*time.Second, "x")
+		c.edit(r)
+		resp, text := st.Do(t, r)
+		if resp.StatusCode != c.status || strings.Count(text, "\n") != 1 || len(text) < 5 {
+			t.Errorf("%s: %s %q", name, resp.Status, text)
+		}
+	}
+	st.HandIn(t, addr, "good", "keyed", 0, 5*time.Second)
+	if c := e.Next(t); c.ID != "good" {
+		t.Errorf("the endpoint got %s", c.ID)
+	}
+}
+
+// A body is bytes, whatever it looks like. A request whose end is ambiguous is not accepted, and what follows it on the
+// connection is not parsed as another request.
+func TestBodyIsNotParsedAsARequest(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Status(200))
+	addr := startSender(t, st.NewPlatform(t, e.Addr), nil)
+	head := func(id, more string) string {
+		return "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Class: safe\r\nX-Tenant: acme\r\n" +
+			"X-Deadline-Ms: 9000\r\nX-Addressing: dest=0\r\n" + more + "\r\n"
+	}
+	inner := head("inner", "Content-Length: 0\r\n")
+	long := "Content-Length: " + strconv.Itoa(len("0\r\n\r\n"+inner)) + "\r\n"
+	for name, c := range map[string]struct{ text, status string }{
+		"length and coding": {head("m", long+"Transfer-Encoding: chunked\r\n") + "0\r\n\r\n" + inner, "411"},
+		"coding and length": {head("m", "Transfer-Encoding: chunked\r\n"+long) + "0\r\n\r\n" + inner, "411"},
+		"on another path": {strings.Replace(head("m", long+"Transfer-Encoding: chunked\r\n"), "POST /api", "GET /-/ready", 1) +
+			"0\r\n\r\n" + inner, "411"},
+		"no length":   {head("m", "") + inner, "411"},
+		"two lengths": {head("m", "Content-Length: 0\r\n"+long) + inner, "400"},
+		"old version": {strings.Replace(head("m", "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n"),
+			"HTTP/1.1", "HTTP/1.0", 1) + "0\r\n\r\n" + inner, "505"},
+		"unsound class": {strings.Replace(head("m", "Content-Length: 0\r\n"), "safe", "other", 1) + inner, "400"},
+	} {
+		nc, err := net.Dial("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		nc.SetDeadline(time.Now().Add(st.Wait))
+		io.WriteString(nc, c.text)
+		got, _ := io.ReadAll(nc) // to its close, by which all that the peer sent has been read or dropped
+		if nc.Close(); len(got) < 12 || string(got[9:12]) != c.status || strings.Count(string(got), "Content-Type: ") != 1 {
+			t.Errorf("%s: answered %q", name, got)
+		}
+	}
+	st.HandIn(t, addr, "good", "safe", 0, 9*time.Second)
+	if c := e.Next(t); c.ID != "good" || c.Body != "body of good" {
+		t.Errorf("the endpoint got %s %q", c.ID, c.Body)
+	}
+}
+
+// A client that sends nothing, or half a request, is answered or disconnected within 3 s, and nothing of it is
+// accepted.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Status(200))
+	addr := startSender(t, st.NewPlatform(t, e.Addr), nil)
+	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: m\r\nX-Class: safe\r\nX-Tenant: acme\r\n" +
+		"X-Deadline-Ms: 9000\r\nX-Addressing: dest=0\r\nContent-Length: 100\r\n"
+	left := map[string]chan time.Duration{}
+	for name, text := range map[string]string{
+		"nothing":          "",
+		"half a head":      head,
+		"half a body":      head + "\r\nbegun",
+		"no request after": "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n",
+	} {
+		done := make(chan time.Duration, 1)
+		left[name] = done
+		nc, err := net.Dial("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		go func() {
+			defer nc.Close()
+			began := time.Now()
+			io.WriteString(nc, text)
+			io.Copy(io.Discard, nc)
+			done <- time.Since(began)
+		}()
+	}
+	for name, done := range left {
+		if took := st.Receive(t, done); took > 4500*time.Millisecond { // with room for a slow machine
+			t.Errorf("%s: left after %v", name, took)
+		}
+	}
+	if len(e.Calls) != 0 {
+		t.Error("half a message was taken on")
+	}
+}
+
+// A client that is evicted in the middle of a request gets a response before its connection is closed.
+func TestEvictedIncompleteRequestIsAnswered(t *testing.T) {
+	t.Parallel()
+	addr := startSender(t, st.NewPlatform(t), func(c *config.Config) { c.Limits.Sockets = 8 })
+	said := time.Now()
+	first := make(chan string, 4)
+	for range 4 {
+		c, err := net.Dial("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		r := st.Message(t, addr, "half", "safe", 0, 9*time.Second, "")
+		r.Body, r.ContentLength = io.NopCloser(strings.NewReader("half")), 4
+		var text bytes.Buffer
+		if err := r.Write(&text); err != nil {
+			t.Fatal(err)
+		}
+		c.SetDeadline(said.Add(st.Wait))
+		c.Write(text.Bytes()[:text.Len()-2])
+		go func() {
+			line, err := bufio.NewReader(c).ReadString('\n')
+			first <- fmt.Sprint(line, err)
+		}()
+	}
+	if got := st.Receive(t, first); !strings.HasPrefix(got, "HTTP/1.1 400 ") {
+		t.Errorf("it got %s", got)
+	}
+	if took := time.Since(said); took > headerTime {
+		t.Errorf("it made room after %v", took)
+	}
+}
--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -19,9 +19,10 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// The last of 1,024 senders with 1,024 endpoints, on the smallest machine: whole lists and changes of all lines are
-// taken in before a drain binds, messages go where the list says, and what it remembers of it all stays small.
-func TestAThousandSendersAndEndpoints(t *testing.T) { // not parallel: it measures the heap
+// The last of 1,024 senders with 1,024 endpoints, on the smallest machine: full lists and changes of all entries are
+// applied before a drain does, messages go where the list says, and the memory for all of that stays small.
+func TestThousandSendersAndEndpoints(t *testing.T) { // not parallel: it measures the heap
+
 	const n = 1024
 	one, two := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	lines := func(addr, state string, from int) (all []any) {
@@ -52,8 +53,8 @@
 	}))
 	t.Cleanup(discovery.CloseClientConnections)
 
-	before := heap()
-	addr := run(t, st.NewPlatform(t), func(c *config.Config) {
+	before := heapInUse()
+	addr := startSender(t, st.NewPlatform(t), func(c *config.Config) {
 		text := st.Config(st.NewPlatform(t), c.State)
 		text["discovery"] = strings.TrimPrefix(discovery.URL, "http://")
 		text["limits"] = map[string]any{"cores": 1.0, "memory_mb": 32, "sockets": 256, "disk_mb": 3}
@@ -106,22 +107,22 @@
 	if got := st.Receive(t, notices); got.Message != "gone" || got.Outcome != "given_up" {
 		t.Errorf("with its endpoint off the list: %+v", got)
 	}
-	if grown := heap() - before; grown > 8<<20 {
+	if grown := heapInUse() - before; grown > 8<<20 {
 		t.Errorf("%d bytes more on the heap", grown)
 	}
 }
 
-// heap is what is in use once all that can be freed has been.
-func heap() int64 {
+// heapInUse is the heap in use after a garbage collection.
+func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// Clients, operators, calls and resting connections fit into the configured descriptors together, each at its most, whatever
-// number of calls at once the settings allow, at the start and after a reload.
-func TestDescriptorsAreEnoughForAllUsesTogether(t *testing.T) {
+// Connections of clients and operators, calls and idle connections fit into the configured descriptors together, each
+// at its limit, whatever number of concurrent calls the settings allow, at the start and after a reload.
+func TestConnectionLimitsFitTheDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	for _, sockets := range []int{128, 256, 384, 1024} {
 		for _, slots := range []float64{3, 60, 5000} {
--- /dev/null
+++ b/internal/sender/start_test.go
@@ -0,0 +1,200 @@
+package sender
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/clock"
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/journal"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
+)
+
+// What fails with a transient error at a start, or at a reload, is retried.
+func TestTransientErrorsAtStartAreRetried(t *testing.T) {
+	t.Parallel()
+	const times = 3
+	fail := func(op string, errno syscall.Errno) func() error {
+		return failFirst(times, &os.PathError{Op: op, Path: "x", Err: errno})
+	}
+	t.Run("the journal", func(t *testing.T) {
+		t.Parallel()
+		e := st.NewEndpoint(t, st.Status(200))
+		p := st.NewPlatform(t)
+		state := t.TempDir()
+		first := startSenderIn(t, OperatingSystem(), p, func(c *config.Config) { c.State = state })
+		st.HandIn(t, first.addr, "m", "unsafe", 0, 15*time.Second)
+		first.stop()
+		p.Change(st.Target("s-0", e.Addr, 0, "SERVING"))
+		env, failing := OperatingSystem(), fail("open", syscall.ENFILE)
+		env.Files = failingFiles{open: func(_ string, flag int) error {
+			if flag != os.O_RDONLY {
+				return nil
+			}
+			return failing()
+		}}
+		startSenderIn(t, env, p, func(c *config.Config) { c.State = state })
+		if c := e.Next(t); c.ID != "m" {
+			t.Errorf("%+v", c)
+		}
+	})
+	t.Run("the address", func(t *testing.T) {
+		t.Parallel()
+		e := st.NewEndpoint(t, st.Status(200))
+		raw, err := json.Marshal(st.Config(st.NewPlatform(t, e.Addr), t.TempDir()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		c, err := config.Parse(raw)
+		if err != nil {
+			t.Fatal(err)
+		}
+		s, err := New(c, slog.New(slog.DiscardHandler))
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 20*time.Millisecond
+		ctx, cancel := context.WithCancel(context.Background())
+		failing := failFirst(times, &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", syscall.EADDRNOTAVAIL)})
+		done, addr := make(chan error, 1), make(chan string, 1)
+		go func() {
+			done <- s.Run(ctx, func() (net.Listener, error) {
+				if err := failing(); err != nil {
+					return nil, err
+				}
+				l, err := net.Listen("tcp", c.Listen)
+				if err == nil {
+					addr <- l.Addr().String()
+				}
+				return l, err
+			})
+		}()
+		select {
+		case err := <-done:
+			t.Fatalf("it ends with %v", err)
+		case at := <-addr:
+			st.HandIn(t, at, "m", "safe", 0, 5*time.Second)
+			e.Next(t)
+		}
+		cancel()
+		if err := st.Receive(t, done); err != nil {
+			t.Error(err)
+		}
+	})
+	t.Run("the configuration", func(t *testing.T) {
+		t.Parallel()
+		p := st.NewPlatform(t)
+		raw, err := json.Marshal(st.Config(p, t.TempDir()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		file := filepath.Join(t.TempDir(), "config.json")
+		if err := os.WriteFile(file, raw, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		getenv := func(name string) string { return map[string]string{"EDGE_CONFIG": file}[name] }
+		env, failing := OperatingSystem(), fail("open", syscall.EMFILE)
+		env.ReadFile = func(path string) ([]byte, error) {
+			if err := failing(); err != nil {
+				return nil, err
+			}
+			return os.ReadFile(path)
+		}
+		if _, err := config.Load(context.Background(), slog.New(slog.DiscardHandler), env.ReadFile, getenv); err != nil {
+			t.Errorf("a start: %v", err)
+		}
+		s := startSenderIn(t, env, p, nil)
+		failing = fail("open", syscall.EMFILE)
+		if err := s.Reload(context.Background(), getenv); err != nil {
+			t.Errorf("a new configuration: %v", err)
+		}
+	})
+}
+
+// Messages that have ended stay so for a process that starts while the disk is full: neither delivered nor rejected
+// ones are resumed.
+func TestStartOnAFullDiskResumesNoEndedMessage(t *testing.T) {
+	t.Parallel()
+	good, hung := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Silent)
+	p := st.NewPlatform(t, good.Addr, hung.Addr)
+	state, admin := t.TempDir(), freeAddress(t)
+	edit := func(c *config.Config) { c.State, c.Admin, c.Settings.MaxPendingMessages = state, admin, 2 }
+	first := startSenderIn(t, OperatingSystem(), p, edit)
+	for _, id := range []string{"safe", "unsafe"} {
+		st.HandIn(t, first.addr, id, id, 0, 15*time.Second)
+		good.Next(t)
+		awaitMetrics(t, admin, map[string]int{"outstanding": 0}) // there is room for one at a time
+	}
+	st.HandIn(t, first.addr, "out", "unsafe", 1, 15*time.Second)
+	hung.Next(t)
+	if resp, _ := st.Do(t, st.Message(t, first.addr, "refused", "unsafe", 5, 15*time.Second, "x")); resp.StatusCode != http.StatusServiceUnavailable {
+		t.Fatal(resp.Status)
+	}
+	first.stop()
+
+	p.Change(st.Target("s-2", good.Addr, 5, "SERVING"))
+	var failing atomic.Bool
+	failing.Store(true)
+	env := OperatingSystem()
+	env.Files = failingFiles{open: func(_ string, flag int) error {
+		if flag != os.O_RDONLY && failing.Load() {
+			return syscall.ENOSPC
+		}
+		return nil
+	}}
+	startSenderIn(t, env, p, edit)
+	time.Sleep(300 * time.Millisecond)
+	failing.Store(false)
+	for until := time.After(time.Second); ; {
+		select {
+		case c := <-good.Calls:
+			t.Errorf("%s has ended, and is sent again with %q", c.ID, c.Body)
+		case n := <-p.Notices:
+			if n.Message != "out" {
+				t.Errorf("it had ended: %+v", n)
+			}
+		case <-until:
+			return
+		}
+	}
+}
+
+// A sender whose shutdown is requested before it is ready resumes nothing and does not listen; its messages are there
+// for the next process.
+func TestShutdownRequestedBeforeTheStart(t *testing.T) {
+	t.Parallel()
+	e := st.NewEndpoint(t, st.Silent)
+	p := st.NewPlatform(t, e.Addr)
+	s := newTest(t, p, func(c *config.Config) {
+		j := openJournal(t, c.State, 1<<20)
+		if _, err := j.Accept(journal.Record{ID: "m", Class: "unsafe", Tenant: "acme", Deadline: clock.New(time.Now()).Now() + time.Minute}); err != nil {
+			t.Fatal(err)
+		}
+		if err := j.Close(); err != nil {
+			t.Fatal(err)
+		}
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if err := s.Run(ctx, func() (net.Listener, error) { t.Error("it listens"); return nil, net.ErrClosed }); err != nil {
+		t.Error(err)
+	}
+	j := openJournal(t, s.upgrade.stateDir, 1<<20)
+	if m := j.Message("m"); m == nil || len(m.Attempts) > 0 {
+		t.Errorf("it leaves %+v", m)
+	}
+	j.Close()
+	startSender(t, p, func(c *config.Config) { c.State = s.upgrade.stateDir })
+	if c := e.Next(t); c.ID != "m" {
+		t.Errorf("the endpoint got %s", c.ID)
+	}
+}
--- /dev/null
+++ b/internal/sender/successorloss_test.go
@@ -0,0 +1,190 @@
+package sender
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/handover"
+	st "onyxdyke.example/onyxdyke/internal/sendertest"
+)
+
+// A successor that dies halfway changes nothing: the predecessor takes the lock and the journal again and serves, and
+// its call that was in flight all the time ends as usual.
+func TestPredecessorServesAgainAfterTheSuccessorsDeath(t *testing.T) {
+	t.Parallel()
+	open := make(chan struct{})
+	slow, quick := st.NewEndpoint(t, answerOnceOpen(open)), st.NewEndpoint(t, st.Status(200))
+	p := st.NewPlatform(t, slow.Addr, quick.Addr)
+	state := t.TempDir()
+	addr, listen := platformSocket(t)
+	admin, _ := startProcess(t, p, state, listen)
+	st.HandIn(t, addr, "out", "unsafe", 0, 15*time.Second)
+	slow.Next(t)
+	for n := range 2 {
+		l, snapshot := requestSnapshot(t, state)
+		if len(snapshot.InFlight) != 1 || snapshot.InFlight[0].ID != (handover.AttemptID{Message: "out", Attempt: 0}) {
+			t.Errorf("calls handed over: %+v", snapshot.InFlight)
+		}
+		awaitHealth(t, admin, "fail leaving\n")
+		l.Close()
+		awaitHealth(t, admin, "ok\n")
+		id := "again" + strconv.Itoa(n)
+		st.HandIn(t, addr, id, "unsafe", 1, 15*time.Second)
+		if c := quick.Next(t); c.ID != id {
+			t.Errorf("the endpoint got %s", c.ID)
+		}
+		awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": n + 1}) // else it is handed over as out, too
+	}
+	close(open)
+	awaitMetrics(t, admin, map[string]int{"outstanding": 0, "succeeded.unsafe": 3, "aborted.unsafe": 0, "forwards": 3})
+}
+
+// A call that ends while a successor is the owner, and is reported to it just before it dies, has ended all the same:
+// its message is neither lost nor treated as one that may have run. That holds for the calls of an earlier process,
+// too.
+func TestAttemptEndsReportedToADeadSuccessorAreKept(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		answer func(st.Call, net.Conn) bool
+		want   map[string]int
+		again  bool
+	}{
+		"delivered":   {st.Status(200), map[string]int{"outstanding": 0, "succeeded.unsafe": 1, "aborted.unsafe": 0}, false},
+		"turned away": {st.Status(503), map[string]int{"outstanding": 1, "aborted.unsafe": 0}, true},
+		"in doubt":    {st.Status(500), map[string]int{"outstanding": 0, "aborted.unsafe": 1}, false},
+	} {
+		for _, processes := range []int{1, 2} {
+			t.Run(name+" "+strconv.Itoa(processes), func(t *testing.T) {
+				t.Parallel()
+				open := make(chan struct{})
+				e := st.NewEndpoint(t, func(call st.Call, conn net.Conn) bool { <-open; return c.answer(call, conn) })
+				p := st.NewPlatform(t, e.Addr)
+				state := t.TempDir()
+				addr, listen := platformSocket(t)
+				var admin string
+				for n := range processes {
+					admin, _ = startProcess(t, p, state, listen)
+					if n == 0 {
+						st.HandIn(t, addr, "m", "unsafe", 0, 15*time.Second)
+						e.Next(t)
+					}
+				}
+				l, snapshot := requestSnapshot(t, state)
+				if len(snapshot.InFlight) != 1 {
+					t.Fatalf("calls handed over: %+v", snapshot.InFlight)
+				}
+				close(open)
+				packet, err := l.Receive()
+				if _, ok := packet.(handover.AttemptReport); err != nil || !ok {
+					t.Fatalf("the successor receives %+v, %v", packet, err)
+				}
+				l.Close()
+				awaitHealth(t, admin, "ok\n")
+				awaitMetrics(t, admin, c.want)
+				if c.again {
+					e.Next(t)
+				} else if len(e.Calls) > 0 {
+					t.Error("it is sent again")
+				}
+			})
+		}
+	}
+}
+
+// Where the successor dies and this process shuts down, nobody can have accepted a new request: it is rejected, and its
+// client can send it again.
+func TestRequestsAfterTheSuccessorsDeathAreRejectedDuringAShutdown(t *testing.T) {
+	t.Parallel()
+	hung := st.NewEndpoint(t, st.Silent)
+	addr, listen := platformSocket(t)
+	l := &stoppableSender{Sender: newTest(t, st.NewPlatform(t, hung.Addr), nil), done: make(chan error, 1)}
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
+	var ctx context.Context
+	ctx, l.stop = context.WithCancel(context.Background())
+	go func() { l.done <- l.Run(ctx, listen) }()
+	st.HandIn(t, addr, "out", "unsafe", 0, 15*time.Second)
+	hung.Next(t)
+	var halves []net.Conn // whoever is in the middle of a request is not let go
+	for i := range 20 {
+		c, err := net.Dial("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		var text bytes.Buffer
+		st.Message(t, addr, "late"+strconv.Itoa(i), "unsafe", 0, 15*time.Second, "xy").Write(&text)
+		c.Write(text.Bytes()[:text.Len()-1])
+		halves = append(halves, c)
+	}
+	successor, _ := requestSnapshot(t, l.upgrade.stateDir)
+	l.stop()
+	successor.Close()
+	refused := false
+	for _, c := range halves { // until both have been noticed
+		io.WriteString(c, "y")
+		c.SetDeadline(time.Now().Add(400 * time.Millisecond)) // as long as a client waits
+		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
+			if resp.StatusCode == http.StatusInternalServerError {
+				continue // passed on before the death was noticed: it may have been taken on
+			}
+			refused = resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != ""
+			break
+		}
+	}
+	if !refused {
+		t.Error("no request is refused")
+	}
+	if left := l.awaitEnd(t); len(left) != 1 || left["out"] == nil {
+		t.Errorf("it leaves %v", left)
+	}
+}
+
+// A request that was forwarded to a successor that dies, while nobody can take the journal again, gets a response: it
+// may have been accepted, so nothing is promised.
+func TestForwardedRequestsAreAnsweredAfterTheSuccessorsDeath(t *testing.T) {
+	t.Parallel()
+	hung := st.NewEndpoint(t, st.Silent)
+	addr, listen := platformSocket(t)
+	l := &stoppableSender{Sender: newTest(t, st.NewPlatform(t, hung.Addr), nil), done: make(chan error, 1)}
+	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
+	var ctx context.Context
+	ctx, l.stop = context.WithCancel(context.Background())
+	go func() { l.done <- l.Run(ctx, listen) }()
+	c := dial(t, addr)
+	r := bufio.NewReader(c)
+	if resp := sendOn(t, c, r, st.Message(t, addr, "out", "unsafe", 0, 15*time.Second, "x")); resp.StatusCode != http.StatusAccepted {
+		t.Fatal(resp.Status)
+	}
+	hung.Next(t)
+	successor, _ := requestSnapshot(t, l.upgrade.stateDir)
+	io.WriteString(c, renderRequest(t, st.Message(t, addr, "passed", "unsafe", 0, 15*time.Second, "x")))
+	for {
+		p, err := successor.Receive()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, ok := p.(handover.ForwardedRequest); ok {
+			break
+		}
+	}
+	l.stop()
+	for leaving := false; !leaving; time.Sleep(time.Millisecond) {
+		l.server.mu.Lock()
+		leaving = l.server.leaving
+		l.server.mu.Unlock()
+	}
+	successor.Close()
+	c.SetReadDeadline(time.Now().Add(400 * time.Millisecond)) // as long as a client waits
+	resp, err := http.ReadResponse(r, nil)
+	if err != nil || resp.StatusCode != http.StatusInternalServerError {
+		t.Errorf("%+v, %v", resp, err)
+	}
+	l.awaitEnd(t)
+}
