--- a/internal/sender/attempts.go
+++ b/internal/sender/attempts.go
@@ -21,7 +21,7 @@
 	for _, end := range c.ends {
 		// After this process became the owner again, the message has a new entry.
 		if m := s.messages.byID[end.message.ID]; m != nil && m != end.message {
-			end.message, end.attempt = m, end.message.base+end.attempt-m.base
+			end.message, end.attempt = m, end.message.priorAttempts+end.attempt-m.priorAttempts
 		}
 		if _, inFlight := end.message.calls[end.attempt]; inFlight { // else it ended before its call did
 			events = append(events, s.handleAttemptEnd(end))
@@ -33,7 +33,7 @@
 func (s *Sender) handleAttemptEnd(end attemptEnd) dispatch.Event {
 	m := end.message
 	delete(m.calls, end.attempt)
-	s.trace("attempt ended", m.ID, "attempt", m.base+end.attempt, "outcome", end.Outcome, "took", end.Elapsed,
+	s.trace("attempt ended", m.ID, "attempt", m.priorAttempts+end.attempt, "outcome", end.Outcome, "took", end.Elapsed,
 		"retry_after", end.RetryAfter)
 	end.Message, end.Attempt = m.number, end.attempt
 	if end.Outcome == dispatch.TimedOut {
@@ -65,12 +65,12 @@
 		s.recordEnd(m, journal.Record{Outcome: journal.OutcomeAnswered})
 	case end.Outcome == dispatch.NotStarted:
 		s.metrics.CountReason(metrics.ReasonRetried, end.Outcome.String())
-		m.removeUnstartedAttempt(m.base + end.attempt)
+		m.removeUnstartedAttempt(m.priorAttempts + end.attempt)
 	default:
 		s.metrics.CountReason(metrics.ReasonRetried, end.Outcome.String())
 		neverRan := end.Outcome == dispatch.Rejected || end.Outcome == dispatch.ConnectFailed ||
 			end.Outcome == dispatch.NotSent
-		s.journal.Append(m.Message, journal.Record{Op: "end", Attempt: m.base + end.attempt, NeverRan: neverRan})
+		s.journal.Append(m.Message, journal.Record{Op: "end", Attempt: m.priorAttempts + end.attempt, NeverRan: neverRan})
 	}
 }
 
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -1,7 +1,5 @@
 package sender
 
-// How the sends that the dispatcher decides on become calls: what travels together, and when each part of a call has to end.
-
 import (
 	"cmp"
 	"context"
@@ -17,24 +15,24 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// outCall is the call that an attempt is out with.
-type outCall struct {
-	number   uint64
-	endpoint dispatch.EndpointID
-	timeout  time.Duration
-	cancel   func()
-	withhold func()         // it ends, unless it has been written
-	at       *handover.Link // the process that makes it, nil for this one
+// inFlightCall is the call that carries an attempt.
+type inFlightCall struct {
+	number      uint64
+	endpoint    dispatch.EndpointID
+	timeout     time.Duration
+	cancel      func()
+	abortUnsent func()         // ends the call unless it has been written
+	remote      *handover.Link // the process that makes the call, nil for this one
 
-	end *dispatch.AttemptResult // it has ended, and a successor was told so
+	reportedEnd *dispatch.AttemptResult // how the attempt ended, once a successor has been told; else nil
 }
 
-// withhold ends calls that have not been written yet.
-func (s *Sender) abortUnsent(which func(*outCall) bool) {
+// abortUnsent ends the calls of a kind that have not been written yet.
+func (s *Sender) abortUnsent(which func(*inFlightCall) bool) {
 	for _, m := range s.messages.byNumber {
 		for _, c := range m.calls {
 			if which(c) {
-				c.withhold()
+				c.abortUnsent()
 			}
 		}
 	}
@@ -60,9 +58,10 @@
 	bytes int
 }
 
-// startCalls makes the calls of a step, in their order: what goes to one endpoint travels together as far as its kind
-// allows, as the dispatcher counts it. Messages end alone while their call goes on, but it has to be over when the time of
-// its first one is: after that the platform accepts no answer to it. So the one that has time for longest comes first.
+// startCalls makes the calls of a step, in the order of the sends. Messages to one endpoint share a call as far as
+// its kind allows, as the dispatcher counts it. Each message ends at its own deadline while its call goes on, but the
+// call has to be over at the deadline of its first message: after that the platform accepts no response to it. So the
+// message with the latest deadline comes first.
 func (s *Sender) startCalls(ctx context.Context, now time.Duration, sends []dispatch.Send, written bool) {
 	var calls []*plannedCall
 	open := map[*listedEndpoint]*plannedCall{}
@@ -72,7 +71,8 @@
 			continue
 		}
 		item := s.newCallItem(m, send, now)
-		s.trace("attempt", m.ID, "attempt", m.base+item.attempt, "endpoint", to.ID, "timeout", send.Timeout, "written", written)
+		s.trace("attempt", m.ID, "attempt", m.priorAttempts+item.attempt, "endpoint", to.ID,
+			"timeout", send.Timeout, "written", written)
 		size := base64.StdEncoding.EncodedLen(len(m.Body)) + len(m.ID) + len(m.Key) + batchEntryBytes
 		call := open[to]
 		if call == nil || len(call.items) >= to.maxBatchSize || call.bytes+size > maxBatchBytes {
@@ -91,18 +91,20 @@
 
 // newCallItem is a message's part in a call that the dispatcher has decided on.
 func (s *Sender) newCallItem(m *message, send dispatch.Send, now time.Duration) callItem {
-	item := callItem{message: m, attempt: m.sends, Item: &endpoint.Item{
-		ID: m.ID, Key: m.Key, Body: m.Body,
+	item := callItem{message: m, attempt: m.ownAttempts, Item: &endpoint.Item{
+		ID:          m.ID,
+		Key:         m.Key,
+		Body:        m.Body,
 		Permit:      sendPermitFor(m, m.calls, s.clock.Now()),
 		Timeout:     send.Timeout,
 		StartWithin: max(1, now+send.StartWithin-s.clock.Now()),
 		LastAttempt: now+send.Timeout >= m.Deadline,
 	}}
-	m.sends++
+	m.ownAttempts++
 	return item
 }
 
-// startCall starts one call. Its results come back as events.
+// startCall starts one call. The call's goroutine posts its results as events, and ends with ctx at the latest.
 func (s *Sender) startCall(ctx context.Context, to *listedEndpoint, items []callItem, written bool) {
 	parts := make([]*endpoint.Item, len(items))
 	for i, item := range items {
@@ -111,8 +113,13 @@
 	call := s.pool.NewCall(ctx, to.Endpoint, parts)
 	s.lastCallNumber++
 	for _, item := range items {
-		item.message.calls[item.attempt] = &outCall{number: s.lastCallNumber, endpoint: to.Number, timeout: item.Timeout,
-			cancel: call.Cancel, withhold: call.AbortUnsent}
+		item.message.calls[item.attempt] = &inFlightCall{
+			number:      s.lastCallNumber,
+			endpoint:    to.Number,
+			timeout:     item.Timeout,
+			cancel:      call.Cancel,
+			abortUnsent: call.AbortUnsent,
+		}
 	}
 	s.callsInFlight++
 	s.batchedMessages += len(items) - 1
@@ -120,7 +127,11 @@
 		ended := callEndedEvent{callDone: isDone}
 		for _, r := range results {
 			item := items[r.Item]
-			ended.ends = append(ended.ends, attemptEnd{item.message, item.attempt, r.AttemptResult})
+			ended.ends = append(ended.ends, attemptEnd{
+				message:       item.message,
+				attempt:       item.attempt,
+				AttemptResult: r.AttemptResult,
+			})
 		}
 		s.post(ctx, ended)
 	})
@@ -152,20 +163,21 @@
 	})
 }
 
-// permitOf is what is to be known of m, whose newest attempt in the record is the one that asks.
-func sendPermitFor(m *message, kept map[int]*outCall, now time.Duration) invariant.SendPermit {
-	p := invariant.SendPermit{MessageID: m.ID, InFlight: len(kept)}
+// sendPermitFor is what the invariant checker needs to know of a message whose newest attempt is about to be sent,
+// while others are in flight.
+func sendPermitFor(m *message, inFlight map[int]*inFlightCall, now time.Duration) invariant.SendPermit {
+	permit := invariant.SendPermit{MessageID: m.ID, InFlight: len(inFlight)}
 	if m.Message == nil || m.Rules == nil || len(m.Attempts) == 0 {
-		return p
+		return permit
 	}
 	earlier := journal.Message{Record: journal.Record{Attempts: m.Attempts[:len(m.Attempts)-1]}}
-	first, ran := earlier.FirstRun()
-	p.MayHaveRun = ran
+	firstRun, mayHaveRun := earlier.FirstRun()
+	permit.MayHaveRun = mayHaveRun
 	switch m.Rules.Effect {
 	case dispatch.NonIdempotent:
-		p.NonRepeatable = true
+		permit.NonRepeatable = true
 	case dispatch.IdempotentByKey:
-		p.RepeatableUntil = time.Now().Add(first.SentAt + m.Rules.IdempotencyWindow - now)
+		permit.RepeatableUntil = time.Now().Add(firstRun.SentAt + m.Rules.IdempotencyWindow - now)
 	}
-	return p
+	return permit
 }
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -27,7 +27,7 @@
 
 // testMessage is a message with an id and no calls.
 func testMessage(id string) *message {
-	return &message{Message: &journal.Message{Record: journal.Record{ID: id}}, calls: map[int]*outCall{}}
+	return &message{Message: &journal.Message{Record: journal.Record{ID: id}}, calls: map[int]*inFlightCall{}}
 }
 
 // callOnce makes one call with one message and waits for its result.
@@ -107,7 +107,7 @@
 	began := time.Now()
 	end := callOnce(s.pool, at, 30*time.Millisecond, "")
 	end.Elapsed = time.Since(began)
-	m := &message{Message: &journal.Message{}, ended: true, calls: map[int]*outCall{0: {cancel: func() {}}}}
+	m := &message{Message: &journal.Message{}, ended: true, calls: map[int]*inFlightCall{0: {cancel: func() {}}}}
 	s.handleCallEnd(callEndedEvent{[]attemptEnd{{m, 0, end}}, true})
 	if n := s.pool.IdleConnections(); n != 0 {
 		t.Errorf("%d idle connections after a time-out", n)
--- a/internal/sender/dispatch.go
+++ b/internal/sender/dispatch.go
@@ -91,7 +91,7 @@
 				m.calls[a.Attempt].cancel()
 			}
 		case dispatch.AbortUnsent:
-			s.abortUnsent(func(c *outCall) bool { return c.endpoint == a.Endpoint })
+			s.abortUnsent(func(c *inFlightCall) bool { return c.endpoint == a.Endpoint })
 		case dispatch.CloseIdle:
 			if e := s.endpoint(a.Endpoint); e != nil {
 				s.pool.CloseIdle(e.Endpoint, 0)
--- a/internal/sender/endpointlist.go
+++ b/internal/sender/endpointlist.go
@@ -27,7 +27,8 @@
 	listed   int // lines that the list holds now
 }
 
-// changes are the lines of an answer that say something else than what is known, those that a whole list lacks among them.
+// changes are the lines of an answer that say something else than what is known, those that a whole list lacks among
+// them.
 func (l *endpoints) changes(t endpointlist.Update) []endpointlist.Endpoint {
 	var changed []endpointlist.Endpoint
 	told := map[string]bool{} // of a whole list
--- a/internal/sender/environment.go
+++ b/internal/sender/environment.go
@@ -10,8 +10,8 @@
 )
 
 // Environment is what a sender gets from its operating system where that may fail or be wrong: clocks, the state
-// directory, the clients' listener and sockets to endpoints. Tests and the soak command replace parts of it by ones that
-// fail.
+// directory, the clients' listener and sockets to endpoints. Tests and the soak command replace parts of it by ones
+// that fail.
 type Environment struct {
 	// Wall is the wall clock. It may be stepped at any time.
 	Wall func() time.Time
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -30,7 +30,7 @@
 	for _, e := range s.list.byNumber {
 		s.pool.CloseIdle(e.Endpoint, 0)
 	}
-	s.abortUnsent(func(*outCall) bool { return true }) // from now on only the successor knows whether a call may start
+	s.abortUnsent(func(*inFlightCall) bool { return true }) // from now on only the successor knows whether a call may start
 	snapshot := s.snapshot()
 	s.upgrade.handedSnapshot, s.upgrade.handedBackoffUntil = snapshot.Dispatcher, snapshot.BackoffUntil
 	s.log.Info("handing over", "pending", s.messages.pending, "calls", len(snapshot.InFlight))
@@ -65,7 +65,7 @@
 	var list []handover.InFlightAttempt
 	for _, m := range s.messages.byNumber {
 		for attempt, c := range m.calls {
-			index := m.base + attempt // in the journal
+			index := m.priorAttempts + attempt // in the journal
 			if m.ended || index >= len(m.Attempts) {
 				continue
 			}
@@ -111,10 +111,10 @@
 	s.pool.KeepIdle(true)
 	handed := s.messages.byID
 	s.messages.clear()
-	s.restoreState(ctx, snapshot, func(attempt handover.InFlightAttempt) *outCall {
+	s.restoreState(ctx, snapshot, func(attempt handover.InFlightAttempt) *inFlightCall {
 		m := handed[attempt.ID.Message]
-		c := *m.calls[attempt.ID.Attempt-m.base] // the call itself is this process's as before
-		c.end = nil
+		c := *m.calls[attempt.ID.Attempt-m.priorAttempts] // the call itself is this process's as before
+		c.reportedEnd = nil
 		return &c
 	})
 	s.log.Warn("serving again after the successor's death", "pending", s.messages.pending)
@@ -142,8 +142,8 @@
 	events := []dispatch.Event{dispatch.EndpointListStale{Stale: s.discovery.IsListStale()}}
 	for _, m := range handed {
 		for attempt, c := range m.calls {
-			if c.end != nil {
-				end := attemptEnd{message: m, attempt: attempt, AttemptResult: *c.end}
+			if c.reportedEnd != nil {
+				end := attemptEnd{message: m, attempt: attempt, AttemptResult: *c.reportedEnd}
 				events = append(events, s.handleCallEnd(callEndedEvent{ends: []attemptEnd{end}})...)
 			}
 		}
--- a/internal/sender/invariants_test.go
+++ b/internal/sender/invariants_test.go
@@ -52,9 +52,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g, _ := newTestChecker()
-			m := &message{Message: &journal.Message{Record: journal.Record{ID: "m", Rules: &c.rules, Attempts: c.tries}}, calls: map[int]*outCall{}}
+			m := &message{Message: &journal.Message{Record: journal.Record{ID: "m", Rules: &c.rules, Attempts: c.tries}}, calls: map[int]*inFlightCall{}}
 			for n := range c.out {
-				m.calls[n] = &outCall{}
+				m.calls[n] = &inFlightCall{}
 			}
 			wantRule(t, g.CheckSend(invariant.Target{}, []invariant.SendPermit{sendPermitFor(m, m.calls, now)}), c.want)
 		})
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -44,8 +44,8 @@
 	return translated
 }
 
-// endpointListEvents is the list for a dispatcher that knows nothing yet. It comes first with each endpoint as ready, so
-// that the calls in flight have theirs even if it drains or is gone, and then as it is.
+// endpointListEvents is the list for a dispatcher that knows nothing yet. It comes first with each endpoint as ready,
+// so that the calls in flight have theirs even if it drains or is gone, and then as it is.
 func (s *Sender) endpointListEvents() (allReady, current dispatch.EndpointListUpdate) {
 	allReady.Full, current.Full = true, true
 	for _, e := range s.list.byNumber {
@@ -63,7 +63,7 @@
 	if stale {
 		s.metrics.CountReason(metrics.ReasonDiscovery, discovery.ReasonStale)
 		s.log.Warn("the list is stale: discovery cannot be asked, and nothing is sent")
-		s.abortUnsent(func(*outCall) bool { return true })
+		s.abortUnsent(func(*inFlightCall) bool { return true })
 	} else {
 		s.log.Info("the list is fresh again")
 	}
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -8,19 +8,19 @@
 // message is an accepted message that has not ended, or whose calls have not.
 type message struct {
 	*journal.Message
-	number  dispatch.MessageID
-	base    int                   // attempts made by earlier processes
-	sends   int                   // attempts made by this process
-	clients []chan clientResponse // wait for the response, more than one if it was sent twice; nil once they have it
-	calls   map[int]*outCall      // in flight, by the dispatcher's number of the attempt
-	ended   bool
+	number        dispatch.MessageID
+	priorAttempts int                   // attempts made by earlier processes
+	ownAttempts   int                   // attempts made by this process
+	clients       []chan clientResponse // wait for the response, more than one if it was sent twice; nil once they have it
+	calls         map[int]*inFlightCall // in flight, by the dispatcher's number of the attempt
+	ended         bool
 }
 
 // removeUnstartedAttempt forgets an attempt that was never started, because its record could not be written.
 func (m *message) removeUnstartedAttempt(index int) {
 	if index == len(m.Attempts)-1 {
 		m.Attempts = m.Attempts[:index]
-		m.base--
+		m.priorAttempts--
 	}
 }
 
@@ -51,11 +51,11 @@
 func (t *messageTable) add(stored *journal.Message, clients ...chan clientResponse) *message {
 	t.lastNumber++
 	m := &message{
-		Message: stored,
-		number:  t.lastNumber,
-		base:    len(stored.Attempts),
-		clients: clients,
-		calls:   map[int]*outCall{},
+		Message:       stored,
+		number:        t.lastNumber,
+		priorAttempts: len(stored.Attempts),
+		clients:       clients,
+		calls:         map[int]*inFlightCall{},
 	}
 	t.byNumber[m.number], t.byID[m.ID] = m, m
 	t.pending++
--- a/internal/sender/peer.go
+++ b/internal/sender/peer.go
@@ -31,7 +31,7 @@
 	if m == nil {
 		return attemptEnd{}, false
 	}
-	return attemptEnd{message: m, attempt: report.Attempt.Attempt - m.base, AttemptResult: report.Result}, true
+	return attemptEnd{message: m, attempt: report.Attempt.Attempt - m.priorAttempts, AttemptResult: report.Result}, true
 }
 
 // predecessorLost ends the attempts that the process at a link had in flight: they may have run.
@@ -39,10 +39,10 @@
 	var ends []attemptEnd
 	for _, m := range s.messages.byNumber {
 		for attempt, c := range m.calls {
-			if c.at != link || c.end != nil {
+			if c.remote != link || c.reportedEnd != nil {
 				continue
 			}
-			sentAt := m.Attempts[m.base+attempt].SentAt
+			sentAt := m.Attempts[m.priorAttempts+attempt].SentAt
 			ends = append(ends, attemptEnd{message: m, attempt: attempt, AttemptResult: dispatch.AttemptResult{
 				Endpoint: c.endpoint,
 				Outcome:  dispatch.ConnectionBroken,
@@ -130,7 +130,7 @@
 	if m == nil {
 		return
 	}
-	if c := m.calls[id.Attempt-m.base]; c != nil {
+	if c := m.calls[id.Attempt-m.priorAttempts]; c != nil {
 		c.cancel()
 	}
 }
@@ -140,15 +140,15 @@
 func (s *Sender) reportAttemptEnds(ends []attemptEnd) {
 	for _, end := range ends {
 		c := end.message.calls[end.attempt]
-		if c == nil || c.end != nil {
+		if c == nil || c.reportedEnd != nil {
 			continue
 		}
-		c.end = &end.AttemptResult
+		c.reportedEnd = &end.AttemptResult
 		if s.upgrade.successor == nil {
 			continue
 		}
 		s.upgrade.successor.Send(handover.AttemptReport{
-			Attempt: handover.AttemptID{Message: end.message.ID, Attempt: end.message.base + end.attempt},
+			Attempt: handover.AttemptID{Message: end.message.ID, Attempt: end.message.priorAttempts + end.attempt},
 			Result:  end.AttemptResult,
 		})
 	}
--- a/internal/sender/restore.go
+++ b/internal/sender/restore.go
@@ -14,7 +14,7 @@
 const firstListTimeout = 300 * time.Millisecond
 
 // callFactory makes this process's entry for an attempt that a snapshot names as in flight.
-type callFactory func(handover.InFlightAttempt) *outCall
+type callFactory func(handover.InFlightAttempt) *inFlightCall
 
 // restoreState gives the dispatcher what an earlier process left, before any client is accepted. The snapshot is nil
 // unless the earlier process handed over.
@@ -104,7 +104,7 @@
 // restoreCall makes a message's last attempt its first one in this process, in flight.
 func (s *Sender) restoreCall(restored *dispatch.Message, attempt handover.InFlightAttempt, newCall callFactory) {
 	m := s.messages.byNumber[restored.ID]
-	m.base, m.sends = attempt.ID.Attempt, 1
+	m.priorAttempts, m.ownAttempts = attempt.ID.Attempt, 1
 	m.calls[0] = newCall(attempt)
 	restored.PriorAttempts = attempt.ID.Attempt
 	restored.InFlight = &dispatch.InFlightAttempt{
--- a/internal/sender/run.go
+++ b/internal/sender/run.go
@@ -124,14 +124,14 @@
 }
 
 // predecessorCall is the entry of a call that the predecessor has in flight. All that it has in flight is written.
-func (s *Sender) predecessorCall(attempt handover.InFlightAttempt) *outCall {
+func (s *Sender) predecessorCall(attempt handover.InFlightAttempt) *inFlightCall {
 	predecessor := s.upgrade.predecessor
-	return &outCall{
-		number:   attempt.Call,
-		endpoint: attempt.Endpoint,
-		timeout:  attempt.Timeout,
-		at:       predecessor,
-		cancel:   func() { predecessor.Send(handover.CancelAttempt{Attempt: attempt.ID}) },
-		withhold: func() {},
+	return &inFlightCall{
+		number:      attempt.Call,
+		endpoint:    attempt.Endpoint,
+		timeout:     attempt.Timeout,
+		remote:      predecessor,
+		cancel:      func() { predecessor.Send(handover.CancelAttempt{Attempt: attempt.ID}) },
+		abortUnsent: func() {},
 	}
 }
--- a/internal/sender/shutdown.go
+++ b/internal/sender/shutdown.go
@@ -64,7 +64,7 @@
 	if s.upgrade.handedOver && s.upgrade.successor == nil {
 		s.abandonForwarded() // this process does not take the lock again from here on
 	}
-	s.abortUnsent(func(*outCall) bool { return true })
+	s.abortUnsent(func(*inFlightCall) bool { return true })
 	s.log.Info("no further calls are started", "pending", s.messages.pending, "calls", s.callsInFlight)
 	s.server.leave()
 }
