--- /dev/null
+++ b/internal/ingress/listener.go
@@ -0,0 +1,114 @@
+package ingress
+
+import (
+	"errors"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/netconn"
+)
+
+// The pauses before accept is tried again double. They are short at first, as whoever waits in the queue is owed an
+// answer.
+const (
+	minAcceptPause = 500 * time.Microsecond
+	maxAcceptPause = 100 * time.Millisecond
+	// maxLostInRow is how many connections in a row may turn out to be lost before accept pauses.
+	maxLostInRow = 16
+)
+
+// limitListener is the clients' listener. It accepts so many connections at once; further ones wait in its queue. What
+// waits there when a listener is closed is reset, with a response or without, so before its end it accepts all that have
+// arrived.
+//
+// netutil.LimitListener does the counting as well, but its connections hide what tells whether bytes wait unread.
+type limitListener struct {
+	net.Listener
+	places     chan struct{}
+	closed     chan struct{}
+	emptied    chan struct{} // closed when the queue has been emptied, and with it the listener
+	close      func() error
+	emptyQueue func()      // accepts what waits in the queue, and closes the listener
+	cutsOff    atomic.Bool // connections are closed at once
+
+	// The callbacks may be nil.
+	onClose        func(*clientConn) // a connection is about to be closed
+	onRequestBegun func(*clientConn) // the first bytes of a request have been read
+	onAcceptError  func(error)       // accept has failed and is tried again
+}
+
+func newLimitListener(l net.Listener, limit int) *limitListener {
+	limited := &limitListener{
+		Listener: l,
+		places:   make(chan struct{}, limit),
+		closed:   make(chan struct{}),
+		emptied:  make(chan struct{}),
+	}
+	limited.close = sync.OnceValue(func() error {
+		close(limited.closed)
+		return l.Close()
+	})
+	limited.emptyQueue = sync.OnceFunc(func() {
+		withDeadline, ok := l.(interface{ SetDeadline(time.Time) error })
+		if !ok || withDeadline.SetDeadline(time.Now().Add(QueueTimeout)) != nil {
+			_ = limited.close() // the queue cannot be emptied
+		}
+	})
+	return limited
+}
+
+// Close closes the listener; further calls have no effect.
+func (l *limitListener) Close() error { return l.close() }
+
+// Accept accepts the next client. Its one timeout is that of the emptied queue.
+func (l *limitListener) Accept() (net.Conn, error) {
+	select {
+	case l.places <- struct{}{}:
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+	conn, err := l.acceptRetrying()
+	if err == nil {
+		return &clientConn{
+			Conn:           conn,
+			cutsOff:        &l.cutsOff,
+			onClose:        l.onClose,
+			onRequestBegun: l.onRequestBegun,
+			release:        sync.OnceFunc(func() { <-l.places }),
+		}, nil
+	}
+	<-l.places
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		_ = l.close() // the queue is empty, which is what counts
+		close(l.emptied)
+		return nil, net.ErrClosed
+	}
+	return nil, err
+}
+
+// acceptRetrying waits for the next connection, whatever fails meanwhile.
+func (l *limitListener) acceptRetrying() (net.Conn, error) {
+	pause := minAcceptPause
+	for lost := 0; ; {
+		conn, err := l.Listener.Accept()
+		if err == nil || netconn.IsListenerBroken(err) {
+			return conn, err
+		}
+		if l.onAcceptError != nil {
+			l.onAcceptError(err)
+		}
+		if netconn.IsConnectionLost(err) && lost < maxLostInRow {
+			lost++
+			continue
+		}
+		select {
+		case <-time.After(pause):
+		case <-l.closed:
+			return nil, net.ErrClosed
+		}
+		pause = min(2*pause, maxAcceptPause)
+	}
+}
--- a/internal/sender/faults_test.go
+++ b/internal/ingress/listener_test.go
@@ -1,4 +1,4 @@
-package sender
+package ingress
 
 import (
 	"io"
@@ -29,7 +29,7 @@
 
 // A crowd in the queue is worked off also while accept fails for a moment: whoever waits there is owed an error or a
 // close within 3 s of having connected, and a request its answer within 0.4 s.
-func TestAQueueIsWorkedOffWhileAcceptFails(t *testing.T) {
+func TestQueueIsEmptiedWhileAcceptFails(t *testing.T) {
 	t.Parallel()
 	const crowd, within = 300, time.Second
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENFILE, syscall.ENOBUFS} {
@@ -66,11 +66,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { theirs.Close(); ours.Close() })
-	return &clientConn{Conn: ours, cut: new(atomic.Bool), left: func() {}}, theirs
+	return &clientConn{Conn: ours, cutsOff: new(atomic.Bool), release: func() {}}, theirs
 }
 
 // A connection that is let go of in the moment in which a request begins to come goes on until that has come whole.
-func TestALetGoThatCrossesARequestLetsItComeWhole(t *testing.T) {
+func TestDismissedConnectionReadsABegunRequestToItsEnd(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		before, after bool // parts of the request that are read before the connection is let go of
@@ -98,7 +98,7 @@
 				go read()
 				time.Sleep(20 * time.Millisecond)
 			}
-			g.dismiss(closedLeaving)
+			g.dismiss(ClosedLeaving)
 			time.Sleep(20 * time.Millisecond)
 			io.WriteString(client, "second")
 			if !c.after {
--- /dev/null
+++ b/internal/ingress/request.go
@@ -0,0 +1,168 @@
+package ingress
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/journal"
+)
+
+// MaxBody bounds the body of a request (protocol).
+const MaxBody = 64 << 10
+
+const (
+	maxHeader   = 16 << 10
+	maxDeadline = 24 * time.Hour
+)
+
+// The headers of a request (protocol).
+const (
+	headerMessageID  = "X-Request-Id"
+	headerClass      = "X-Class"
+	headerTenant     = "X-Tenant"
+	headerKey        = "Idempotency-Key"
+	headerDeadline   = "X-Deadline-Ms"
+	headerAddressing = "X-Addressing"
+	destinationField = "dest="
+)
+
+// Submission is a message that a client hands in, on its way to the event loop.
+type Submission struct {
+	journal.Record
+	ClassIndex  int           // in the settings
+	TenantIndex int           // in the settings, -1 for none
+	Responses   chan Response // buffered: the event loop never waits for a client
+}
+
+// requestError is why a request is not sound.
+type requestError struct {
+	status int // of the response
+	text   string
+}
+
+func (e *requestError) Error() string { return e.text }
+
+func badRequest(format string, args ...any) error {
+	return &requestError{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
+}
+
+// checkFraming rejects a request whose end can be read in two ways. Clients state every length; where a transfer coding
+// stands beside it net/http drops the length unseen, and what one reading takes for the body the other takes for the next
+// request. HTTP/1.0 has the same doubt, as the coding is what is dropped there.
+func checkFraming(r *http.Request) error {
+	if !r.ProtoAtLeast(1, 1) {
+		return &requestError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is spoken here"}
+	}
+	if len(r.TransferEncoding) > 0 {
+		return &requestError{
+			status: http.StatusLengthRequired,
+			text:   "a body needs a Content-Length and no Transfer-Encoding",
+		}
+	}
+	return nil
+}
+
+// parse reads a request that arrived at a time. It fails with a *requestError.
+func parse(w http.ResponseWriter, r *http.Request, c *config.Config, arrivedAt time.Duration) (*Submission, error) {
+	s := &Submission{Responses: make(chan Response, 1), TenantIndex: -1}
+	if err := s.readNames(r); err != nil {
+		return nil, err
+	}
+	if r.Header.Get("Content-Length") == "" {
+		return nil, &requestError{status: http.StatusLengthRequired, text: "Content-Length is missing"}
+	}
+	if s.ID == "" {
+		return nil, badRequest("%s is missing", headerMessageID)
+	}
+	if err := s.resolveNames(c); err != nil {
+		return nil, err
+	}
+	deadline := r.Header.Get(headerDeadline)
+	ms, err := strconv.ParseInt(deadline, 10, 64)
+	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
+		return nil, badRequest("%s %q is not a sensible time", headerDeadline, deadline)
+	}
+	s.Deadline = arrivedAt + time.Duration(ms)*time.Millisecond
+	if s.Destination, err = parseDestination(r.Header.Get(headerAddressing)); err != nil {
+		return nil, err
+	}
+	s.Body, err = readBody(w, r)
+	return s, err
+}
+
+// readNames reads the headers that name something: they go into records and calls as they are.
+func (s *Submission) readNames(r *http.Request) error {
+	for header, field := range map[string]*string{
+		headerMessageID: &s.ID,
+		headerClass:     &s.Class,
+		headerTenant:    &s.Tenant,
+		headerKey:       &s.Key,
+	} {
+		value := r.Header.Get(header)
+		if len(value) > journal.MaxNameLength {
+			return badRequest("%s is longer than %d bytes", header, journal.MaxNameLength)
+		}
+		for _, c := range []byte(value) {
+			if c < ' ' || c > '~' {
+				return badRequest("%s holds bytes that are not plain ASCII", header)
+			}
+		}
+		*field = value
+	}
+	return nil
+}
+
+// resolveNames finds class and tenant in the settings.
+func (s *Submission) resolveNames(c *config.Config) error {
+	if s.ClassIndex = config.IndexOf(c.Classes, s.Class, -1); s.ClassIndex < 0 {
+		return badRequest("%s %q is not among the settings", headerClass, s.Class)
+	}
+	s.TenantIndex = config.IndexOf(c.Tenants, s.Tenant, -1)
+	if s.TenantIndex < 0 && len(c.Tenants) > 0 {
+		return badRequest("%s %q is not among the settings", headerTenant, s.Tenant)
+	}
+	if c.Settings.Classes[s.ClassIndex].Effect == dispatch.IdempotentByKey && s.Key == "" {
+		return badRequest("%s is missing, and class %s is keyed", headerKey, s.Class)
+	}
+	return nil
+}
+
+// parseDestination reads the destination's number from the addressing header.
+func parseDestination(addressing string) (uint32, error) {
+	isSeparator := func(r rune) bool { return r == ',' || r == ';' || r == ' ' }
+	for _, part := range strings.FieldsFunc(addressing, isSeparator) {
+		number, ok := strings.CutPrefix(part, destinationField)
+		if !ok {
+			continue
+		}
+		n, err := strconv.ParseUint(number, 10, 16)
+		if err != nil {
+			return 0, badRequest("%s: dest %q is not a destination's number", headerAddressing, number)
+		}
+		return uint32(n), nil
+	}
+	return 0, badRequest("%s names no dest", headerAddressing)
+}
+
+// readBody reads the body completely.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+	if err == nil {
+		return body, nil
+	}
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return nil, &requestError{
+			status: http.StatusRequestEntityTooLarge,
+			text:   fmt.Sprintf("the body is over %d bytes", MaxBody),
+		}
+	}
+	return nil, badRequest("the body does not come whole: %v", err)
+}
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -14,6 +14,7 @@
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpoint"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -186,7 +187,7 @@
 			list.Endpoints[1].Cell = 0
 			s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(list, true)})
 			r := journal.Record{ID: "m1", Class: "safe", Tenant: "acme", Deadline: s.clock.Now() + st.Wait}
-			s.dispatch(ctx, s.handleEvent(ctx, submissionEvent{submission{Record: r, answer: make(chan clientResponse, 1)}}))
+			s.dispatch(ctx, s.handleEvent(ctx, submissionEvent{ingress.Submission{Record: r, Responses: make(chan ingress.Response, 1)}}))
 			st.Receive(t, dialing)
 			s.dispatch(ctx, news(s, list))
 			close(up)
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -23,9 +24,9 @@
 	defer s.journal.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	hand := func(id string) submission {
-		return submission{Record: journal.Record{ID: id, Class: "safe", Tenant: "acme", Destination: 5, Deadline: s.clock.Now() + time.Minute},
-			answer: make(chan clientResponse, 1)}
+	hand := func(id string) ingress.Submission {
+		return ingress.Submission{Record: journal.Record{ID: id, Class: "safe", Tenant: "acme", Destination: 5, Deadline: s.clock.Now() + time.Minute},
+			Responses: make(chan ingress.Response, 1)}
 	}
 	for i := range 19 {
 		s.processEvents(ctx, submissionEvent{hand("m" + strconv.Itoa(i))})
@@ -33,7 +34,7 @@
 	first, second := hand("x"), hand("x")
 	s.events <- submissionEvent{second}
 	s.processEvents(ctx, submissionEvent{first})
-	if a, b := st.Receive(t, first.answer), st.Receive(t, second.answer); a.status != http.StatusServiceUnavailable || b != a {
+	if a, b := st.Receive(t, first.Responses), st.Receive(t, second.Responses); a.Status != http.StatusServiceUnavailable || b != a {
 		t.Errorf("answered %+v and %+v", a, b)
 	}
 	if s.messages.pending != 19 {
@@ -46,7 +47,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := startSender(t, st.NewPlatform(t, e.Addr), nil)
-	body := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("x", maxBody-4)
+	body := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("x", ingress.MaxBody-4)
 	r := st.Message(t, addr, "m1", "keyed", 0, 5*time.Second, body)
 	r.Header.Set("X-Addressing", "other=1, dest=0")
 	if resp, text := st.Do(t, r); resp.StatusCode != http.StatusAccepted {
--- a/internal/sender/dispatch.go
+++ b/internal/sender/dispatch.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
@@ -74,7 +75,7 @@
 	}
 	for _, e := range events {
 		if accepted, ok := e.(dispatch.Message); ok {
-			s.messages.byNumber[accepted.ID].answerClients(clientResponse{status: http.StatusAccepted})
+			s.messages.byNumber[accepted.ID].answerClients(ingress.Response{Status: http.StatusAccepted})
 		}
 	}
 }
--- a/internal/sender/events.go
+++ b/internal/sender/events.go
@@ -10,6 +10,7 @@
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 	"onyxdyke.example/onyxdyke/internal/handover"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 )
 
 // event is what other goroutines, or the loop's own timers, tell the event loop.
@@ -24,7 +25,7 @@
 	journalRetriedEvent struct{}
 
 	// submissionEvent: a client has sent a message.
-	submissionEvent struct{ submission }
+	submissionEvent struct{ ingress.Submission }
 
 	// retryAfterEvent: an endpoint has asked for a pause in a response whose rest is still to come.
 	retryAfterEvent struct {
--- a/internal/sender/forwarding.go
+++ b/internal/sender/forwarding.go
@@ -5,19 +5,20 @@
 	"net/http"
 
 	"onyxdyke.example/onyxdyke/internal/handover"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
 // forwardedRequest is a request that waits for the successor's response.
 type forwardedRequest struct {
-	submission
+	ingress.Submission
 	sent bool // to the successor
 }
 
 // forwardRequest forwards a request to the successor. Without one the request waits: if this process takes the lock
 // again, the request is its own. During a shutdown it takes the lock no more, so nobody can have accepted the
 // request.
-func (s *Sender) forwardRequest(sub submission) {
+func (s *Sender) forwardRequest(sub ingress.Submission) {
 	if s.upgrade.successor == nil && s.dispatchStopped {
 		s.declineSubmission(sub, "shutting down")
 		return
@@ -31,10 +32,10 @@
 	for _, request := range s.upgrade.takeForwarded() {
 		if request.sent {
 			s.metrics.MessageAborted(request.Class)
-			request.answer <- clientResponse{status: http.StatusInternalServerError, text: journal.OutcomeGivenUp}
+			request.Responses <- ingress.Response{Status: http.StatusInternalServerError, Text: journal.OutcomeGivenUp}
 			continue
 		}
-		s.declineSubmission(request.submission, "shutting down")
+		s.declineSubmission(request.Submission, "shutting down")
 	}
 }
 
@@ -42,16 +43,16 @@
 // back; it ends with the link or with ctx.
 func (s *Sender) receiveForwarded(
 	ctx context.Context, from *handover.Link, request handover.ForwardedRequest,
-) submission {
-	sub := submission{Record: request.Record, answer: make(chan clientResponse, 1)}
+) ingress.Submission {
+	sub := ingress.Submission{Record: request.Record, Responses: make(chan ingress.Response, 1)}
 	go func() {
 		select {
-		case response := <-sub.answer:
+		case response := <-sub.Responses:
 			from.Send(handover.ForwardedResponse{
 				Sequence:   request.Sequence,
-				Status:     response.status,
-				RetryAfter: response.retryAfter,
-				Text:       response.text,
+				Status:     response.Status,
+				RetryAfter: response.RetryAfter,
+				Text:       response.Text,
 			})
 		case <-from.Gone():
 		case <-ctx.Done():
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -24,8 +24,8 @@
 // handOver gives the ownership to a successor, between two steps.
 func (s *Sender) handOver(successor *handover.Link) {
 	s.upgrade.successor, s.upgrade.handedOver = successor, true
-	s.server.closing.Store(true)
-	s.server.shut()
+	s.server.SetClosing(true)
+	s.server.StopAccepting()
 	s.pool.KeepIdle(false)
 	for _, e := range s.list.byNumber {
 		s.pool.CloseIdle(e.Endpoint, 0)
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, request := range waiting {
-		events = append(events, s.handleEvent(ctx, submissionEvent{request.submission})...)
+		events = append(events, s.handleEvent(ctx, submissionEvent{request.Submission})...)
 	}
 	return events
 }
--- a/internal/sender/invariants_test.go
+++ b/internal/sender/invariants_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"log/slog"
-	"net"
 	"testing"
 	"time"
 
@@ -60,16 +59,3 @@
 		})
 	}
 }
-
-func TestGuardCountsAConnectionClosedWithARequest(t *testing.T) {
-	t.Parallel()
-	g, f := newTestChecker()
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	c := &clientConn{Conn: ours, left: func() {}, closing: func(c *clientConn) { g.CheckClose(c.whyClosed(), c.owed.Load()) }}
-	c.owed.Store(true)
-	c.Close()
-	if n := f.ReasonCount(metrics.ReasonViolation, "answer"); n != 1 {
-		t.Errorf("violations.answer is %d", n)
-	}
-}
--- a/internal/sender/listening.go
+++ b/internal/sender/listening.go
@@ -70,10 +70,10 @@
 	if s.env.WrapListener != nil {
 		listener = s.env.WrapListener(listener)
 	}
-	limited := s.server.listenOn(listener)
-	go func() { s.listening.ended <- s.server.serve(limited) }()
-	s.server.closing.Store(false)
-	s.server.ready.Store(true)
+	limited := s.server.Limit(listener)
+	go func() { s.listening.ended <- s.server.Serve(limited) }()
+	s.server.SetClosing(false)
+	s.server.SetReady()
 	s.log.Info("ready", "name", s.config.Name, "listen", listener.Addr().String(),
 		"resumed", s.messages.pending, "notices", len(s.notices.pending))
 }
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -55,7 +55,7 @@
 	case timerEvent:
 		return []dispatch.Event{dispatch.TimerFired{}}
 	case submissionEvent:
-		if accepted := s.acceptSubmission(e.submission); accepted != nil {
+		if accepted := s.acceptSubmission(e.Submission); accepted != nil {
 			return []dispatch.Event{accepted}
 		}
 	case callEndedEvent:
--- a/internal/sender/messageend.go
+++ b/internal/sender/messageend.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
@@ -12,8 +13,8 @@
 // endedMessage is a message that the dispatcher has ended. Its end is announced once it is written to the journal.
 type endedMessage struct {
 	*message
-	outcome    string                // journal.OutcomeGivenUp or journal.OutcomeReturned
-	clients    []chan clientResponse // wait for the response; without any the end is announced by a notice
+	outcome    string                  // journal.OutcomeGivenUp or journal.OutcomeReturned
+	clients    []chan ingress.Response // wait for the response; without any the end is announced by a notice
 	retryAfter time.Duration
 }
 
@@ -63,6 +64,6 @@
 		s.invariants.CheckPromise(end.ID, written) // it counts and logs a violation
 	}
 	for _, client := range end.clients {
-		client <- clientResponse{status: status, retryAfter: end.retryAfter, text: end.outcome}
+		client <- ingress.Response{Status: status, RetryAfter: end.retryAfter, Text: end.outcome}
 	}
 }
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -2,6 +2,7 @@
 
 import (
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
@@ -9,10 +10,10 @@
 type message struct {
 	*journal.Message
 	number        dispatch.MessageID
-	priorAttempts int                   // attempts made by earlier processes
-	ownAttempts   int                   // attempts made by this process
-	clients       []chan clientResponse // wait for the response, more than one if it was sent twice; nil once they have it
-	calls         map[int]*inFlightCall // in flight, by the dispatcher's number of the attempt
+	priorAttempts int                     // attempts made by earlier processes
+	ownAttempts   int                     // attempts made by this process
+	clients       []chan ingress.Response // wait for the response, more than one if it was sent twice; nil once they have it
+	calls         map[int]*inFlightCall   // in flight, by the dispatcher's number of the attempt
 	ended         bool
 }
 
@@ -25,7 +26,7 @@
 }
 
 // answerClients sends the response to the clients that still wait for one.
-func (m *message) answerClients(response clientResponse) {
+func (m *message) answerClients(response ingress.Response) {
 	if m == nil || m.clients == nil {
 		return
 	}
@@ -48,7 +49,7 @@
 }
 
 // add gives a message from the journal its number. The clients wait for its response.
-func (t *messageTable) add(stored *journal.Message, clients ...chan clientResponse) *message {
+func (t *messageTable) add(stored *journal.Message, clients ...chan ingress.Response) *message {
 	t.lastNumber++
 	m := &message{
 		Message:       stored,
--- a/internal/sender/peer.go
+++ b/internal/sender/peer.go
@@ -60,7 +60,7 @@
 func (s *Sender) handleAfterHandOver(ctx context.Context, e event) {
 	switch e := e.(type) {
 	case submissionEvent:
-		s.forwardRequest(e.submission)
+		s.forwardRequest(e.Submission)
 	case callEndedEvent:
 		if e.callDone {
 			s.callsInFlight--
--- a/internal/sender/reload.go
+++ b/internal/sender/reload.go
@@ -14,7 +14,7 @@
 func (s *Sender) Reload(ctx context.Context, getenv func(string) string) error {
 	var c *config.Config
 	err := retry.OnTransient(ctx, s.log, "the new configuration", func() (err error) {
-		c, err = s.server.conf.Load().Reload(s.env.ReadFile, getenv)
+		c, err = s.server.Config().Reload(s.env.ReadFile, getenv)
 		return err
 	})
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	s.discovery.Move(c.Discovery)
 	if s.post(ctx, reloadEvent{c}) {
-		s.server.conf.Store(c) // requests are read by it from here on; the loop has it first
+		s.server.SetConfig(c) // requests are read by it from here on; the loop has it first
 	}
 	return nil
 }
--- a/internal/sender/requests_test.go
+++ b/internal/sender/requests_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -58,7 +59,7 @@
 		c := dial(t, s.addr)
 		io.WriteString(c, text[:len(text)-4])
 		conns = append(conns, c)
-		time.Sleep(2 * evictAgain)
+		time.Sleep(2 * ingress.EvictionGrace)
 	}
 	io.WriteString(conns[0], "body")
 	time.Sleep(10 * time.Millisecond)
@@ -93,10 +94,10 @@
 		"dest a word":      {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=here") }, 400},
 		"dest too high":    {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=70000") }, 400},
 		"body too long": {func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1))), maxBody+1
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, ingress.MaxBody+1))), ingress.MaxBody+1
 		}, 413},
 		"chunked": {func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1))), -1
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, ingress.MaxBody+1))), -1
 		}, 411},
 		"wrong path":   {func(r *http.Request) { r.URL.Path = "/other" }, 404},
 		"wrong method": {func(r *http.Request) { r.Method = http.MethodPut }, 405},
@@ -221,7 +222,7 @@
 	if got := st.Receive(t, first); !strings.HasPrefix(got, "HTTP/1.1 400 ") {
 		t.Errorf("it got %s", got)
 	}
-	if took := time.Since(said); took > headerTime {
+	if took := time.Since(said); took > ingress.HeaderTimeout {
 		t.Errorf("it made room after %v", took)
 	}
 }
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -11,6 +11,7 @@
 
 	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/config"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -159,7 +160,7 @@
 	if err := st.Receive(t, l.done); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(began); took > l.shutdown.drainTimeout+queueTime+answersEnd+500*time.Millisecond { // with room for a slow machine
+	if took := time.Since(began); took > l.shutdown.drainTimeout+ingress.QueueTimeout+ingress.ResponseTimeout+500*time.Millisecond { // with room for a slow machine
 		t.Errorf("it left after %v", took)
 	}
 	next := startStoppable(t, st.NewPlatform(t, hung.Addr), func(c *config.Config) { edit(c); c.State = l.upgrade.stateDir })
--- a/internal/sender/run.go
+++ b/internal/sender/run.go
@@ -97,7 +97,7 @@
 			s.beginShutdown()
 		case <-s.shutdown.graceOver:
 			s.stopDispatching()
-		case <-s.server.calm: // no request is open: the shutdown may advance
+		case <-s.server.Drained(): // no request is open: the shutdown may advance
 		case <-s.shutdown.drainOver:
 			s.endDrain()
 		case <-s.shutdown.cancelOver:
--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -14,7 +14,6 @@
 	"testing"
 	"time"
 
-	"onyxdyke.example/onyxdyke/internal/clock"
 	"onyxdyke.example/onyxdyke/internal/config"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
@@ -143,7 +142,7 @@
 			getenv := func(name string) string { return map[string]string{"EDGE_CONFIG": file}[name] }
 			fits := func(c *config.Config) {
 				t.Helper()
-				clients, callers := newServer(c, clock.New(time.Now()), slog.New(slog.DiscardHandler), nil).most, c.Limits.MaxAdminConnections()
+				clients, callers := c.Limits.MaxClientConnections(), c.Limits.MaxAdminConnections()
 				idle := c.MaxIdleConnections()
 				if sum := clients + callers + idle + c.Settings.MaxConcurrentCalls + config.ReservedDescriptors; sum > sockets || c.Settings.MaxConcurrentCalls < 3 || clients < sockets/3 {
 					t.Errorf("of %d: %d clients, %d operators, %d calls, %d idle", sockets, clients, callers, c.Settings.MaxConcurrentCalls, idle)
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -12,6 +12,7 @@
 	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpoint"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
@@ -38,7 +39,7 @@
 	pool       *endpoint.Pool
 	list       endpoints
 	discovery  *discovery.Client
-	server     *server
+	server     *ingress.Server
 	metrics    *metrics.Registry
 	invariants *invariant.Checker
 
@@ -100,10 +101,14 @@
 		Log:     log,
 		Control: env.Control,
 	})
-	s.server = newServer(c, s.clock, log, func(ctx context.Context, sub submission) bool {
-		return s.post(ctx, submissionEvent{sub})
+	s.server = ingress.New(ingress.Options{
+		Config:     c,
+		Clock:      s.clock,
+		Log:        log,
+		Metrics:    s.metrics,
+		Invariants: s.invariants,
+		Submit:     func(ctx context.Context, sub ingress.Submission) bool { return s.post(ctx, submissionEvent{sub}) },
 	})
-	s.server.invariants, s.server.metrics = s.invariants, s.metrics
 	s.upgrade = newUpgrade(c.State, log, checker, s.post)
 	owned, err := s.upgrade.tryOwnership(ctx)
 	if err != nil {
@@ -148,13 +153,13 @@
 // health returns why the process is not ready to serve, nil if it is. It may be called from any goroutine.
 func (s *Sender) health() error {
 	switch {
-	case !s.server.ready.Load():
+	case !s.server.IsReady():
 		return errStarting
-	case s.server.closing.Load():
+	case s.server.IsClosing():
 		return errLeaving
 	case s.journalFailing.Load():
 		return errJournalFailing
-	case s.server.acceptFails():
+	case s.server.IsAcceptFailing():
 		return errAcceptFailing
 	case time.Since(s.metrics.LastHeartbeat()) > heartbeatTimeout:
 		return errLoopStuck
--- a/internal/sender/shutdown.go
+++ b/internal/sender/shutdown.go
@@ -53,7 +53,7 @@
 func (s *Sender) beginShutdown() {
 	s.shutdown.requested = nil
 	s.log.Info("stopping", "pending", s.messages.pending, "calls", s.callsInFlight)
-	s.server.closing.Store(true)
+	s.server.SetClosing(true)
 	s.shutdown.begin()
 }
 
@@ -66,7 +66,7 @@
 	}
 	s.abortUnsent(func(*inFlightCall) bool { return true })
 	s.log.Info("no further calls are started", "pending", s.messages.pending, "calls", s.callsInFlight)
-	s.server.leave()
+	s.server.Drain()
 }
 
 // endDrain answers the remaining requests. A successor must not send again what the calls in flight carry, so these
@@ -99,7 +99,7 @@
 	answered := make(chan struct{})
 	s.shutdown.answered = answered
 	go func() {
-		s.server.end()
+		s.server.Finish()
 		close(answered)
 	}()
 }
@@ -111,7 +111,7 @@
 	case s.callsInFlight > 0 || len(s.notices.pending) > 0:
 	case s.shutdown.cancelOver != nil:
 		s.shutdown.finish(nil)
-	case s.dispatchStopped && s.server.idle():
+	case s.dispatchStopped && s.server.HasNoRequests():
 		s.endServer()
 	}
 }
@@ -120,7 +120,7 @@
 // lock is freed last, after the journal is closed.
 func (s *Sender) stop(cancelWork context.CancelFunc) error {
 	cancelWork()
-	s.server.close()
+	s.server.Close()
 	s.log.Info("stopped", "pending", s.messages.pending, "calls", s.callsInFlight,
 		"notices", len(s.notices.pending), "batched", s.batchedMessages)
 	if s.upgrade.successor != nil {
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -17,6 +17,7 @@
 	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/handover"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
@@ -164,7 +165,7 @@
 	l.stop()
 	began := time.Now()
 	left := l.awaitEnd(t)
-	if took := time.Since(began); took < l.shutdown.drainTimeout || took > l.shutdown.drainTimeout+queueTime+answersEnd+500*time.Millisecond {
+	if took := time.Since(began); took < l.shutdown.drainTimeout || took > l.shutdown.drainTimeout+ingress.QueueTimeout+ingress.ResponseTimeout+500*time.Millisecond {
 		t.Errorf("it left after %v", took)
 	}
 	if left["out"] == nil || len(left) != 1 {
--- a/internal/sender/submission.go
+++ b/internal/sender/submission.go
@@ -6,13 +6,14 @@
 
 	"onyxdyke.example/onyxdyke/internal/config"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
 // acceptSubmission appends a message to the journal before the dispatcher sees it. It returns nil if the message is
 // rejected or known already. A rejected message has not been sent, so its client may send it again.
-func (s *Sender) acceptSubmission(sub submission) dispatch.Event {
+func (s *Sender) acceptSubmission(sub ingress.Submission) dispatch.Event {
 	if s.journal.Knows(sub.ID) {
 		s.joinKnownMessage(sub)
 		return nil
@@ -22,16 +23,16 @@
 		return nil
 	}
 	// The settings may have changed since the request was read, and a forwarded request names its class only.
-	if sub.class = config.IndexOf(s.config.Classes, sub.Class, -1); sub.class < 0 {
-		sub.answer <- clientResponse{status: http.StatusBadRequest, text: "X-Class is not among the settings"}
+	if sub.ClassIndex = config.IndexOf(s.config.Classes, sub.Class, -1); sub.ClassIndex < 0 {
+		sub.Responses <- ingress.Response{Status: http.StatusBadRequest, Text: "X-Class is not among the settings"}
 		return nil
 	}
-	sub.tenant = config.IndexOf(s.config.Tenants, sub.Tenant, -1)
+	sub.TenantIndex = config.IndexOf(s.config.Tenants, sub.Tenant, -1)
 	if limit := s.config.Settings.MaxPendingMessages; limit > 0 && s.messages.pending >= limit {
 		s.rejectSubmission(sub, "all room for messages is taken")
 		return nil
 	}
-	sub.Rules = journal.NewRules(s.config.Settings.Classes[sub.class], s.config.Settings.MaxAttempts)
+	sub.Rules = journal.NewRules(s.config.Settings.Classes[sub.ClassIndex], s.config.Settings.MaxAttempts)
 	stored, err := s.journal.Accept(sub.Record)
 	if err != nil {
 		s.rejectSubmission(sub, "no room to keep the message")
@@ -39,9 +40,9 @@
 	}
 	s.trace("accepted", sub.ID, "class", sub.Class, "destination", sub.Destination, "left", sub.Deadline-s.clock.Now())
 	return dispatch.Message{
-		ID:          s.messages.add(stored, sub.answer).number,
-		Class:       sub.class,
-		Tenant:      sub.tenant,
+		ID:          s.messages.add(stored, sub.Responses).number,
+		Class:       sub.ClassIndex,
+		Tenant:      sub.TenantIndex,
 		Destination: dispatch.DestinationID(sub.Destination),
 		Deadline:    sub.Deadline,
 		Rules:       sub.Rules.ForDispatcher(),
@@ -50,27 +51,27 @@
 
 // joinKnownMessage answers a submission whose message is known already. It is accepted also where new ones are
 // rejected: it would be delivered all the same.
-func (s *Sender) joinKnownMessage(sub submission) {
+func (s *Sender) joinKnownMessage(sub ingress.Submission) {
 	if m := s.messages.byID[sub.ID]; m != nil && m.clients != nil {
-		m.clients = append(m.clients, sub.answer) // the first submission has no response yet
+		m.clients = append(m.clients, sub.Responses) // the first submission has no response yet
 		return
 	}
-	sub.answer <- clientResponse{status: http.StatusAccepted}
+	sub.Responses <- ingress.Response{Status: http.StatusAccepted}
 }
 
 // rejectSubmission answers 503. The reason is counted under its text, with underscores.
-func (s *Sender) rejectSubmission(sub submission, reason string) {
+func (s *Sender) rejectSubmission(sub ingress.Submission, reason string) {
 	s.metrics.CountReason(metrics.ReasonRejected, strings.ReplaceAll(reason, " ", "_"))
 	s.trace("rejected", sub.ID, "why", reason)
 	s.declineSubmission(sub, reason)
 }
 
 // declineSubmission answers 503 with a text.
-func (s *Sender) declineSubmission(sub submission, reason string) {
+func (s *Sender) declineSubmission(sub ingress.Submission, reason string) {
 	s.metrics.MessageDeclined(sub.Class)
-	sub.answer <- clientResponse{
-		status:     http.StatusServiceUnavailable,
-		retryAfter: s.config.Settings.MaxRetryAfter,
-		text:       reason,
+	sub.Responses <- ingress.Response{
+		Status:     http.StatusServiceUnavailable,
+		RetryAfter: s.config.Settings.MaxRetryAfter,
+		Text:       reason,
 	}
 }
--- a/internal/sender/successorloss_test.go
+++ b/internal/sender/successorloss_test.go
@@ -176,9 +176,7 @@
 	}
 	l.stop()
 	for leaving := false; !leaving; time.Sleep(time.Millisecond) {
-		l.server.mu.Lock()
-		leaving = l.server.leaving
-		l.server.mu.Unlock()
+		leaving = l.server.IsDraining()
 	}
 	successor.Close()
 	c.SetReadDeadline(time.Now().Add(400 * time.Millisecond)) // as long as a client waits
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -9,6 +9,7 @@
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/handover"
+	"onyxdyke.example/onyxdyke/internal/ingress"
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
@@ -178,13 +179,13 @@
 }
 
 // forward gives a request to the successor, if there is one; else the request waits.
-func (u *upgrade) forward(sub submission) {
+func (u *upgrade) forward(sub ingress.Submission) {
 	u.lastForwarded++
 	successor := u.successor
 	if successor != nil && successor.IsGone() { // its loss is about to be posted
 		successor = nil
 	}
-	u.forwarded[u.lastForwarded] = forwardedRequest{submission: sub, sent: successor != nil}
+	u.forwarded[u.lastForwarded] = forwardedRequest{Submission: sub, sent: successor != nil}
 	if successor != nil {
 		successor.Send(handover.ForwardedRequest{Sequence: u.lastForwarded, Record: sub.Record})
 	}
@@ -194,7 +195,7 @@
 func (u *upgrade) respond(r handover.ForwardedResponse) {
 	if sub, ok := u.forwarded[r.Sequence]; ok {
 		delete(u.forwarded, r.Sequence)
-		sub.answer <- clientResponse{status: r.Status, retryAfter: r.RetryAfter, text: r.Text}
+		sub.Responses <- ingress.Response{Status: r.Status, RetryAfter: r.RetryAfter, Text: r.Text}
 	}
 }
 
