--- a/internal/ingress/clientconn.go
+++ b/internal/ingress/clientconn.go
@@ -31,8 +31,8 @@
 // expired is a deadline that has passed: it interrupts reads at once.
 var expired = time.Unix(1, 0)
 
-// clientConn is a client's connection. Its flags are set by the goroutine that serves it, by the connection table, and by
-// whoever lets go of it.
+// clientConn is a client's connection. Its flags are set by the goroutine that serves it, by the connection table,
+// and by whoever lets go of it.
 type clientConn struct {
 	net.Conn
 	release        func()       // frees its place
@@ -58,8 +58,8 @@
 	return ClosedOther
 }
 
-// dismiss ends the reading between requests. Unlike a close it costs nobody a response: a request of which something has
-// been read is read to its end, and answered, before the connection is closed.
+// dismiss ends the reading between requests. Unlike a close it costs nobody a response: a request of which something
+// has been read is read to its end, and answered, before the connection is closed.
 func (c *clientConn) dismiss(reason string) {
 	c.reason.CompareAndSwap(nil, &reason)
 	finishBy := time.Now().Add(finishTimeout)
@@ -99,7 +99,7 @@
 	if !c.hasBegun.Load() || c.isCutOff.Load() || finishBy == nil || !time.Now().Before(*finishBy) {
 		return false
 	}
-	return c.Conn.SetReadDeadline(*finishBy) == nil
+	return c.SetReadDeadline(*finishBy) == nil
 }
 
 // Write notes that a response is written.
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -13,14 +13,14 @@
 const (
 	// EvictionGrace is how long a request may take to arrive before its connection makes room for others.
 	EvictionGrace = 20 * time.Millisecond
-	// evictionCloseDelay is when the connection of such a request is closed if nothing else has closed it: longer than a
-	// process is paused, so that a request that was read meanwhile has its handler.
+	// evictionCloseDelay is when the connection of such a request is closed if nothing else has closed it: longer
+	// than a process is paused, so that a request that was read meanwhile has its handler.
 	evictionCloseDelay = 500 * time.Millisecond
 )
 
-// connectionTable follows the clients' connections. When the last place is taken, the connection that has been without a
-// request for longest makes room, or if there is none the one that has been in the middle of its first request for
-// longest: peers that only hold their connection must not keep those out that have something to say.
+// connectionTable follows the clients' connections. When the last place is taken, the connection that has been
+// without a request for longest makes room, or if there is none the one that has been in the middle of its first
+// request for longest: peers that only hold their connection must not keep those out that have something to say.
 type connectionTable struct {
 	limit   int
 	drained chan struct{} // receives while draining whenever no request is open
@@ -105,8 +105,8 @@
 	}
 }
 
-// requestRead marks the connection of a request that has been read to its end: from here on it is owed a response. c may
-// be nil.
+// requestRead marks the connection of a request that has been read to its end: from here on it is owed a response. c
+// may be nil.
 func (t *connectionTable) requestRead(c *clientConn) {
 	if c == nil {
 		return
@@ -131,8 +131,8 @@
 	t.reportDrained()
 }
 
-// finish lets go of connections as the process ends, with isLate also of those that have just been accepted, and returns
-// how many are open. Whatever waits unread on an idle one is a request, and will be answered.
+// finish lets go of connections as the process ends, with isLate also of those that have just been accepted, and
+// returns how many are open. Whatever waits unread on an idle one is a request, and will be answered.
 func (t *connectionTable) finish(isLate bool) (open int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,8 +179,8 @@
 	if t.open < t.limit || t.evictIdle() || t.evictPartial() || t.isEvictionScheduled {
 		return
 	}
-	// All requests that are left have just begun. Nobody else is accepted until there is room, so nothing else would try
-	// again.
+	// All requests that are left have just begun. Nobody else is accepted until there is room, so nothing else would
+	// try again.
 	t.isEvictionScheduled = true
 	time.AfterFunc(EvictionGrace, func() {
 		t.mu.Lock()
@@ -191,8 +191,8 @@
 	})
 }
 
-// evictIdle lets go of the connection that has been idle for longest. Where something has arrived, that is a request, read
-// or not. The caller holds the lock.
+// evictIdle lets go of the connection that has been idle for longest. Where something has arrived, that is a request,
+// read or not. The caller holds the lock.
 func (t *connectionTable) evictIdle() bool {
 	for checked := map[*clientConn]bool{}; ; {
 		var oldest *clientConn
@@ -213,9 +213,9 @@
 	}
 }
 
-// evictPartial lets go of the connection that has been in the middle of a first request for longest, if that is a while.
-// Its client is told so, and has a moment to read it, as the place is needed. Should the rest have been read just now, that
-// is answered as any other request. The caller holds the lock.
+// evictPartial lets go of the connection that has been in the middle of a first request for longest, if that is a
+// while. Its client is told so, and has a moment to read it, as the place is needed. Should the rest have been read
+// just now, that is answered as any other request. The caller holds the lock.
 func (t *connectionTable) evictPartial() bool {
 	var oldest *clientConn
 	for c, since := range t.partial {
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -20,9 +20,9 @@
 	maxLostInRow = 16
 )
 
-// limitListener is the clients' listener. It accepts so many connections at once; further ones wait in its queue. What
-// waits there when a listener is closed is reset, with a response or without, so before its end it accepts all that have
-// arrived.
+// limitListener is the clients' listener. It accepts so many connections at once; further ones wait in its queue.
+// What waits there when a listener is closed is reset, with a response or without, so before its end it accepts all
+// that have arrived.
 //
 // netutil.LimitListener does the counting as well, but its connections hide what tells whether bytes wait unread.
 type limitListener struct {
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -53,9 +53,9 @@
 	return &requestError{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
 
-// checkFraming rejects a request whose end can be read in two ways. Clients state every length; where a transfer coding
-// stands beside it net/http drops the length unseen, and what one reading takes for the body the other takes for the next
-// request. HTTP/1.0 has the same doubt, as the coding is what is dropped there.
+// checkFraming rejects a request whose end can be read in two ways. Clients state every length; where a transfer
+// coding stands beside it net/http drops the length unseen, and what one reading takes for the body the other takes
+// for the next request. HTTP/1.0 has the same doubt, as the coding is what is dropped there.
 func checkFraming(r *http.Request) error {
 	if !r.ProtoAtLeast(1, 1) {
 		return &requestError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is spoken here"}
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -18,8 +18,9 @@
 )
 
 const (
-	// HeaderTimeout bounds the head of a request. A peer that says nothing or stops half-way is owed an error or a close
-	// within 3 s of its connection, and whoever has no request open may be closed after 2 s: so the limits below.
+	// HeaderTimeout bounds the head of a request. A peer that says nothing or stops half-way is owed an error or a
+	// close within 3 s of its connection, and whoever has no request open may be closed after 2 s: so the limits
+	// below.
 	HeaderTimeout = 2 * time.Second
 	readTimeout   = 2500 * time.Millisecond // for a complete request
 	idleTimeout   = 2200 * time.Millisecond
@@ -30,7 +31,8 @@
 )
 
 const (
-	// QueueTimeout bounds, at the end, the time in which the connections are accepted that wait in the listener's queue.
+	// QueueTimeout bounds, at the end, the time in which the connections are accepted that wait in the listener's
+	// queue.
 	QueueTimeout = 50 * time.Millisecond
 	// ResponseTimeout bounds, at the end, the time in which the requests are answered that have been read.
 	ResponseTimeout = 200 * time.Millisecond
@@ -154,8 +156,8 @@
 	return s.listener
 }
 
-// Serve answers on a listener of Limit until it is closed by this server. net/http closes it, too, where accept fails for
-// good: that is the error.
+// Serve answers on a listener of Limit until it is closed by this server. net/http closes it, too, where accept fails
+// for good: that is the error.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.http.Serve(l)
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
@@ -263,8 +265,8 @@
 	http.Error(w, err.Error(), status)
 }
 
-// handleMessage hands one message to the event loop and writes the response. Nothing of a request that is not sound goes
-// further than here.
+// handleMessage hands one message to the event loop and writes the response. Nothing of a request that is not sound
+// goes further than here.
 func (s *Server) handleMessage(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := s.clock.Now()
 	submission, err := parse(w, r, s.config.Load(), arrivedAt)
