--- /dev/null
+++ b/internal/emulator/plan_golden_test.go
@@ -0,0 +1,95 @@
+package emulator
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
+
+// compareGolden compares a text with a file of testdata.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateGolden {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from what was recorded:\n%s", name, got)
+	}
+}
+
+// planText is a plan in a form without names: kinds are their places in the list that plans are drawn from.
+func planText(o Options, plan []Trouble) string {
+	var b strings.Builder
+	for _, t := range plan {
+		fmt.Fprintf(&b, "kind %d from %d until %d destination %d senders %v step %d", slices.Index(AllTroubles, t.Kind), t.From, t.Until,
+			t.Destination, t.Senders, t.Step)
+		for _, i := range t.Senders {
+			draw := t.signals(o.Seed, i)
+			fmt.Fprintf(&b, " %d:%d,%d,%d", i, draw.IntN(3), draw.IntN(2), draw.Int64N(1_000_000))
+		}
+		b.WriteString("\n")
+	}
+	return b.String()
+}
+
+// A seed plays the same day as it did at the release whose plans were recorded.
+func TestPlansOfASeedAreAsRecorded(t *testing.T) {
+	t.Parallel()
+	var b strings.Builder
+	for seed := uint64(1); seed <= 8; seed++ {
+		for _, senders := range []int{testSenders, 24} {
+			o := Options{Seed: seed, Senders: senders, Destinations: 6, Load: 20 * time.Second, Troubles: AllTroubles}
+			fmt.Fprintf(&b, "seed %d senders %d\n%s", seed, senders, planText(o, drawPlan(o)))
+		}
+	}
+	for first := range AllTroubles { // a plan of each kind alone
+		o := Options{Seed: 99, Senders: 16, Destinations: 5, Load: 9 * time.Second, Troubles: AllTroubles[first : first+1]}
+		fmt.Fprintf(&b, "kind %d alone\n%s", first, planText(o, drawPlan(o)))
+	}
+	compareGolden(t, "plans.txt", b.String())
+}
+
+// The clients of a seed hand in the same messages in the same order.
+func TestMessagesOfASeedAreAsRecorded(t *testing.T) {
+	t.Parallel()
+	var b strings.Builder
+	for sender := range 3 {
+		c := NewClients(NewLedger(), DefaultRules(), sender, "", zipf(6), 8, 7)
+		for range 60 {
+			s := c.draw()
+			fmt.Fprintf(&b, "%s %s effect %d destination %d sender %d for %d\n%s\n", s.ID, s.Key, int(s.Effect), s.Destination, s.Sender, s.Deadline,
+				strings.ReplaceAll(requestText(s, bodyOf(s)), "\r\n", "|"))
+		}
+	}
+	compareGolden(t, "messages.txt", b.String())
+}
+
+// The configuration that senders get is as recorded.
+func TestConfigurationIsAsRecorded(t *testing.T) {
+	t.Parallel()
+	known := List{Version: 3, Full: true, Servers: []Server{{ID: "e0-0", Addr: "127.0.0.1:1", Zone: "a", Kind: "shared", State: Serving, Weight: 1}}}
+	var b strings.Builder
+	for _, onRequest := range []bool{false, true} {
+		text, err := json.MarshalIndent(configFor(DefaultRules(), 24, 5, onRequest, "127.0.0.1:2", "state", known), "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.Write(append(text, '\n'))
+	}
+	compareGolden(t, "config.json", b.String())
+}
