--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -60,8 +60,8 @@
 	set.IntVar(&f.options.Senders, "senders", 24, "processes")
 	set.IntVar(&f.options.Destinations, "destinations", 6, "destinations, each with two endpoints")
 	set.Float64Var(&f.options.Rate, "rate", 8, "messages a second for each sender")
-	set.DurationVar(&f.options.Load, "load", 20*time.Second, "how long messages are handed in")
-	set.BoolVar(&f.options.OnRequest, "on-request", false, "lists come on request, and are not pushed")
+	set.DurationVar(&f.options.LoadDuration, "load", 20*time.Second, "how long messages are handed in")
+	set.BoolVar(&f.options.PollsEndpointList, "on-request", false, "lists come on request, and are not pushed")
 	set.DurationVar(&f.options.Tolerance, "tolerance", 150*time.Millisecond, "for the machine's own delays")
 	set.StringSliceVar(&f.only, "troubles", nil, "kinds of trouble to draw from, all if empty")
 	set.StringVar(&f.folder, "folder", "", "keeps states and logs there, else they are removed")
@@ -69,15 +69,15 @@
 	if err := set.Parse(args); err != nil {
 		return nil, err
 	}
-	f.options.Troubles = emulator.AllTroubles
+	f.options.FaultKinds = emulator.AllFaultKinds
 	if len(f.only) > 0 {
-		f.options.Troubles = nil
+		f.options.FaultKinds = nil
 		for _, name := range f.only {
-			kind := emulator.TroubleKind(name)
-			if !slices.Contains(emulator.AllTroubles, kind) {
-				return nil, fmt.Errorf("no trouble is called %q; there are: %v", name, emulator.AllTroubles)
+			kind := emulator.FaultKind(name)
+			if !slices.Contains(emulator.AllFaultKinds, kind) {
+				return nil, fmt.Errorf("no trouble is called %q; there are: %v", name, emulator.AllFaultKinds)
 			}
-			f.options.Troubles = append(f.options.Troubles, kind)
+			f.options.FaultKinds = append(f.options.FaultKinds, kind)
 		}
 	}
 	return f, nil
@@ -110,9 +110,9 @@
 			defer func() { <-places }()
 			o := f.options
 			o.Seed = f.seed + uint64(n)
-			o.Folder = filepath.Join(folder, fmt.Sprint("seed", o.Seed))
+			o.Directory = filepath.Join(folder, fmt.Sprint("seed", o.Seed))
 			o.Command = emulator.Command{Path: os.Args[0], Env: []string{senderVariable + "=1"}}
-			if err := os.RemoveAll(o.Folder); err != nil { // of an earlier run
+			if err := os.RemoveAll(o.Directory); err != nil { // of an earlier run
 				outcomes[n] <- outcome{err: err}
 				return
 			}
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -17,7 +17,7 @@
 
 // Clients hand messages in to one sender, through a proxy, and keep their connections.
 type Clients struct {
-	ledger       *Ledger
+	ledger       *History
 	rules        Rules
 	sender       int
 	addr         string
@@ -25,42 +25,42 @@
 	rate         float64   // messages a second
 
 	mu    sync.Mutex
-	armed chan struct{} // closed at the next answer that takes a message on; nil for none
+	accepted chan struct{} // closed at the next answer that takes a message on; nil for none
 	rand  *rand.Rand
 	idle  []*clientConn
-	next  int
-	all   sync.WaitGroup
+	lastMessage  int
+	exchanges   sync.WaitGroup
 }
 
 // clientConn is a connection that a client keeps.
 type clientConn struct {
 	net.Conn
-	r     *bufio.Reader
-	fresh bool // nothing has been answered on it yet
+	reader     *bufio.Reader
+	isFresh bool // nothing has been answered on it yet
 }
 
 const (
-	splitPause     = 20 * time.Millisecond // between the parts of a request that comes in pieces
-	splitOneIn     = 8
+	fragmentPause     = 20 * time.Millisecond // between the parts of a request that comes in pieces
+	fragmentOneIn     = 8
 	retryOneIn     = 2 // refused messages that are handed in again
-	retriesMost    = 2
-	shortOneIn     = 12 // messages with very little time
-	shortLife      = 120 * time.Millisecond
-	useAllEach     = 150 * time.Millisecond
-	badPeerEach    = 700 * time.Millisecond
-	badPeerTime    = 3 * time.Second
-	badPeerGivesUp = 4 * time.Second
+	maxRetries    = 2
+	shortTimeoutOneIn     = 12 // messages with very little time
+	shortTimeout      = 120 * time.Millisecond
+	idleReuseInterval     = 150 * time.Millisecond
+	badPeerInterval    = 700 * time.Millisecond
+	badPeerReleaseTime    = 3 * time.Second
+	badPeerPatience = 4 * time.Second
 )
 
 // NewClients prepares the clients of one sender.
-func NewClients(l *Ledger, rules Rules, sender int, addr string, destinations []float64, rate float64, seed uint64) *Clients {
+func NewClients(l *History, rules Rules, sender int, addr string, destinations []float64, rate float64, seed uint64) *Clients {
 	return &Clients{ledger: l, rules: rules, sender: sender, addr: addr, destinations: destinations, rate: rate,
 		rand: rand.New(rand.NewPCG(seed, uint64(sender)))}
 }
 
 // Run hands messages in until stop is closed, and waits for their answers.
 func (c *Clients) Run(stop <-chan struct{}) {
-	bad := time.NewTicker(badPeerEach)
+	bad := time.NewTicker(badPeerInterval)
 	defer bad.Stop()
 	for {
 		c.mu.Lock()
@@ -68,39 +68,39 @@
 		c.mu.Unlock()
 		select {
 		case <-stop:
-			c.all.Wait()
+			c.exchanges.Wait()
 			c.closeIdle()
 			return
 		case <-bad.C:
-			c.begin(c.badPeer)
+			c.spawn(c.badPeer)
 		case <-time.After(pause):
-			s := c.draw()
-			c.begin(func() { c.handIn(s, 0) })
+			s := c.drawSubmission()
+			c.spawn(func() { c.submit(s, 0) })
 		}
 	}
 }
 
 // UseAll hands a message in on each connection that is open and idle, again and again until stop is closed.
-func (c *Clients) UseAll(stop <-chan struct{}) {
+func (c *Clients) UseIdleConnections(stop <-chan struct{}) {
 	for {
 		c.mu.Lock()
 		idle := len(c.idle)
 		c.mu.Unlock()
 		for range idle {
-			s := c.draw()
-			c.begin(func() { c.handIn(s, 0) })
+			s := c.drawSubmission()
+			c.spawn(func() { c.submit(s, 0) })
 		}
 		select {
 		case <-stop:
 			return
-		case <-time.After(useAllEach):
+		case <-time.After(idleReuseInterval):
 		}
 	}
 }
 
-func (c *Clients) begin(f func()) {
-	c.all.Add(1)
-	go func() { defer c.all.Done(); f() }()
+func (c *Clients) spawn(f func()) {
+	c.exchanges.Add(1)
+	go func() { defer c.exchanges.Done(); f() }()
 }
 
 func (c *Clients) chance(oneIn int) bool {
@@ -110,33 +110,33 @@
 }
 
 // draw makes a new message.
-func (c *Clients) draw() Submission {
+func (c *Clients) drawSubmission() Submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
+	c.lastMessage++
 	at, destination := c.rand.Float64(), 0
 	for destination < len(c.destinations)-1 && at >= c.destinations[destination] {
 		at -= c.destinations[destination]
 		destination++
 	}
-	s := Submission{ID: fmt.Sprintf("m%d-%d", c.sender, c.next), Effect: Effect(c.rand.IntN(3)), Destination: destination, Sender: c.sender}
+	s := Submission{ID: fmt.Sprintf("m%d-%d", c.sender, c.lastMessage), Effect: Effect(c.rand.IntN(3)), Destination: destination, Sender: c.sender}
 	s.Key = "k" + s.ID
-	s.Deadline = lifetimes[s.Effect]
-	if c.rand.IntN(shortOneIn) == 0 {
-		s.Deadline = shortLife
+	s.DeliveryTimeout = deliveryTimeouts[s.Effect]
+	if c.rand.IntN(shortTimeoutOneIn) == 0 {
+		s.DeliveryTimeout = shortTimeout
 	}
 	return s
 }
 
 // handIn hands a message in, and again after refusals.
-func (c *Clients) handIn(s Submission, retries int) {
+func (c *Clients) submit(s Submission, retries int) {
 	status, hold := c.exchange(s)
-	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests || retries >= retriesMost || !c.chance(retryOneIn) {
+	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests || retries >= maxRetries || !c.chance(retryOneIn) {
 		return
 	}
 	time.Sleep(hold)
 	s.ID = fmt.Sprintf("%s.%d", strings.SplitN(s.ID, ".", 2)[0], retries+1)
-	c.handIn(s, retries+1)
+	c.submit(s, retries+1)
 }
 
 var errNotWritten = errors.New("the request could not be written whole")
@@ -144,31 +144,31 @@
 // exchange hands a message in once and returns the answer's status, 0 for none, and for how long to stay away.
 func (c *Clients) exchange(s Submission) (status int, hold time.Duration) {
 	for try := 0; ; try++ {
-		conn, err := c.get(try > 0)
+		conn, err := c.acquire(try > 0)
 		if err != nil {
 			return 0, 0 // nobody listens: the message goes to no sender
 		}
-		resp, err := c.ask(conn, s)
+		resp, err := c.roundTrip(conn, s)
 		switch {
 		case err == nil:
-			c.ledger.Answer(s.ID, resp.StatusCode)
-			c.answered(resp.StatusCode)
+			c.ledger.RecordAnswer(s.ID, resp.StatusCode)
+			c.noteAnswer(resp.StatusCode)
 			seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 			if resp.Close {
 				conn.Close()
 			} else {
-				c.put(conn)
+				c.release(conn)
 			}
 			return resp.StatusCode, time.Duration(seconds * float64(time.Second))
 		case errors.Is(err, os.ErrDeadlineExceeded): // it waits no longer
-			c.ledger.TimeOut(s.ID)
+			c.ledger.RecordTimeout(s.ID)
 			conn.Close()
 			return 0, 0
-		case !conn.fresh && try == 0: // the close crossed the request: it is written once more
+		case !conn.isFresh && try == 0: // the close crossed the request: it is written once more
 			conn.Close()
 			continue
-		case conn.fresh && !errors.Is(err, errNotWritten):
-			c.ledger.Close(s.ID, err)
+		case conn.isFresh && !errors.Is(err, errNotWritten):
+			c.ledger.RecordClose(s.ID, err)
 		}
 		conn.Close()
 		return 0, 0
@@ -176,56 +176,56 @@
 }
 
 // atNextAnswer is closed at the next answer that takes a message on.
-func (c *Clients) atNextAnswer() <-chan struct{} {
+func (c *Clients) nextAccepted() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.armed == nil {
-		c.armed = make(chan struct{})
+	if c.accepted == nil {
+		c.accepted = make(chan struct{})
 	}
-	return c.armed
+	return c.accepted
 }
 
-func (c *Clients) answered(status int) {
+func (c *Clients) noteAnswer(status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.armed != nil && status == http.StatusAccepted {
-		close(c.armed)
-		c.armed = nil
+	if c.accepted != nil && status == http.StatusAccepted {
+		close(c.accepted)
+		c.accepted = nil
 	}
 }
 
 // bodyOf is the body of a message.
-func bodyOf(s Submission) string { return "body of " + s.Key }
+func messageBody(s Submission) string { return "body of " + s.Key }
 
 func requestText(s Submission, body string) string {
 	text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\n"+
-		"Content-Length: %d\r\nX-Addressing: dest=%d\r\n", s.ID, s.Effect, s.Deadline.Milliseconds(), len(body), s.Destination)
-	if s.Effect == Keyed {
+		"Content-Length: %d\r\nX-Addressing: dest=%d\r\n", s.ID, s.Effect, s.DeliveryTimeout.Milliseconds(), len(body), s.Destination)
+	if s.Effect == IdempotentByKey {
 		text += "Idempotency-Key: " + s.Key + "\r\n"
 	}
 	return text + "\r\n" + body
 }
 
 // ask writes a request, some in pieces, and reads its answer.
-func (c *Clients) ask(conn *clientConn, s Submission) (*http.Response, error) {
-	text := requestText(s, bodyOf(s))
-	if c.chance(splitOneIn) {
+func (c *Clients) roundTrip(conn *clientConn, s Submission) (*http.Response, error) {
+	text := requestText(s, messageBody(s))
+	if c.chance(fragmentOneIn) {
 		c.mu.Lock()
 		at := 1 + c.rand.IntN(len(text)-1)
 		c.mu.Unlock()
 		if _, err := io.WriteString(conn, text[:at]); err != nil {
 			return nil, errNotWritten
 		}
-		time.Sleep(splitPause)
+		time.Sleep(fragmentPause)
 		text = text[at:]
 	}
-	s.SentAt, s.Fresh = c.ledger.Now(), conn.fresh
-	c.ledger.Submit(s)
+	s.SentAt, s.FreshConnection = c.ledger.Now(), conn.isFresh
+	c.ledger.RecordSubmission(s)
 	if _, err := io.WriteString(conn, text); err != nil {
 		return nil, errNotWritten
 	}
-	conn.SetReadDeadline(time.Now().Add(c.rules.AnswerTime))
-	resp, err := http.ReadResponse(conn.r, nil)
+	conn.SetReadDeadline(time.Now().Add(c.rules.AnswerTimeout))
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -236,7 +236,7 @@
 }
 
 // get takes an idle connection, or opens one.
-func (c *Clients) get(fresh bool) (*clientConn, error) {
+func (c *Clients) acquire(fresh bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
 		conn := c.idle[n-1]
@@ -249,11 +249,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: conn, r: bufio.NewReader(conn), fresh: true}, nil
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), isFresh: true}, nil
 }
 
-func (c *Clients) put(conn *clientConn) {
-	conn.fresh = false
+func (c *Clients) release(conn *clientConn) {
+	conn.isFresh = false
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, conn)
@@ -269,7 +269,7 @@
 }
 
 // badPeers is what peers send that hand in nothing.
-var badPeers = map[string]string{
+var badPeerPayloads = map[string]string{
 	"silent":    "",
 	"half head": "POST /api HTTP/1.1\r\nX-Request-",
 	"half body": "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: bad\r\nX-Class: safe\r\nX-Deadline-Ms: 500\r\nX-Addressing: dest=0\r\nContent-Length: 50\r\n\r\nten bytes.",
@@ -279,7 +279,7 @@
 // badPeer connects, sends something that is no request, and waits to be let go of.
 func (c *Clients) badPeer() {
 	c.mu.Lock()
-	kind := []string{"silent", "half head", "half body", "garbage"}[c.rand.IntN(len(badPeers))]
+	kind := []string{"silent", "half head", "half body", "garbage"}[c.rand.IntN(len(badPeerPayloads))]
 	c.mu.Unlock()
 	conn, err := net.DialTimeout("tcp", c.addr, time.Second)
 	if err != nil {
@@ -287,10 +287,10 @@
 	}
 	defer conn.Close()
 	peer := BadPeer{Sender: c.sender, Kind: kind, OpenedAt: c.ledger.Now()}
-	io.WriteString(conn, badPeers[kind])
-	conn.SetReadDeadline(time.Now().Add(badPeerGivesUp))
+	io.WriteString(conn, badPeerPayloads[kind])
+	conn.SetReadDeadline(time.Now().Add(badPeerPatience))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		peer.LeftAt = c.ledger.Now()
+		peer.ReleasedAt = c.ledger.Now()
 	}
-	c.ledger.Peer(peer)
+	c.ledger.RecordBadPeer(peer)
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -40,27 +40,27 @@
 // nothing, and calls that are out meanwhile stay unanswered when it speaks again. It takes notices at any time unless it
 // is told to refuse them.
 type Agent struct {
-	ledger    *Ledger
+	ledger    *History
 	sender    int
-	onRequest bool // the list is not pushed: a change binds when it is written, and at the latest onRequestBinds later
+	pollsEndpointList bool // the list is not pushed: a change binds when it is written, and at the latest onRequestBinds later
 
 	mu      sync.Mutex
 	servers []Server // in the order first told
-	changed []int    // by place: the version of its last change
+	changedVersions []int    // by place: the version of its last change
 	version int
-	bindsAt time.Duration // what changes before then counts as told then, as its address has moved
+	movedUntil time.Duration // what changes before then counts as told then, as its address has moved
 	wake    chan struct{}
 	silent  bool
-	deaf    bool     // notices get no answer
-	waiting []Server // changes that come while it is silent
-	lost    int      // calls that began before the last of so many losses are never answered
+	ignoresNotices    bool     // notices get no answer
+	missedChanges []Server // changes that come while it is silent
+	watchLosses    int      // calls that began before the last of so many losses are never answered
 }
 
 // NewAgent holds a list from the start on.
-func NewAgent(l *Ledger, sender int, onRequest bool, servers []Server) *Agent {
-	a := &Agent{ledger: l, sender: sender, onRequest: onRequest, version: 1, wake: make(chan struct{})}
+func NewAgent(l *History, sender int, onRequest bool, servers []Server) *Agent {
+	a := &Agent{ledger: l, sender: sender, pollsEndpointList: onRequest, version: 1, wake: make(chan struct{})}
 	for _, s := range servers {
-		a.servers, a.changed = append(a.servers, s), append(a.changed, 1)
+		a.servers, a.changedVersions = append(a.servers, s), append(a.changedVersions, 1)
 	}
 	return a
 }
@@ -75,7 +75,7 @@
 // retire takes no new connection from now on, and closes the open ones a moment later.
 func (d *address) retire() {
 	d.listener.Close()
-	time.AfterFunc(oldAddressEnds, d.close)
+	time.AfterFunc(oldAddressLinger, d.close)
 }
 
 func (d *address) close() { d.server.Close() }
@@ -106,63 +106,63 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent {
-		a.waiting = append(a.waiting, s)
+		a.missedChanges = append(a.missedChanges, s)
 		return
 	}
 	a.apply(s)
-	a.awake()
+	a.wakeWatches()
 }
 
 func (a *Agent) apply(s Server) {
 	a.version++
 	if s.State != Serving {
 		binds := a.ledger.Now()
-		if a.onRequest {
-			binds += onRequestBinds
+		if a.pollsEndpointList {
+			binds += polledListBinds
 		}
-		a.ledger.Change(ListChange{a.sender, s.ID, max(binds, a.bindsAt)})
+		a.ledger.RecordListChange(ListChange{a.sender, s.ID, max(binds, a.movedUntil)})
 	}
 	for i := range a.servers {
 		if a.servers[i].ID == s.ID {
-			a.servers[i], a.changed[i] = s, a.version
+			a.servers[i], a.changedVersions[i] = s, a.version
 			return
 		}
 	}
-	a.servers, a.changed = append(a.servers, s), append(a.changed, a.version)
+	a.servers, a.changedVersions = append(a.servers, s), append(a.changedVersions, a.version)
 }
 
-func (a *Agent) awake() {
+func (a *Agent) wakeWatches() {
 	close(a.wake)
 	a.wake = make(chan struct{})
 }
 
 // Silence makes the agent say nothing, or lets it speak again with all that it has missed. Calls that are out when it
 // falls silent, or come while it is, are lost.
-func (a *Agent) Silence(silent bool) {
+func (a *Agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent == silent {
 		return
 	}
 	a.silent = silent
-	a.ledger.Silence(a.sender, silent)
+	a.ledger.SetSilent(a.sender, silent)
 	if silent {
-		a.lost++
-		a.awake()
+		a.watchLosses++
+		a.wakeWatches()
 	} else {
-		for _, s := range a.waiting {
+		for _, s := range a.missedChanges {
 			a.apply(s)
 		}
-		a.waiting = nil
-		a.awake()
+		a.missedChanges = nil
+		a.wakeWatches()
 	}
 }
 
 // Deafen makes notices go unanswered, or lets them be taken again.
-func (a *Agent) Deafen(deaf bool) {
+func (a *Agent) SetIgnoresNotices(deaf bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.deaf = deaf
+	a.ignoresNotices = deaf
 }
 
 // LoseWatches leaves the watches that are out unanswered for good. What changes meanwhile counts as told at once all the same,
@@ -170,24 +170,24 @@
 func (a *Agent) LoseWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lost++
-	a.awake()
+	a.watchLosses++
+	a.wakeWatches()
 }
 
 // Move closes the books on the old address: what changes soon after is told by the new one. Further moves in that time do
 // not put it off.
-func (a *Agent) Move() {
+func (a *Agent) AddressMoved() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now := a.ledger.Now(); a.bindsAt < now {
-		a.bindsAt = now + movedBinds
+	if now := a.ledger.Now(); a.movedUntil < now {
+		a.movedUntil = now + movedListBinds
 	}
 }
 
 const (
-	onRequestBinds = 6 * time.Second         // what is not pushed counts at the latest so long after the agent has it
-	movedBinds     = 4 * time.Second         // what is told counts so long after a new configuration
-	oldAddressEnds = 1500 * time.Millisecond // after which open connections at the old address are closed
+	polledListBinds = 6 * time.Second         // what is not pushed counts at the latest so long after the agent has it
+	movedListBinds     = 4 * time.Second         // what is told counts so long after a new configuration
+	oldAddressLinger = 1500 * time.Millisecond // after which open connections at the old address are closed
 )
 
 func (a *Agent) list(w http.ResponseWriter, r *http.Request) {
@@ -197,7 +197,7 @@
 	until := time.NewTimer(time.Duration(min(wait, 60_000)) * time.Millisecond)
 	defer until.Stop()
 	a.mu.Lock()
-	began, silent := a.lost, a.silent
+	began, silent := a.watchLosses, a.silent
 	a.mu.Unlock()
 	if silent {
 		<-r.Context().Done()
@@ -205,11 +205,11 @@
 	}
 	for over := false; ; {
 		a.mu.Lock()
-		lost, wake := a.lost != began, a.wake
+		lost, wake := a.watchLosses != began, a.wake
 		ready := whole || a.version > after || over
 		answer := List{Version: a.version, Full: whole}
 		for i, s := range a.servers {
-			if whole && s.State != Deleted || !whole && a.changed[i] > after {
+			if whole && s.State != Deleted || !whole && a.changedVersions[i] > after {
 				answer.Servers = append(answer.Servers, s)
 			}
 		}
@@ -238,8 +238,8 @@
 		answer.Servers = []Server{}
 	}
 	for _, s := range answer.Servers {
-		if a.onRequest && s.State != Serving {
-			a.ledger.Change(ListChange{a.sender, s.ID, a.ledger.Now()})
+		if a.pollsEndpointList && s.State != Serving {
+			a.ledger.RecordListChange(ListChange{a.sender, s.ID, a.ledger.Now()})
 		}
 	}
 	json.NewEncoder(w).Encode(answer)
@@ -247,7 +247,7 @@
 
 func (a *Agent) notices(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	deaf := a.deaf
+	deaf := a.ignoresNotices
 	a.mu.Unlock()
 	if deaf {
 		<-r.Context().Done()
@@ -266,7 +266,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		a.ledger.Tell(Notice{ID: n.Message, Outcome: n.Outcome, Sender: a.sender})
+		a.ledger.RecordNotice(Notice{ID: n.Message, Outcome: n.Outcome, Sender: a.sender})
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -18,42 +18,42 @@
 
 // The behaviours of an endpoint.
 const (
-	Well     Behaviour = iota
+	Healthy     Behaviour = iota
 	Hanging            // takes calls and answers none
 	Failing            // answers 500 at once
-	Shut               // answers 503 at once
-	Limiting           // answers 429 with a wait
-	Breaking           // resets the connection behind a whole call
-	Babbling           // answers that cannot be read, or never end
+	Unavailable               // answers 503 at once
+	RateLimiting           // answers 429 with a wait
+	Resetting           // resets the connection behind a whole call
+	Malformed           // answers that cannot be read, or never end
 )
 
 const (
 	serviceTime = 15 * time.Millisecond
-	toldWait    = 600 * time.Millisecond
+	rateLimitWait    = 600 * time.Millisecond
 )
 
 // Endpoint is one of a destination's. Its connections come through proxies, which say whose they are.
 type Endpoint struct {
 	ID          string
 	Destination int
-	Shares      bool // takes calls with several messages
+	AcceptsBatches      bool // takes calls with several messages
 
-	ledger    *Ledger
+	ledger    *History
 	behaviour func() Behaviour
 	listener  net.Listener
 	calls     atomic.Uint64
 	mu        sync.Mutex
 	conns     map[net.Conn]bool
-	gone      bool
+	closed      bool
 }
 
 // NewEndpoint starts an endpoint at host that asks at each call how to behave.
-func NewEndpoint(host string, l *Ledger, id string, destination int, shares bool, behaviour func() Behaviour) (*Endpoint, error) {
+func NewEndpoint(host string, l *History, id string, destination int, shares bool, behaviour func() Behaviour) (*Endpoint, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	e := &Endpoint{ID: id, Destination: destination, Shares: shares, ledger: l, behaviour: behaviour, listener: listener, conns: map[net.Conn]bool{}}
+	e := &Endpoint{ID: id, Destination: destination, AcceptsBatches: shares, ledger: l, behaviour: behaviour, listener: listener, conns: map[net.Conn]bool{}}
 	go e.accept()
 	return e, nil
 }
@@ -66,7 +66,7 @@
 	e.listener.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.gone = true
+	e.closed = true
 	for c := range e.conns {
 		reset(c)
 	}
@@ -79,7 +79,7 @@
 			return
 		}
 		e.mu.Lock()
-		if e.gone {
+		if e.closed {
 			reset(c)
 		}
 		e.conns[c] = true
@@ -95,14 +95,14 @@
 }
 
 // part is a message of a shared call.
-type part struct {
+type batchEntry struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Body []byte `json:"body"`
 }
 
 // readCall reads the messages of one call.
-func readCall(r *bufio.Reader) (path string, parts []part, err error) {
+func readCall(r *bufio.Reader) (path string, parts []batchEntry, err error) {
 	request, err := http.ReadRequest(r)
 	if err != nil {
 		return "", nil, err
@@ -115,7 +115,7 @@
 		err = json.Unmarshal(body, &parts)
 		return request.URL.Path, parts, err
 	}
-	return request.URL.Path, []part{{request.Header.Get("X-Request-Id"), request.Header.Get("Idempotency-Key"), body}}, nil
+	return request.URL.Path, []batchEntry{{request.Header.Get("X-Request-Id"), request.Header.Get("Idempotency-Key"), body}}, nil
 }
 
 func (e *Endpoint) serve(c net.Conn) {
@@ -137,7 +137,7 @@
 		var attempts []*Attempt
 		call := e.calls.Add(1)
 		for _, p := range parts {
-			attempts = append(attempts, e.ledger.Begin(Attempt{ID: p.ID, Endpoint: e.ID, Destination: e.Destination, Sender: sender, Body: string(p.Body), Call: call, HeldFor: heldFor}))
+			attempts = append(attempts, e.ledger.BeginAttempt(Attempt{ID: p.ID, Endpoint: e.ID, Destination: e.Destination, Sender: sender, Body: string(p.Body), Call: call, ConnectDelay: heldFor}))
 		}
 		heldFor = 0 // that was the first call
 		if !e.answer(c, r, path, parts, attempts) {
@@ -147,10 +147,10 @@
 }
 
 // answer behaves as it has to and reports whether the connection goes on.
-func (e *Endpoint) answer(c net.Conn, r *bufio.Reader, path string, parts []part, attempts []*Attempt) bool {
+func (e *Endpoint) answer(c net.Conn, r *bufio.Reader, path string, parts []batchEntry, attempts []*Attempt) bool {
 	end := func(status int, mayRun bool, wait time.Duration) {
 		for _, a := range attempts {
-			e.ledger.End(a, status, mayRun, wait)
+			e.ledger.EndAttempt(a, status, mayRun, wait)
 		}
 	}
 	write := func(status int, mayRun bool, wait time.Duration, text string) bool {
@@ -161,38 +161,38 @@
 	}
 	switch e.behaviour() {
 	case Hanging:
-		waitForEnd(c, r)
+		awaitClose(c, r)
 		end(0, true, 0)
 		return false
 	case Failing:
 		return write(500, true, 0, answerText(500, ""))
-	case Shut:
+	case Unavailable:
 		return write(503, false, 0, answerText(503, ""))
-	case Limiting:
-		return write(429, false, toldWait, answerText(429, "", fmt.Sprintf("X-RateLimit-Wait-Ms: %d", toldWait.Milliseconds())))
-	case Breaking:
+	case RateLimiting:
+		return write(429, false, rateLimitWait, answerText(429, "", fmt.Sprintf("X-RateLimit-Wait-Ms: %d", rateLimitWait.Milliseconds())))
+	case Resetting:
 		end(0, true, 0)
 		reset(c)
 		return false
-	case Babbling:
-		return e.babble(c, r, attempts, write)
+	case Malformed:
+		return e.answerMalformed(c, r, attempts, write)
 	}
-	if endsWithin(c, r, serviceTime) { // the sender has gone, and the work goes on
+	if closesWithin(c, r, serviceTime) { // the sender has gone, and the work goes on
 		end(0, true, 0)
 		return false
 	}
 	if path == "/hook/batch" {
-		return write(200, true, 0, answerText(200, batchStates(parts)))
+		return write(200, true, 0, answerText(200, batchAnswer(parts)))
 	}
 	return write(200, true, 0, answerText(200, ""))
 }
 
 // babble answers with one of several texts that break the protocol. All of them may have run.
-func (e *Endpoint) babble(c net.Conn, r *bufio.Reader, attempts []*Attempt, write func(int, bool, time.Duration, string) bool) bool {
+func (e *Endpoint) answerMalformed(c net.Conn, r *bufio.Reader, attempts []*Attempt, write func(int, bool, time.Duration, string) bool) bool {
 	const endless = "Content-Length: 4000\r\n\r\nnot so many"
 	switch hash(attempts[0].ID) % 4 {
 	case 0: // a wait whose answer never ends: the wait counts from its line on
-		write(0, true, toldWait, fmt.Sprintf("HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: %d\r\n%s", toldWait.Milliseconds(), endless))
+		write(0, true, rateLimitWait, fmt.Sprintf("HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: %d\r\n%s", rateLimitWait.Milliseconds(), endless))
 	case 1:
 		write(0, true, 0, "HTTP/1.1 500 X\r\n"+endless)
 	case 2:
@@ -200,7 +200,7 @@
 	case 3:
 		write(0, true, 0, "SSH-2.0-nonsense\r\n")
 	}
-	waitForEnd(c, r)
+	awaitClose(c, r)
 	return false
 }
 
@@ -212,7 +212,7 @@
 	return text + "\r\n" + body
 }
 
-func batchStates(parts []part) string {
+func batchAnswer(parts []batchEntry) string {
 	type state struct {
 		ID    string `json:"id"`
 		State string `json:"state"`
@@ -233,13 +233,13 @@
 }
 
 // waitForEnd waits until the other side ends the connection.
-func waitForEnd(c net.Conn, r *bufio.Reader) {
+func awaitClose(c net.Conn, r *bufio.Reader) {
 	c.SetReadDeadline(time.Now().Add(time.Minute))
 	r.Peek(1)
 }
 
 // endsWithin reports whether the other side ends the connection within a time.
-func endsWithin(c net.Conn, r *bufio.Reader, d time.Duration) bool {
+func closesWithin(c net.Conn, r *bufio.Reader, d time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(d))
 	defer c.SetReadDeadline(time.Time{})
 	_, err := r.Peek(1)
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -27,39 +27,39 @@
 }
 
 // Facts is what a run's plan adds to its ledger.
-type Facts struct {
+type RunFacts struct {
 	Rules     Rules
 	Tolerance time.Duration // for the machine's own delays
 	Outages   []Outage
 	Capacity  []float64 // calls a second that each destination can do when warm
 	End       time.Duration
 	// MayNotKnow reports whether answers may not come to a sender at a time, or its disk takes nothing.
-	MayNotKnow func(sender int, at time.Duration) bool
+	OutcomeUncertain func(sender int, at time.Duration) bool
 	// HeldUp reports whether a sender's machine keeps it from taking or answering clients at a time.
-	HeldUp func(sender int, at time.Duration) bool
+	Impaired func(sender int, at time.Duration) bool
 	// Crowded reports whether clients that idle take the places of others at a time. New connections may be shut unread then.
-	Crowded func(sender int, at time.Duration) bool
+	Flooded func(sender int, at time.Duration) bool
 }
 
 const (
-	noticeAfter = 300 * time.Millisecond  // after its time is up a message has to have its end
-	restartFree = 1500 * time.Millisecond // after ready no notice is overdue
-	waitPasses  = 100 * time.Millisecond  // calls that arrive so soon after a told wait pass
-	promptAfter = 500 * time.Millisecond  // what waits meanwhile is answered so long after a hold-up
-	reopenTime  = 500 * time.Millisecond  // an answer may be lost on its way, and its call repeated
-	writeTime   = 400 * time.Millisecond  // what a sender learns is written within this, if its disk works
-	hearTime    = 300 * time.Millisecond  // a process needs so long to hear what its agent has
-	crowdPasses = 500 * time.Millisecond  // after a crowd has gone the queue of new connections is worked off
-	sameTime    = 50 * time.Millisecond   // an abandoned call's connection may be seen to end so late
+	noticeGrace = 300 * time.Millisecond  // after its time is up a message has to have its end
+	restartGrace = 1500 * time.Millisecond // after ready no notice is overdue
+	retryAfterGrace  = 100 * time.Millisecond  // calls that arrive so soon after a told wait pass
+	impairmentGrace = 500 * time.Millisecond  // what waits meanwhile is answered so long after a hold-up
+	resendGrace  = 500 * time.Millisecond  // an answer may be lost on its way, and its call repeated
+	persistGrace   = 400 * time.Millisecond  // what a sender learns is written within this, if its disk works
+	listPropagationTime    = 300 * time.Millisecond  // a process needs so long to hear what its agent has
+	floodDrainTime = 500 * time.Millisecond  // after a crowd has gone the queue of new connections is worked off
+	clockSkew    = 50 * time.Millisecond   // an abandoned call's connection may be seen to end so late
 )
 
 // Check judges a run by all invariants.
-func Check(l *Ledger, f Facts) []Violation {
+func Check(l *History, f RunFacts) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []Violation
-	for _, check := range []func(*Ledger, Facts) []Violation{checkLost, checkUnanswered, checkPrompt, checkRepeats, checkConcurrent,
-		checkRefused, checkDrains, checkWaits, checkSlowStart, checkBadPeers, checkLives, checkListening, checkDestinations, checkBodies, checkReopened} {
+	for _, check := range []func(*History, RunFacts) []Violation{checkLost, checkUnanswered, checkAnswerTime, checkDuplicates, checkConcurrent,
+		checkRejected, checkDrains, checkRetryAfter, checkSlowStart, checkBadPeers, checkIncarnations, checkListening, checkDestinations, checkBodies, checkResent} {
 		all = append(all, check(l, f)...)
 	}
 	slices.SortStableFunc(all, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
@@ -67,7 +67,7 @@
 }
 
 // attemptsBy groups the attempts in order of arrival.
-func (l *Ledger) attemptsBy(key func(*Attempt) string) map[string][]*Attempt {
+func (l *History) attemptsBy(key func(*Attempt) string) map[string][]*Attempt {
 	groups := map[string][]*Attempt{}
 	for _, a := range l.attempts {
 		groups[key(a)] = append(groups[key(a)], a)
@@ -76,7 +76,7 @@
 }
 
 // keyOf is the key of the message that an attempt is for; a message keeps it when it is handed in again.
-func (l *Ledger) keyOf(a *Attempt) string {
+func (l *History) messageKey(a *Attempt) string {
 	if s := l.submissions[a.ID]; s != nil {
 		return s.Key
 	}
@@ -84,22 +84,22 @@
 }
 
 // down is a span in which a sender was restarting, up to restartFree after it was ready again.
-type down struct{ from, until time.Duration }
+type downtime struct{ from, until time.Duration }
 
-func (l *Ledger) downs(sender int) []down {
-	var downs []down
-	for _, e := range l.lives {
+func (l *History) downtimes(sender int) []downtime {
+	var downs []downtime
+	for _, e := range l.incarnationEvents {
 		if e.Sender != sender {
 			continue
 		}
-		switch e.Event {
+		switch e.Phase {
 		case Terminated, Killed:
 			if n := len(downs); n == 0 || downs[n-1].until != math.MaxInt64 {
-				downs = append(downs, down{e.At, math.MaxInt64})
+				downs = append(downs, downtime{e.At, math.MaxInt64})
 			}
 		case Ready:
 			if n := len(downs); n > 0 && downs[n-1].until == math.MaxInt64 {
-				downs[n-1].until = e.At + restartFree
+				downs[n-1].until = e.At + restartGrace
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // checkLost: what was taken on is delivered, or ended by a notice in time.
-func checkLost(l *Ledger, f Facts) []Violation {
+func checkLost(l *History, f RunFacts) []Violation {
 	ended := map[string]time.Duration{}
 	note := func(id string, at time.Duration) {
 		if before, known := ended[id]; !known || at < before {
@@ -127,8 +127,8 @@
 		if s.Status != 200 && s.Status != 202 {
 			continue
 		}
-		due := s.SentAt + s.Deadline + noticeAfter + f.Rules.Slack
-		for _, d := range l.downs(s.Sender) {
+		due := s.SentAt + s.DeliveryTimeout + noticeGrace + f.Rules.Slack
+		for _, d := range l.downtimes(s.Sender) {
 			if due >= d.from && due < d.until {
 				due = d.until
 			}
@@ -148,26 +148,26 @@
 }
 
 // running reports whether a sender was ready and not told to end at a time.
-func (l *Ledger) running(sender int, at time.Duration) bool {
-	return l.up(sender, at, Ready, Terminated, Killed, Exited)
+func (l *History) acceptsConnections(sender int, at time.Duration) bool {
+	return l.inPhase(sender, at, Ready, Terminated, Killed, Exited)
 }
 
 // there reports whether a sender had a process at a time that had been ready, told to end or not.
-func (l *Ledger) there(sender int, at time.Duration) bool {
-	return l.up(sender, at, Ready, Killed, Exited)
+func (l *History) isServing(sender int, at time.Duration) bool {
+	return l.inPhase(sender, at, Ready, Killed, Exited)
 }
 
 // up reports whether of two kinds of events that of the beginning was the last one of a sender at a time.
-func (l *Ledger) up(sender int, at time.Duration, begins LifeEvent, ends ...LifeEvent) bool {
+func (l *History) inPhase(sender int, at time.Duration, begins IncarnationPhase, ends ...IncarnationPhase) bool {
 	up := false
-	for _, e := range l.lives {
-		if e.Sender != sender || e.At > at+sameTime {
+	for _, e := range l.incarnationEvents {
+		if e.Sender != sender || e.At > at+clockSkew {
 			continue
 		}
 		switch {
-		case e.Event == begins:
+		case e.Phase == begins:
 			up = e.At <= at
-		case slices.Contains(ends, e.Event):
+		case slices.Contains(ends, e.Phase):
 			up = false
 		}
 	}
@@ -175,10 +175,10 @@
 }
 
 // checkUnanswered: a request that has been written on a fresh connection is answered while the sender runs.
-func checkUnanswered(l *Ledger, f Facts) []Violation {
+func checkUnanswered(l *History, f RunFacts) []Violation {
 	var found []Violation
 	for id, s := range l.submissions {
-		if s.Closed && l.running(s.Sender, s.SentAt) && l.running(s.Sender, s.ClosedAt) && !f.crowded(s, s.SentAt) && !f.crowded(s, s.ClosedAt) {
+		if s.ConnectionClosed && l.acceptsConnections(s.Sender, s.SentAt) && l.acceptsConnections(s.Sender, s.ClosedAt) && !f.arrivedInFlood(s, s.SentAt) && !f.arrivedInFlood(s, s.ClosedAt) {
 			found = append(found, Violation{"unanswered", s.ClosedAt, fmt.Sprintf("%s: sender %d closed a fresh connection: %s, written at %.3fs", id, s.Sender, s.CloseError, s.SentAt.Seconds())})
 		}
 	}
@@ -186,51 +186,51 @@
 }
 
 // crowded reports whether a submission came on a new connection amid a crowd.
-func (f Facts) crowded(s *Submission, at time.Duration) bool {
-	return s.Fresh && f.Crowded != nil && f.Crowded(s.Sender, at)
+func (f RunFacts) arrivedInFlood(s *Submission, at time.Duration) bool {
+	return s.FreshConnection && f.Flooded != nil && f.Flooded(s.Sender, at)
 }
 
 // checkPrompt: a request has its answer, or the end of its connection, while its client waits, if the sender is there, also
 // if it has been told to end, and its machine lets it. New connections may come to nobody once it has been told.
-func checkPrompt(l *Ledger, f Facts) []Violation {
+func checkAnswerTime(l *History, f RunFacts) []Violation {
 	var found []Violation
 	for id, s := range l.submissions {
-		until := s.SentAt + f.Rules.AnswerTime
-		is := l.there
-		if s.Fresh {
-			is = l.running
+		until := s.SentAt + f.Rules.AnswerTimeout
+		is := l.isServing
+		if s.FreshConnection {
+			is = l.acceptsConnections
 		}
-		if !s.TimedOut || !is(s.Sender, s.SentAt) || !is(s.Sender, until) {
+		if !s.ClientTimedOut || !is(s.Sender, s.SentAt) || !is(s.Sender, until) {
 			continue
 		}
-		heldUp := f.crowded(s, s.SentAt)
-		for at := s.SentAt - promptAfter; at <= until && f.HeldUp != nil; at += sameTime {
-			heldUp = heldUp || f.HeldUp(s.Sender, at)
+		heldUp := f.arrivedInFlood(s, s.SentAt)
+		for at := s.SentAt - impairmentGrace; at <= until && f.Impaired != nil; at += clockSkew {
+			heldUp = heldUp || f.Impaired(s.Sender, at)
 		}
 		if !heldUp {
-			found = append(found, Violation{"slow", s.SentAt, fmt.Sprintf("%s: sender %d does not answer within %v", id, s.Sender, f.Rules.AnswerTime)})
+			found = append(found, Violation{"slow", s.SentAt, fmt.Sprintf("%s: sender %d does not answer within %v", id, s.Sender, f.Rules.AnswerTimeout)})
 		}
 	}
 	return found
 }
 
 // checkRepeats: no message runs again where its class, or the window of its key, forbids it.
-func checkRepeats(l *Ledger, f Facts) []Violation {
+func checkDuplicates(l *History, f RunFacts) []Violation {
 	var found []Violation
-	for key, attempts := range l.attemptsBy(l.keyOf) {
+	for key, attempts := range l.attemptsBy(l.messageKey) {
 		s := l.submissions[attempts[0].ID]
-		if s == nil || s.Effect == Safe {
+		if s == nil || s.Effect == Idempotent {
 			continue
 		}
 		var first *Attempt
 		for _, a := range attempts {
 			switch {
-			case first != nil && s.Effect == Unsafe:
+			case first != nil && s.Effect == NonIdempotent:
 				found = append(found, Violation{"duplicate", a.At, fmt.Sprintf("%s may not be repeated: at %s %.3fs after %s", key, a.Endpoint, (a.At - first.At).Seconds(), first.Endpoint)})
-			case first != nil && a.sentAt()-first.sentAt() > f.Rules.KeyWindow+f.Rules.Slack:
-				found = append(found, Violation{"duplicate", a.At, fmt.Sprintf("%s repeated %.3fs after its first call, window %v", key, (a.At - first.At).Seconds(), f.Rules.KeyWindow)})
+			case first != nil && a.sentAt()-first.sentAt() > f.Rules.IdempotencyWindow+f.Rules.Slack:
+				found = append(found, Violation{"duplicate", a.At, fmt.Sprintf("%s repeated %.3fs after its first call, window %v", key, (a.At - first.At).Seconds(), f.Rules.IdempotencyWindow)})
 			}
-			if first == nil && a.mayHaveRun() {
+			if first == nil && a.mayTakeEffect() {
 				first = a
 			}
 		}
@@ -239,12 +239,12 @@
 }
 
 // checkConcurrent: no two calls for one message are out on open connections.
-func checkConcurrent(l *Ledger, f Facts) []Violation {
+func checkConcurrent(l *History, f RunFacts) []Violation {
 	var found []Violation
 	for id, attempts := range l.attemptsBy(func(a *Attempt) string { return a.ID }) {
 		for i, a := range attempts {
 			for _, earlier := range attempts[:i] {
-				if earlier.EndedAt == 0 || earlier.EndedAt > a.At+sameTime+f.Tolerance {
+				if earlier.EndedAt == 0 || earlier.EndedAt > a.At+clockSkew+f.Tolerance {
 					found = append(found, Violation{"concurrent", a.At, fmt.Sprintf("%s at %s while a call of %.3fs at %s was out", id, a.Endpoint, earlier.At.Seconds(), earlier.Endpoint)})
 				}
 			}
@@ -254,7 +254,7 @@
 }
 
 // checkRefused: what was refused, or handed back, has not run and does not run.
-func checkRefused(l *Ledger, _ Facts) []Violation {
+func checkRejected(l *History, _ RunFacts) []Violation {
 	back := map[string]bool{}
 	for _, n := range l.notices {
 		if n.Outcome == "handed_back" {
@@ -264,7 +264,7 @@
 	var found []Violation
 	for _, a := range l.attempts {
 		s := l.submissions[a.ID]
-		if s != nil && a.mayHaveRun() && (s.Status == 503 || s.Status == 429 || back[a.ID]) {
+		if s != nil && a.mayTakeEffect() && (s.Status == 503 || s.Status == 429 || back[a.ID]) {
 			found = append(found, Violation{"refused", a.At, fmt.Sprintf("%s (%s) was refused by sender %d (status %d, handed back: %v) and is sent", a.ID, s.Effect, a.Sender, s.Status, back[a.ID])})
 		}
 	}
@@ -272,14 +272,14 @@
 }
 
 // livesAt reports whether a sender has a process from a time on for as long as it takes to hear what its agent has.
-func (l *Ledger) livesAt(sender int, at time.Duration) bool {
-	return l.up(sender, at, Started, Killed, Exited) && l.up(sender, at+hearTime, Started, Killed, Exited)
+func (l *History) hasProcess(sender int, at time.Duration) bool {
+	return l.inPhase(sender, at, Started, Killed, Exited) && l.inPhase(sender, at+listPropagationTime, Started, Killed, Exited)
 }
 
 // silentAt reports until when a sender's agent is silent at a time; false if it is not.
-func (l *Ledger) silentAt(sender int, at time.Duration) (until time.Duration, silent bool) {
+func (l *History) silenceEnd(sender int, at time.Duration) (until time.Duration, silent bool) {
 	for _, s := range l.silences {
-		if s.Sender == sender && s.From < at+hearTime && (s.Until == 0 || s.Until > at) {
+		if s.Sender == sender && s.From < at+listPropagationTime && (s.Until == 0 || s.Until > at) {
 			if s.Until == 0 {
 				return math.MaxInt64, true
 			}
@@ -292,23 +292,23 @@
 // boundAt is the time from which a change binds a sender that its agent has from a time on: at once if a process runs then,
 // whether or not the agent goes on to speak or a watch is open; else with the next process, and where its agent is silent
 // when that begins, with the end of the silence, as no process could know before.
-func (l *Ledger) boundAt(sender int, told time.Duration) time.Duration {
-	if l.livesAt(sender, told) {
+func (l *History) bindingTime(sender int, told time.Duration) time.Duration {
+	if l.hasProcess(sender, told) {
 		return told
 	}
 	var times []time.Duration
-	for _, e := range l.lives {
-		if e.Sender == sender && e.Event == Started && e.At > told {
+	for _, e := range l.incarnationEvents {
+		if e.Sender == sender && e.Phase == Started && e.At > told {
 			times = append(times, e.At)
 		}
 	}
 	slices.Sort(times)
 	for _, at := range times {
-		until, silent := l.silentAt(sender, at)
+		until, silent := l.silenceEnd(sender, at)
 		if !silent {
 			until = at
 		}
-		if until != math.MaxInt64 && l.livesAt(sender, until) {
+		if until != math.MaxInt64 && l.hasProcess(sender, until) {
 			return until
 		}
 	}
@@ -316,14 +316,14 @@
 }
 
 // checkDrains: no call to an endpoint later than its grace after the sender was told, which it is from when its agent has it.
-func checkDrains(l *Ledger, f Facts) []Violation {
+func checkDrains(l *History, f RunFacts) []Violation {
 	type place struct {
 		sender   int
 		endpoint string
 	}
 	told := map[place]time.Duration{}
-	for _, c := range l.changes {
-		heard := l.boundAt(c.Sender, c.ToldAt)
+	for _, c := range l.listChanges {
+		heard := l.bindingTime(c.Sender, c.EffectiveAt)
 		if at, known := told[place{c.Sender, c.Endpoint}]; !known || heard < at {
 			told[place{c.Sender, c.Endpoint}] = heard
 		}
@@ -339,22 +339,22 @@
 }
 
 // checkWaits: no call to a destination while a wait that it told the sender lasts. A restart ends the wait.
-func checkWaits(l *Ledger, f Facts) []Violation {
+func checkRetryAfter(l *History, f RunFacts) []Violation {
 	var found []Violation
 	for _, told := range l.attempts {
-		if told.Wait == 0 {
+		if told.RetryAfter == 0 {
 			continue
 		}
 		for _, a := range l.attempts {
 			after := a.sentAt() - told.EndedAt
-			if a.Sender != told.Sender || a.Destination != told.Destination || after <= waitPasses+f.Tolerance || after >= told.Wait {
+			if a.Sender != told.Sender || a.Destination != told.Destination || after <= retryAfterGrace+f.Tolerance || after >= told.RetryAfter {
 				continue
 			}
-			restarted := slices.ContainsFunc(l.lives, func(e Life) bool {
-				return e.Sender == a.Sender && e.Event == Started && e.At > told.EndedAt && e.At < a.At
+			restarted := slices.ContainsFunc(l.incarnationEvents, func(e IncarnationEvent) bool {
+				return e.Sender == a.Sender && e.Phase == Started && e.At > told.EndedAt && e.At < a.At
 			})
 			if !restarted {
-				found = append(found, Violation{"wait", a.At, fmt.Sprintf("%s: sender %d calls destination %d %.3fs into a wait of %v", a.ID, a.Sender, a.Destination, after.Seconds(), told.Wait)})
+				found = append(found, Violation{"wait", a.At, fmt.Sprintf("%s: sender %d calls destination %d %.3fs into a wait of %v", a.ID, a.Sender, a.Destination, after.Seconds(), told.RetryAfter)})
 			}
 		}
 	}
@@ -363,7 +363,7 @@
 
 // checkSlowStart: a destination that returns from an outage does not get more calls than it bears, if over two thirds
 // of them are from senders that had seen one fail.
-func checkSlowStart(l *Ledger, f Facts) []Violation {
+func checkSlowStart(l *History, f RunFacts) []Violation {
 	var found []Violation
 	for _, o := range f.Outages {
 		aware := map[int]bool{}
@@ -382,14 +382,14 @@
 			if a.At >= o.From && a.At < o.Until && a.Status != 200 {
 				aware[a.Sender] = true
 			}
-			if a.At >= o.Until && a.At < o.Until+f.Rules.Cold {
+			if a.At >= o.Until && a.At < o.Until+f.Rules.WarmUpTime {
 				calls = append(calls, arrival{a.At, a.Sender})
 			}
 		}
 		sort.Slice(calls, func(i, j int) bool { return calls[i].at < calls[j].at })
 		for first := range calls {
 			number, ours := 0, 0
-			end := calls[first].at + f.Rules.OverloadFor
+			end := calls[first].at + f.Rules.OverloadWindow
 			for _, c := range calls[first:] {
 				if c.at > end {
 					break
@@ -399,9 +399,9 @@
 					ours++
 				}
 			}
-			if allowed := f.allowed(o, end); float64(number) > allowed && 3*ours > 2*number {
+			if allowed := f.allowedCalls(o, end); float64(number) > allowed && 3*ours > 2*number {
 				found = append(found, Violation{"slow start", calls[first].at, fmt.Sprintf("destination %d gets %d calls in %v from %.3fs after its return, %d of them from senders that knew; it bears %.1f",
-					o.Destination, number, f.Rules.OverloadFor, (calls[first].at - o.Until).Seconds(), ours, allowed)})
+					o.Destination, number, f.Rules.OverloadWindow, (calls[first].at - o.Until).Seconds(), ours, allowed)})
 				break
 			}
 		}
@@ -410,10 +410,10 @@
 }
 
 // allowed is how many calls a destination bears in the span that ends at a time after its outage.
-func (f Facts) allowed(o Outage, end time.Duration) float64 {
-	warm := min(1, (end-o.Until).Seconds()/f.Rules.Cold.Seconds())
-	share := f.Rules.StartCapacity + (1-f.Rules.StartCapacity)*warm
-	n := f.Rules.FallMultiple * share * f.Capacity[o.Destination] * f.Rules.OverloadFor.Seconds()
+func (f RunFacts) allowedCalls(o Outage, end time.Duration) float64 {
+	warm := min(1, (end-o.Until).Seconds()/f.Rules.WarmUpTime.Seconds())
+	share := f.Rules.InitialCapacityShare + (1-f.Rules.InitialCapacityShare)*warm
+	n := f.Rules.OverloadMultiple * share * f.Capacity[o.Destination] * f.Rules.OverloadWindow.Seconds()
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -421,28 +421,28 @@
 }
 
 // checkBadPeers: whoever sends no request gets an error or a close in time while the sender runs.
-func checkBadPeers(l *Ledger, f Facts) []Violation {
+func checkBadPeers(l *History, f RunFacts) []Violation {
 	var found []Violation
 	for _, p := range l.badPeers {
-		late := p.LeftAt == 0 || p.LeftAt-p.OpenedAt > badPeerTime+f.Rules.Slack+f.Tolerance
-		if late && l.running(p.Sender, p.OpenedAt) && l.running(p.Sender, p.OpenedAt+badPeerTime) {
-			found = append(found, Violation{"bad peer", p.OpenedAt, fmt.Sprintf("sender %d keeps a peer (%s) for %v", p.Sender, p.Kind, p.LeftAt-p.OpenedAt)})
+		late := p.ReleasedAt == 0 || p.ReleasedAt-p.OpenedAt > badPeerReleaseTime+f.Rules.Slack+f.Tolerance
+		if late && l.acceptsConnections(p.Sender, p.OpenedAt) && l.acceptsConnections(p.Sender, p.OpenedAt+badPeerReleaseTime) {
+			found = append(found, Violation{"bad peer", p.OpenedAt, fmt.Sprintf("sender %d keeps a peer (%s) for %v", p.Sender, p.Kind, p.ReleasedAt-p.OpenedAt)})
 		}
 	}
 	return found
 }
 
 // checkLives: no process ends unasked, and each is ready in time.
-func checkLives(l *Ledger, _ Facts) []Violation {
+func checkIncarnations(l *History, _ RunFacts) []Violation {
 	var found []Violation
 	started := map[int]time.Duration{}
-	for _, e := range l.lives {
+	for _, e := range l.incarnationEvents {
 		switch {
-		case e.Event == Exited && e.Detail != "":
+		case e.Phase == Exited && e.Detail != "":
 			found = append(found, Violation{"crash", e.At, fmt.Sprintf("sender %d: %s", e.Sender, e.Detail)})
-		case e.Event == Started:
+		case e.Phase == Started:
 			started[e.Sender] = e.At
-		case e.Event == Ready && e.At-started[e.Sender] > readyWithin:
+		case e.Phase == Ready && e.At-started[e.Sender] > readyWithin:
 			found = append(found, Violation{"ready", e.At, fmt.Sprintf("sender %d was ready after %v", e.Sender, e.At-started[e.Sender])})
 		}
 	}
@@ -450,10 +450,10 @@
 }
 
 // checkListening: a sender that runs takes connections.
-func checkListening(l *Ledger, _ Facts) []Violation {
+func checkListening(l *History, _ RunFacts) []Violation {
 	var found []Violation
 	for _, r := range l.refusals {
-		if l.running(r.Sender, r.At) {
+		if l.acceptsConnections(r.Sender, r.At) {
 			found = append(found, Violation{"listening", r.At, fmt.Sprintf("sender %d runs and takes no connection", r.Sender)})
 		}
 	}
@@ -461,10 +461,10 @@
 }
 
 // checkBodies: a message arrives as it was handed in.
-func checkBodies(l *Ledger, _ Facts) []Violation {
+func checkBodies(l *History, _ RunFacts) []Violation {
 	var found []Violation
 	for _, a := range l.attempts {
-		if s := l.submissions[a.ID]; s != nil && a.Body != bodyOf(*s) {
+		if s := l.submissions[a.ID]; s != nil && a.Body != messageBody(*s) {
 			found = append(found, Violation{"body", a.At, fmt.Sprintf("%s arrives with %q from sender %d", a.ID, a.Body, a.Sender)})
 		}
 	}
@@ -473,19 +473,19 @@
 
 // mayForget reports whether a sender may not have learnt what happened at a time, or not have written it down: its answer was
 // lost, its disk failed, or it was killed.
-func (l *Ledger) mayForget(f Facts, sender int, at time.Duration) bool {
-	for d := -writeTime; d <= writeTime; d += writeTime / 4 {
-		if f.MayNotKnow != nil && f.MayNotKnow(sender, at+d) {
+func (l *History) mayNotHavePersisted(f RunFacts, sender int, at time.Duration) bool {
+	for d := -persistGrace; d <= persistGrace; d += persistGrace / 4 {
+		if f.OutcomeUncertain != nil && f.OutcomeUncertain(sender, at+d) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(l.lives, func(e Life) bool {
-		return e.Sender == sender && e.Event == Killed && e.At > at-writeTime && e.At < at+writeTime
+	return slices.ContainsFunc(l.incarnationEvents, func(e IncarnationEvent) bool {
+		return e.Sender == sender && e.Phase == Killed && e.At > at-persistGrace && e.At < at+persistGrace
 	})
 }
 
 // checkReopened: what was delivered, or ended by a notice, is not sent again once the sender has written that down.
-func checkReopened(l *Ledger, f Facts) []Violation {
+func checkResent(l *History, f RunFacts) []Violation {
 	ended := map[string]time.Duration{}
 	for _, n := range l.notices {
 		if at, known := ended[n.ID]; !known || n.At < at {
@@ -499,7 +499,7 @@
 	}
 	var found []Violation
 	for _, a := range l.attempts {
-		if at, known := ended[a.ID]; known && a.sentAt() > at+reopenTime+f.Tolerance && !l.mayForget(f, a.Sender, at) {
+		if at, known := ended[a.ID]; known && a.sentAt() > at+resendGrace+f.Tolerance && !l.mayNotHavePersisted(f, a.Sender, at) {
 			found = append(found, Violation{"reopened", a.At, fmt.Sprintf("%s ended at %.3fs, and sender %d sends it again", a.ID, at.Seconds(), a.Sender)})
 		}
 	}
@@ -507,7 +507,7 @@
 }
 
 // checkDestinations: a message goes to its destination only, and nothing is sent that nobody handed in.
-func checkDestinations(l *Ledger, _ Facts) []Violation {
+func checkDestinations(l *History, _ RunFacts) []Violation {
 	var found []Violation
 	for _, a := range l.attempts {
 		s := l.submissions[a.ID]
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -11,14 +11,14 @@
 
 // The effects of the classes that the emulator uses.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Idempotent Effect = iota
+	IdempotentByKey
+	NonIdempotent
 )
 
-var effectNames = [...]string{Safe: "safe", Keyed: "keyed", Unsafe: "unsafe"}
+var classNames = [...]string{Idempotent: "safe", IdempotentByKey: "keyed", NonIdempotent: "unsafe"}
 
-func (e Effect) String() string { return effectNames[e] }
+func (e Effect) String() string { return classNames[e] }
 
 // Submission is one occasion on which a client hands in a message. Times are counted from the run's start.
 type Submission struct {
@@ -28,13 +28,13 @@
 	Destination int
 	Sender      int
 	SentAt      time.Duration // its last byte was written
-	Fresh       bool          // on a new connection
-	Deadline    time.Duration // until when it may be delivered
+	FreshConnection       bool          // on a new connection
+	DeliveryTimeout    time.Duration // until when it may be delivered
 	Status      int           // of the answer, 0 for none
 	AnsweredAt  time.Duration
-	Closed      bool // its connection, a fresh one, ended without an answer while the client still waited
+	ConnectionClosed      bool // its connection, a fresh one, ended without an answer while the client still waited
 	ClosedAt    time.Duration
-	TimedOut    bool // its client stopped waiting
+	ClientTimedOut    bool // its client stopped waiting
 	CloseError  string
 }
 
@@ -47,18 +47,18 @@
 	Body        string
 	Call        uint64        // at this endpoint; attempts that travel together share it
 	At          time.Duration // its last byte arrived
-	HeldFor     time.Duration // its link kept its first byte back for so long, as if the connection came up late
+	ConnectDelay     time.Duration // its link kept its first byte back for so long, as if the connection came up late
 	EndedAt     time.Duration // it was answered or its connection ended; 0 while it is out
 	Status      int           // of the answer, 0 for none
-	MayRun      bool          // the endpoint did the work, or may have
-	Wait        time.Duration // told with the answer
+	MayHaveRun      bool          // the endpoint did the work, or may have
+	RetryAfter        time.Duration // told with the answer
 }
 
 // sentAt is when its sender began to write the call.
-func (a *Attempt) sentAt() time.Duration { return a.At - a.HeldFor }
+func (a *Attempt) sentAt() time.Duration { return a.At - a.ConnectDelay }
 
 // mayHaveRun reports whether the endpoint did the work of a call, or may have, or may yet.
-func (a *Attempt) mayHaveRun() bool { return a.MayRun || a.EndedAt == 0 }
+func (a *Attempt) mayTakeEffect() bool { return a.MayHaveRun || a.EndedAt == 0 }
 
 // Notice is what the platform was told of a message.
 type Notice struct {
@@ -69,21 +69,21 @@
 }
 
 // LifeEvent is a step in the life of a sender's process.
-type LifeEvent string
+type IncarnationPhase string
 
 // The steps of a process.
 const (
-	Started    LifeEvent = "started"
-	Ready      LifeEvent = "ready"
-	Terminated LifeEvent = "terminated" // SIGTERM was sent
-	Killed     LifeEvent = "killed"     // SIGKILL was sent
-	Exited     LifeEvent = "exited"
+	Started    IncarnationPhase = "started"
+	Ready      IncarnationPhase = "ready"
+	Terminated IncarnationPhase = "terminated" // SIGTERM was sent
+	Killed     IncarnationPhase = "killed"     // SIGKILL was sent
+	Exited     IncarnationPhase = "exited"
 )
 
 // Life is one step of one sender.
-type Life struct {
+type IncarnationEvent struct {
 	Sender int
-	Event  LifeEvent
+	Phase  IncarnationPhase
 	At     time.Duration
 	Detail string
 }
@@ -92,7 +92,7 @@
 type ListChange struct {
 	Sender   int
 	Endpoint string
-	ToldAt   time.Duration
+	EffectiveAt   time.Duration
 }
 
 // BadPeer is a peer that sent something that is no request.
@@ -100,7 +100,7 @@
 	Sender   int
 	Kind     string
 	OpenedAt time.Duration
-	LeftAt   time.Duration // it got an error or its connection was closed; 0 for neither
+	ReleasedAt   time.Duration // it got an error or its connection was closed; 0 for neither
 }
 
 // Refusal is a connection that a sender did not take.
@@ -116,15 +116,15 @@
 }
 
 // Ledger is everything that the stand-ins saw in a run. It is safe for concurrent use.
-type Ledger struct {
+type History struct {
 	start atomic.Pointer[time.Time]
 
 	mu          sync.Mutex
 	submissions map[string]*Submission
 	attempts    []*Attempt
 	notices     []Notice
-	lives       []Life
-	changes     []ListChange
+	incarnationEvents       []IncarnationEvent
+	listChanges     []ListChange
 	badPeers    []BadPeer
 	refusals    []Refusal
 	silences    []Silence
@@ -132,31 +132,31 @@
 }
 
 // NewLedger begins a run.
-func NewLedger() *Ledger {
-	l := &Ledger{submissions: map[string]*Submission{}, counters: map[string]int{}}
+func NewHistory() *History {
+	l := &History{submissions: map[string]*Submission{}, counters: map[string]int{}}
 	l.begin(time.Now())
 	return l
 }
 
 // begin sets the time from which all others are counted.
-func (l *Ledger) begin(start time.Time) { l.start.Store(&start) }
+func (l *History) begin(start time.Time) { l.start.Store(&start) }
 
 // Now is the time since the run's start.
-func (l *Ledger) Now() time.Duration { return time.Since(*l.start.Load()) }
+func (l *History) Now() time.Duration { return time.Since(*l.start.Load()) }
 
 // Submit books a request that has been written whole.
-func (l *Ledger) Submit(s Submission) {
+func (l *History) RecordSubmission(s Submission) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known := l.submissions[s.ID]; known != nil { // written once more on a new connection, as the first one had ended
-		known.Fresh = s.Fresh
+		known.FreshConnection = s.FreshConnection
 		return
 	}
 	l.submissions[s.ID] = &s
 }
 
 // Answer books how a request was answered.
-func (l *Ledger) Answer(id string, status int) {
+func (l *History) RecordAnswer(id string, status int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.submissions[id]; s != nil {
@@ -165,25 +165,25 @@
 }
 
 // Close books that a fresh connection ended without an answer to its first request.
-func (l *Ledger) Close(id string, err error) {
+func (l *History) RecordClose(id string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.submissions[id]; s != nil {
-		s.Closed, s.ClosedAt, s.CloseError = true, l.Now(), err.Error()
+		s.ConnectionClosed, s.ClosedAt, s.CloseError = true, l.Now(), err.Error()
 	}
 }
 
 // TimeOut books that a request had no answer in the time that its client waits.
-func (l *Ledger) TimeOut(id string) {
+func (l *History) RecordTimeout(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.submissions[id]; s != nil {
-		s.TimedOut = true
+		s.ClientTimedOut = true
 	}
 }
 
 // Begin books a call's arrival.
-func (l *Ledger) Begin(a Attempt) *Attempt {
+func (l *History) BeginAttempt(a Attempt) *Attempt {
 	a.At = l.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,16 +192,16 @@
 }
 
 // End books how a call ended; status 0 stands for a connection that ended.
-func (l *Ledger) End(a *Attempt, status int, mayRun bool, wait time.Duration) {
+func (l *History) EndAttempt(a *Attempt, status int, mayRun bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a.EndedAt == 0 {
-		a.EndedAt, a.Status, a.MayRun, a.Wait = l.Now(), status, mayRun, wait
+		a.EndedAt, a.Status, a.MayHaveRun, a.RetryAfter = l.Now(), status, mayRun, wait
 	}
 }
 
 // Tell books a notice.
-func (l *Ledger) Tell(n Notice) {
+func (l *History) RecordNotice(n Notice) {
 	n.At = l.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,28 +209,28 @@
 }
 
 // Live books a step of a process.
-func (l *Ledger) Live(sender int, event LifeEvent, detail string) {
+func (l *History) RecordIncarnationEvent(sender int, event IncarnationPhase, detail string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lives = append(l.lives, Life{sender, event, l.Now(), detail})
+	l.incarnationEvents = append(l.incarnationEvents, IncarnationEvent{sender, event, l.Now(), detail})
 }
 
 // Change books that an endpoint drains or is gone, as told to a sender.
-func (l *Ledger) Change(c ListChange) {
+func (l *History) RecordListChange(c ListChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes = append(l.changes, c)
+	l.listChanges = append(l.listChanges, c)
 }
 
 // Peer books how a bad peer fared.
-func (l *Ledger) Peer(p BadPeer) {
+func (l *History) RecordBadPeer(p BadPeer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.badPeers = append(l.badPeers, p)
 }
 
 // Silence books that a sender's agent says nothing, or that it speaks again.
-func (l *Ledger) Silence(sender int, silent bool) {
+func (l *History) SetSilent(sender int, silent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if silent {
@@ -245,14 +245,14 @@
 }
 
 // Refuse books a connection that a sender did not take, at the time at which it was tried.
-func (l *Ledger) Refuse(sender int, dialled time.Time) {
+func (l *History) RecordRefusal(sender int, dialled time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refusals = append(l.refusals, Refusal{sender, dialled.Sub(*l.start.Load())})
 }
 
 // Count adds to the sum of a figure that a sender reports.
-func (l *Ledger) Count(name string, n int) {
+func (l *History) AddCounter(name string, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counters[name] += n
--- a/internal/emulator/plan_golden_test.go
+++ b/internal/emulator/plan_golden_test.go
@@ -33,13 +33,13 @@
 }
 
 // planText is a plan in a form without names: kinds are their places in the list that plans are drawn from.
-func planText(o Options, plan []Trouble) string {
+func planText(o Options, plan []Fault) string {
 	var b strings.Builder
 	for _, t := range plan {
-		fmt.Fprintf(&b, "kind %d from %d until %d destination %d senders %v step %d", slices.Index(AllTroubles, t.Kind), t.From, t.Until,
+		fmt.Fprintf(&b, "kind %d from %d until %d destination %d senders %v step %d", slices.Index(AllFaultKinds, t.Kind), t.From, t.Until,
 			t.Destination, t.Senders, t.Step)
 		for _, i := range t.Senders {
-			draw := t.signals(o.Seed, i)
+			draw := t.signalRandom(o.Seed, i)
 			fmt.Fprintf(&b, " %d:%d,%d,%d", i, draw.IntN(3), draw.IntN(2), draw.Int64N(1_000_000))
 		}
 		b.WriteString("\n")
@@ -53,12 +53,12 @@
 	var b strings.Builder
 	for seed := uint64(1); seed <= 8; seed++ {
 		for _, senders := range []int{testSenders, 24} {
-			o := Options{Seed: seed, Senders: senders, Destinations: 6, Load: 20 * time.Second, Troubles: AllTroubles}
+			o := Options{Seed: seed, Senders: senders, Destinations: 6, LoadDuration: 20 * time.Second, FaultKinds: AllFaultKinds}
 			fmt.Fprintf(&b, "seed %d senders %d\n%s", seed, senders, planText(o, drawPlan(o)))
 		}
 	}
-	for first := range AllTroubles { // a plan of each kind alone
-		o := Options{Seed: 99, Senders: 16, Destinations: 5, Load: 9 * time.Second, Troubles: AllTroubles[first : first+1]}
+	for first := range AllFaultKinds { // a plan of each kind alone
+		o := Options{Seed: 99, Senders: 16, Destinations: 5, LoadDuration: 9 * time.Second, FaultKinds: AllFaultKinds[first : first+1]}
 		fmt.Fprintf(&b, "kind %d alone\n%s", first, planText(o, drawPlan(o)))
 	}
 	compareGolden(t, "plans.txt", b.String())
@@ -69,11 +69,11 @@
 	t.Parallel()
 	var b strings.Builder
 	for sender := range 3 {
-		c := NewClients(NewLedger(), DefaultRules(), sender, "", zipf(6), 8, 7)
+		c := NewClients(NewHistory(), DefaultRules(), sender, "", zipfShares(6), 8, 7)
 		for range 60 {
-			s := c.draw()
-			fmt.Fprintf(&b, "%s %s effect %d destination %d sender %d for %d\n%s\n", s.ID, s.Key, int(s.Effect), s.Destination, s.Sender, s.Deadline,
-				strings.ReplaceAll(requestText(s, bodyOf(s)), "\r\n", "|"))
+			s := c.drawSubmission()
+			fmt.Fprintf(&b, "%s %s effect %d destination %d sender %d for %d\n%s\n", s.ID, s.Key, int(s.Effect), s.Destination, s.Sender, s.DeliveryTimeout,
+				strings.ReplaceAll(requestText(s, messageBody(s)), "\r\n", "|"))
 		}
 	}
 	compareGolden(t, "messages.txt", b.String())
@@ -85,7 +85,7 @@
 	known := List{Version: 3, Full: true, Servers: []Server{{ID: "e0-0", Addr: "127.0.0.1:1", Zone: "a", Kind: "shared", State: Serving, Weight: 1}}}
 	var b strings.Builder
 	for _, onRequest := range []bool{false, true} {
-		text, err := json.MarshalIndent(configFor(DefaultRules(), 24, 5, onRequest, "127.0.0.1:2", "state", known), "", " ")
+		text, err := json.MarshalIndent(senderConfig(DefaultRules(), 24, 5, onRequest, "127.0.0.1:2", "state", known), "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -31,12 +31,12 @@
 
 const (
 	readyWithin = 10 * time.Second
-	readyLook   = 10 * time.Millisecond
+	readyPollInterval   = 10 * time.Millisecond
 	// The operators' addresses of processes that come by upgrades have ports from here on.
-	upgradePorts = 9100
+	firstUpgradePort = 9100
 	killAfter    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	restartRest  = 600 * time.Millisecond  // from SIGKILL to the next start
-	reloadAfter  = time.Second             // from its start a process gets no SIGHUP for so long
+	restartPause  = 600 * time.Millisecond  // from SIGKILL to the next start
+	reloadHoldOff  = time.Second             // from its start a process gets no SIGHUP for so long
 )
 
 // Process is one sender: its folder and addresses, and the process that runs at a time.
@@ -46,14 +46,14 @@
 	Admin  string
 	Shims  []Shim
 
-	ledger  *Ledger
+	ledger  *History
 	command Command
-	folder  string // holds its state, its configuration and its log
+	directory  string // holds its state, its configuration and its log
 	rules   Rules
 	senders int
 	agent   *Agent
 	known   List
-	socket  *os.File // where clients connect, passed to each process; nil if it listens by itself
+	passedSocket  *os.File // where clients connect, passed to each process; nil if it listens by itself
 
 	mu        sync.Mutex
 	discovery string
@@ -65,20 +65,20 @@
 type instance struct {
 	running  *exec.Cmd
 	exited   chan struct{}
-	expected *atomic.Bool // it was told to end
+	exitExpected *atomic.Bool // it was told to end
 	admin    string
 	started  time.Time
 	ready    time.Time // the zero time before
 }
 
-func (p *Process) config() string { return filepath.Join(p.folder, "config.json") }
+func (p *Process) config() string { return filepath.Join(p.directory, "config.json") }
 
 // writeConfig replaces the configuration at once.
 func (p *Process) writeConfig() error {
 	p.mu.Lock()
 	discovery := p.discovery
 	p.mu.Unlock()
-	text, err := json.Marshal(configFor(p.rules, p.senders, p.Number, p.agent.onRequest, discovery, filepath.Join(p.folder, "state"), p.known))
+	text, err := json.Marshal(senderConfig(p.rules, p.senders, p.Number, p.agent.pollsEndpointList, discovery, filepath.Join(p.directory, "state"), p.known))
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 }
 
 // passes reports whether the sender's processes get the socket for clients passed.
-func (p *Process) passes() bool { return p.socket != nil }
+func (p *Process) passesSocket() bool { return p.passedSocket != nil }
 
 // Start runs the sender and waits until it is ready.
 func (p *Process) Start() error {
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	p.instance = *i
 	p.mu.Unlock()
-	p.ledger.Live(p.Number, Started, "")
+	p.ledger.RecordIncarnationEvent(p.Number, Started, "")
 	return p.awaitReady(i)
 }
 
@@ -114,7 +114,7 @@
 		return err
 	}
 	p.upgrades++
-	next, err := p.launch(net.JoinHostPort(host, strconv.Itoa(upgradePorts+p.upgrades)))
+	next, err := p.launch(net.JoinHostPort(host, strconv.Itoa(firstUpgradePort+p.upgrades)))
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 	p.instance = *next
 	p.ready = time.Now()
 	p.mu.Unlock()
-	old.expected.Store(true)
+	old.exitExpected.Store(true)
 	old.running.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-old.exited:
@@ -139,13 +139,13 @@
 
 // launch starts a process of the sender.
 func (p *Process) launch(admin string) (*instance, error) {
-	if err := os.MkdirAll(filepath.Join(p.folder, "state"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(p.directory, "state"), 0o700); err != nil {
 		return nil, err
 	}
 	if err := p.writeConfig(); err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(filepath.Join(p.folder, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(p.directory, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -156,27 +156,27 @@
 	}
 	cmd := exec.Command(p.command.Path, p.command.Args...)
 	cmd.Env = append(append(os.Environ(), p.command.Env...), "EDGE_CONFIG="+p.config(), "EDGE_LISTEN="+p.Addr,
-		"EDGE_ADMIN_ADDR="+admin, "EDGE_LOG_LEVEL=debug", shimVariable+"="+string(shims), "TMPDIR="+p.folder)
-	if p.passes() {
+		"EDGE_ADMIN_ADDR="+admin, "EDGE_LOG_LEVEL=debug", shimVariable+"="+string(shims), "TMPDIR="+p.directory)
+	if p.passesSocket() {
 		cmd.Env = append(cmd.Env, "EDGE_PASSED_SOCKET=3")
-		cmd.ExtraFiles = []*os.File{p.socket}
+		cmd.ExtraFiles = []*os.File{p.passedSocket}
 	}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	i := &instance{running: cmd, exited: make(chan struct{}), expected: new(atomic.Bool), admin: admin, started: time.Now()}
+	i := &instance{running: cmd, exited: make(chan struct{}), exitExpected: new(atomic.Bool), admin: admin, started: time.Now()}
 	go func() {
 		err := cmd.Wait()
 		detail := ""
-		if !i.expected.Load() {
+		if !i.exitExpected.Load() {
 			detail = fmt.Sprintf("unasked: %v", err)
 		}
 		p.mu.Lock()
 		serves := p.running == cmd
 		p.mu.Unlock()
 		if serves || detail != "" {
-			p.ledger.Live(p.Number, Exited, detail)
+			p.ledger.RecordIncarnationEvent(p.Number, Exited, detail)
 		}
 		close(i.exited)
 	}()
@@ -187,7 +187,7 @@
 func (p *Process) awaitReady(i *instance) error {
 	err := p.await(i, p.isReady)
 	if err == nil {
-		p.ledger.Live(p.Number, Ready, "")
+		p.ledger.RecordIncarnationEvent(p.Number, Ready, "")
 		p.mu.Lock()
 		p.ready = time.Now()
 		p.mu.Unlock()
@@ -204,7 +204,7 @@
 }
 
 func (p *Process) await(i *instance, ready func() bool) error {
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(readyLook) {
+	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		if ready() {
 			return nil
 		}
@@ -238,18 +238,18 @@
 }
 
 // told books that the process is told to end, and gives what is closed when it has.
-func (p *Process) told(event LifeEvent) (exited <-chan struct{}) {
+func (p *Process) expectExit(event IncarnationPhase) (exited <-chan struct{}) {
 	p.mu.Lock()
-	p.expected.Store(true)
+	p.exitExpected.Store(true)
 	exited = p.exited
 	p.mu.Unlock()
-	p.ledger.Live(p.Number, event, "")
+	p.ledger.RecordIncarnationEvent(p.Number, event, "")
 	return exited
 }
 
 // Kill ends the process at once.
 func (p *Process) Kill() {
-	exited := p.told(Killed)
+	exited := p.expectExit(Killed)
 	p.signal(syscall.SIGKILL)
 	<-exited
 }
@@ -258,7 +258,7 @@
 // time in any case. The error tells that the process did not end by itself.
 func (p *Process) Terminate() error {
 	kill := time.After(killAfter)
-	exited := p.told(Terminated)
+	exited := p.expectExit(Terminated)
 	p.signal(syscall.SIGTERM)
 	<-kill
 	select {
@@ -281,7 +281,7 @@
 func (p *Process) mayReload() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.running != nil && !p.ready.IsZero() && time.Since(p.started) > reloadAfter
+	return p.running != nil && !p.ready.IsZero() && time.Since(p.started) > reloadHoldOff
 }
 
 // Reload gives the process a configuration with an address of discovery, which may be the one that it has.
@@ -337,7 +337,7 @@
 }
 
 // Figures reads what the process reports of itself.
-func (p *Process) Figures() (map[string]int, error) {
+func (p *Process) Metrics() (map[string]int, error) {
 	p.mu.Lock()
 	admin := p.admin
 	p.mu.Unlock()
@@ -356,12 +356,12 @@
 }
 
 // end kills the process if it still runs.
-func (p *Process) end() {
+func (p *Process) stop() {
 	p.mu.Lock()
 	i := p.instance
 	p.mu.Unlock()
 	if i.running != nil {
-		i.expected.Store(true)
+		i.exitExpected.Store(true)
 		i.running.Process.Kill()
 		<-i.exited
 	}
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -15,19 +15,19 @@
 
 // The faults of a link.
 const (
-	LinkWell    LinkFault = iota
-	LinkLate              // a new connection relays nothing for lateFor
+	LinkHealthy    LinkFault = iota
+	LinkConnectsLate              // a new connection relays nothing for lateFor
 	LinkCut               // nothing passes; what is open is reset when the cut ends
 	LinkResets            // connections are reset some time after bytes have passed towards the endpoint
-	LinkChopped           // answers and requests pass a few bytes at a time
+	LinkFragments           // answers and requests pass a few bytes at a time
 )
 
 const (
-	lateFor    = 700 * time.Millisecond
+	connectDelay    = 700 * time.Millisecond
 	resetAfter = 30 * time.Millisecond
-	chopSize   = 24
-	chopPause  = time.Millisecond
-	cutLook    = 10 * time.Millisecond
+	fragmentSize   = 24
+	fragmentInterval  = time.Millisecond
+	partitionPollInterval    = 10 * time.Millisecond
 )
 
 // Proxy relays connections from one sender to one endpoint, or from clients to one sender.
@@ -37,7 +37,7 @@
 	preface string // written first to the far side, with how long the first call has been held back (µs); "" for nothing
 	target  func() string
 	fault   func() LinkFault
-	refused func(dialled time.Time) // the target took no connection that was dialled then; nil if nobody asks
+	onRefused func(dialled time.Time) // the target took no connection that was dialled then; nil if nobody asks
 
 	listener net.Listener
 	mu       sync.Mutex
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{Addr: l.Addr().String(), preface: preface, target: target, fault: fault, refused: refused, listener: l, conns: map[net.Conn]bool{}}
+	p := &Proxy{Addr: l.Addr().String(), preface: preface, target: target, fault: fault, onRefused: refused, listener: l, conns: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -105,22 +105,22 @@
 	var early []byte // what came on a late connection before it relays
 	var heldFor time.Duration
 	switch p.fault() {
-	case LinkLate:
+	case LinkConnectsLate:
 		var stands bool
-		if early, heldFor, stands = holdBack(near, lateFor); !stands {
+		if early, heldFor, stands = delayConnect(near, connectDelay); !stands {
 			reset(near)
 			return
 		}
 	case LinkCut:
-		p.waitOutCut()
+		p.awaitCutEnd()
 		reset(near)
 		return
 	}
 	dialled := time.Now()
 	far, err := net.DialTimeout("tcp", p.target(), time.Second)
 	if err != nil {
-		if p.refused != nil {
-			p.refused(dialled)
+		if p.onRefused != nil {
+			p.onRefused(dialled)
 		}
 		reset(near)
 		return
@@ -140,14 +140,14 @@
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); p.copy(far, near, true) }()
-	go func() { defer both.Done(); p.copy(near, far, false) }()
+	go func() { defer both.Done(); p.forward(far, near, true) }()
+	go func() { defer both.Done(); p.forward(near, far, false) }()
 	both.Wait()
 }
 
 // holdBack takes what comes on a connection for a time, and gives it with the time since its first byte. If the other side
 // ends the connection meanwhile, it has never come up, and nothing has been sent.
-func holdBack(c net.Conn, lasting time.Duration) (early []byte, heldFor time.Duration, stands bool) {
+func delayConnect(c net.Conn, lasting time.Duration) (early []byte, heldFor time.Duration, stands bool) {
 	until := time.Now().Add(lasting)
 	c.SetReadDeadline(until)
 	defer c.SetReadDeadline(time.Time{})
@@ -172,27 +172,27 @@
 	return early, heldFor, true
 }
 
-func (p *Proxy) waitOutCut() {
+func (p *Proxy) awaitCutEnd() {
 	for p.fault() == LinkCut {
-		time.Sleep(cutLook)
+		time.Sleep(partitionPollInterval)
 	}
 }
 
 // copy passes bytes on until an end. outward is the direction from the near side to the target.
-func (p *Proxy) copy(to, from net.Conn, outward bool) {
+func (p *Proxy) forward(to, from net.Conn, outward bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		fault := p.fault()
 		if fault == LinkCut {
-			p.waitOutCut()
+			p.awaitCutEnd()
 			reset(to)
 			reset(from)
 			return
 		}
 		size := max(1, n)
-		if fault == LinkChopped {
-			size = chopSize
+		if fault == LinkFragments {
+			size = fragmentSize
 		}
 		for rest := buffer[:n]; len(rest) > 0; {
 			part := rest[:min(size, len(rest))]
@@ -201,7 +201,7 @@
 				return
 			}
 			if rest = rest[len(part):]; len(rest) > 0 {
-				time.Sleep(chopPause)
+				time.Sleep(fragmentInterval)
 			}
 		}
 		if fault == LinkResets && outward && n > 0 {
@@ -230,4 +230,4 @@
 }
 
 // prefaceOf tells an endpoint which sender a relayed connection is from.
-func prefaceOf(sender int) string { return fmt.Sprintf("sender %d", sender) }
+func senderPreface(sender int) string { return fmt.Sprintf("sender %d", sender) }
--- a/internal/emulator/shim.go
+++ b/internal/emulator/shim.go
@@ -49,9 +49,9 @@
 }
 
 // shims is the schedule of one process.
-type shims []Shim
+type shimSchedule []Shim
 
-func (s shims) active(kind ShimKind) bool {
+func (s shimSchedule) active(kind ShimKind) bool {
 	now := monotonicNow()
 	for _, f := range s {
 		if f.Kind == kind && f.From <= now && now < f.Until {
@@ -61,7 +61,7 @@
 	return false
 }
 
-func (s shims) wall() time.Time {
+func (s shimSchedule) wall() time.Time {
 	now, mono := time.Now(), monotonicNow()
 	for _, f := range s {
 		if f.Kind == ShimWallStep && f.From <= mono {
@@ -72,7 +72,7 @@
 }
 
 // openError is what opening a file for reading fails with, nil if it does not.
-func (s shims) openError(path string) error {
+func (s shimSchedule) openError(path string) error {
 	if s.active(ShimRead) {
 		return &os.PathError{Op: "open", Path: path, Err: syscall.ENFILE}
 	}
@@ -80,7 +80,7 @@
 }
 
 // writeError is what changes to the state folder fail with, nil if they do not.
-func (s shims) writeError(op, path string) error {
+func (s shimSchedule) writeError(op, path string) error {
 	var errno error
 	switch {
 	case s.active(ShimDiskFull), s.active(ShimTornWrite):
@@ -96,7 +96,7 @@
 // shimFiles is the state folder with faults.
 type shimFiles struct {
 	sender.FileSystem
-	shims shims
+	shims shimSchedule
 }
 
 func (f shimFiles) OpenFile(path string, flag int, mode os.FileMode) (sender.File, error) {
@@ -124,7 +124,7 @@
 type shimFile struct {
 	sender.File
 	path  string
-	shims shims
+	shims shimSchedule
 }
 
 func (f shimFile) Write(b []byte) (int, error) {
@@ -147,13 +147,13 @@
 
 type shimListener struct {
 	net.Listener
-	shims shims
-	turn  *atomic.Uint32
+	shims shimSchedule
+	accepts  *atomic.Uint32
 }
 
 // Accept fails every second time, by each error in turn.
 func (l shimListener) Accept() (net.Conn, error) {
-	if turn := int(l.turn.Add(1)); turn%2 == 1 && l.shims.active(ShimAccept) {
+	if turn := int(l.accepts.Add(1)); turn%2 == 1 && l.shims.active(ShimAccept) {
 		errno := acceptErrors[turn/2%len(acceptErrors)]
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", errno)}
 	}
@@ -170,7 +170,7 @@
 
 // RunSender is a sender's process with the shims that its environment names.
 func RunSender() error {
-	var s shims
+	var s shimSchedule
 	if text := os.Getenv(shimVariable); text != "" {
 		if err := json.Unmarshal([]byte(text), &s); err != nil {
 			return fmt.Errorf("%s: %w", shimVariable, err)
--- a/internal/emulator/silence_test.go
+++ b/internal/emulator/silence_test.go
@@ -6,7 +6,7 @@
 )
 
 // everySender is the numbers of all senders of a test.
-func everySender() []int {
+func allSenders() []int {
 	all := make([]int, testSenders)
 	for i := range all {
 		all[i] = i
@@ -16,9 +16,9 @@
 
 // silenceThen is a plan in which the agents of all senders are silent for a span, and learn at its end that the endpoints
 // of a destination drain.
-func silenceThen(from, until time.Duration, destination int) []Trouble {
-	return []Trouble{
-		{Kind: DiscoverySilent, From: from, Until: until, Senders: everySender()},
+func drainAfterSilence(from, until time.Duration, destination int) []Fault {
+	return []Fault{
+		{Kind: DiscoverySilent, From: from, Until: until, Senders: allSenders()},
 		{Kind: EndpointsReplaced, From: until - 100*time.Millisecond, Until: until, Destination: destination},
 	}
 }
@@ -30,46 +30,46 @@
 	for name, length := range map[string]time.Duration{"long": 5 * time.Second, "short": 1500 * time.Millisecond, "a moment": 300 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var plan []Trouble
+			var plan []Fault
 			from := 1500 * time.Millisecond
 			for destination := range 3 {
-				plan = append(plan, silenceThen(from, from+length, destination)...)
+				plan = append(plan, drainAfterSilence(from, from+length, destination)...)
 				from += length + time.Second
 			}
-			testRun(t, Options{Seed: 28, Load: from + time.Second, Plan: plan})
+			playRun(t, Options{Seed: 28, LoadDuration: from + time.Second, Plan: plan})
 		})
 	}
 }
 
 // whileItCannotAsk plays three drains, each in the middle of one trouble that keeps news from the senders and another one that
 // keeps them from asking.
-func whileItCannotAsk(t *testing.T, keepsNews, keepsFromAsking TroubleKind) {
+func playDrainsWhilePollingFails(t *testing.T, keepsNews, keepsFromAsking FaultKind) {
 	t.Helper()
 	const cannotAsk = 1900 * time.Millisecond
-	all := everySender()
-	var plan []Trouble
+	all := allSenders()
+	var plan []Fault
 	from := 2500 * time.Millisecond
 	for destination := range 3 {
-		plan = append(plan, Trouble{Kind: keepsNews, From: from - 500*time.Millisecond, Until: from + 200*time.Millisecond, Senders: all},
-			Trouble{Kind: keepsFromAsking, From: from - 510*time.Millisecond, Until: from - 510*time.Millisecond + cannotAsk, Senders: all},
-			Trouble{Kind: EndpointsReplaced, From: from - 300*time.Millisecond, Until: from, Destination: destination})
+		plan = append(plan, Fault{Kind: keepsNews, From: from - 500*time.Millisecond, Until: from + 200*time.Millisecond, Senders: all},
+			Fault{Kind: keepsFromAsking, From: from - 510*time.Millisecond, Until: from - 510*time.Millisecond + cannotAsk, Senders: all},
+			Fault{Kind: EndpointsReplaced, From: from - 300*time.Millisecond, Until: from, Destination: destination})
 		from += 3 * time.Second
 	}
-	testRun(t, Options{Seed: 28, Load: from, Plan: plan})
+	playRun(t, Options{Seed: 28, LoadDuration: from, Plan: plan})
 }
 
 // A sender that cannot ask its agent, as its machine lets it open no socket for a moment, does not know whether the list has
 // changed: it calls nobody by a list of which it is not sure.
 func TestDrainsToldWhileTheAgentCannotBeAskedAreHeeded(t *testing.T) {
 	t.Parallel()
-	for name, kinds := range map[string][2]TroubleKind{
+	for name, kinds := range map[string][2]FaultKind{
 		"silence, no connects":      {DiscoverySilent, ConnectFails},
 		"lost watch, no connects":   {WatchesLost, ConnectFails},
 		"new address, no open file": {SendersReloaded, OpenFails},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			whileItCannotAsk(t, kinds[0], kinds[1])
+			playDrainsWhilePollingFails(t, kinds[0], kinds[1])
 		})
 	}
 }
@@ -77,37 +77,37 @@
 // The same for want of descriptors. It stands alone as clients cannot be accepted then, either.
 func TestDrainsToldWhileDescriptorsAreShortAreHeeded(t *testing.T) {
 	t.Parallel()
-	whileItCannotAsk(t, DiscoverySilent, DescriptorsShort)
+	playDrainsWhilePollingFails(t, DiscoverySilent, DescriptorsExhausted)
 }
 
 // A sender whose machine lets it open no socket for a moment, just as a new configuration moves discovery, still ends its messages
 // in time: connections at the old address stay open for 1.5 s.
 func TestNoticesAreToldWhileTheNewAddressCannotBeReached(t *testing.T) {
 	t.Parallel()
-	var plan []Trouble
+	var plan []Fault
 	for from := 2 * time.Second; from < 12*time.Second; from += 3 * time.Second {
-		plan = append(plan, Trouble{Kind: SendersReloaded, From: from, Until: from + time.Millisecond, Senders: everySender()},
-			Trouble{Kind: ConnectFails, From: from - 10*time.Millisecond, Until: from + time.Second, Senders: everySender()})
+		plan = append(plan, Fault{Kind: SendersReloaded, From: from, Until: from + time.Millisecond, Senders: allSenders()},
+			Fault{Kind: ConnectFails, From: from - 10*time.Millisecond, Until: from + time.Second, Senders: allSenders()})
 	}
-	testRun(t, Options{Seed: 29, Load: 12 * time.Second, Plan: plan})
+	playRun(t, Options{Seed: 29, LoadDuration: 12 * time.Second, Plan: plan})
 }
 
 // A process that takes over while its machine lets it open no socket for a moment ends its messages in time all the same.
 func TestNoticesAreToldAfterAnUpgradeWhileNoSocketCanBeHad(t *testing.T) {
 	t.Parallel()
-	var plan []Trouble
+	var plan []Fault
 	for from := 2 * time.Second; from < 12*time.Second; from += 3 * time.Second {
-		plan = append(plan, Trouble{Kind: SendersUpgraded, From: from, Until: from + time.Millisecond, Senders: everySender()},
-			Trouble{Kind: ConnectFails, From: from - 200*time.Millisecond, Until: from + 1200*time.Millisecond, Senders: everySender()})
+		plan = append(plan, Fault{Kind: SendersUpgraded, From: from, Until: from + time.Millisecond, Senders: allSenders()},
+			Fault{Kind: ConnectFails, From: from - 200*time.Millisecond, Until: from + 1200*time.Millisecond, Senders: allSenders()})
 	}
-	testRun(t, Options{Seed: 30, Load: 12 * time.Second, Plan: plan})
+	playRun(t, Options{Seed: 30, LoadDuration: 12 * time.Second, Plan: plan})
 }
 
 // Whoever connects amid a crowd is let go of in time also while the sender may open no further descriptor for a moment.
 func TestPeersAreLetGoOfInTimeWhileDescriptorsAreShort(t *testing.T) {
 	t.Parallel()
 	struck := []int{0, 1, 2}
-	testRun(t, Options{Seed: 31, Load: 8 * time.Second, Plan: []Trouble{
-		{Kind: DescriptorsShort, From: 2 * time.Second, Until: 3500 * time.Millisecond, Senders: struck},
-		{Kind: ClientsCrowd, From: 2200 * time.Millisecond, Until: 6 * time.Second, Senders: struck}}})
+	playRun(t, Options{Seed: 31, LoadDuration: 8 * time.Second, Plan: []Fault{
+		{Kind: DescriptorsExhausted, From: 2 * time.Second, Until: 3500 * time.Millisecond, Senders: struck},
+		{Kind: ConnectionFlood, From: 2200 * time.Millisecond, Until: 6 * time.Second, Senders: struck}}})
 }
--- a/internal/emulator/soak_test.go
+++ b/internal/emulator/soak_test.go
@@ -23,9 +23,9 @@
 const testSenders = 8
 
 // testRun plays a run of few senders and fails for each violation.
-func testRun(t *testing.T, o Options) *Report {
+func playRun(t *testing.T, o Options) *Report {
 	t.Helper()
-	o.Senders, o.Destinations, o.Rate, o.Folder = testSenders, 5, 8, t.TempDir()
+	o.Senders, o.Destinations, o.Rate, o.Directory = testSenders, 5, 8, t.TempDir()
 	o.Command = Command{Path: os.Args[0], Env: []string{senderVariable + "=1", "GORACE=atexit_sleep_ms=0"}}
 	o.Tolerance = 250 * time.Millisecond // beside other tests, and with the race detector
 	report, err := Run(o)
@@ -52,7 +52,7 @@
 	for _, seed := range []uint64{2, 3} {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			testRun(t, Options{Seed: seed, Load: 11 * time.Second, Troubles: AllTroubles})
+			playRun(t, Options{Seed: seed, LoadDuration: 11 * time.Second, FaultKinds: AllFaultKinds})
 		})
 	}
 }
