--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -15,73 +16,83 @@
 	"time"
 )
 
-// Clients hand messages in to one sender, through a proxy, and keep their connections.
+const (
+	fragmentPause     = 20 * time.Millisecond // between the parts of a request that comes in two
+	fragmentOneIn     = 8                     // requests come in two parts
+	retryOneIn        = 2                     // rejected messages are submitted again
+	maxRetries        = 2                     // of a rejected message
+	shortTimeoutOneIn = 12                    // messages have shortTimeout to be delivered
+	shortTimeout      = 120 * time.Millisecond
+	idleReuseInterval = 150 * time.Millisecond
+	dialTimeout       = time.Second
+)
+
+// Clients submit messages to one sender, through a proxy, and keep their connections.
 type Clients struct {
-	ledger       *History
+	history      *History
 	rules        Rules
 	sender       int
 	addr         string
-	destinations []float64 // weight of each
-	rate         float64   // messages a second
+	destinations []float64 // share of each in the messages
+	rate         float64   // messages per second
+
+	exchanges sync.WaitGroup // all goroutines of the clients
 
-	mu    sync.Mutex
-	accepted chan struct{} // closed at the next answer that takes a message on; nil for none
-	rand  *rand.Rand
-	idle  []*clientConn
-	lastMessage  int
-	exchanges   sync.WaitGroup
+	mu          sync.Mutex
+	accepted    chan struct{} // closed at the next answer that accepts a message; nil if nobody waits for it
+	rand        *rand.Rand
+	idle        []*clientConn
+	lastMessage int
 }
 
 // clientConn is a connection that a client keeps.
 type clientConn struct {
 	net.Conn
-	reader     *bufio.Reader
+	reader  *bufio.Reader
 	isFresh bool // nothing has been answered on it yet
 }
 
-const (
-	fragmentPause     = 20 * time.Millisecond // between the parts of a request that comes in pieces
-	fragmentOneIn     = 8
-	retryOneIn     = 2 // refused messages that are handed in again
-	maxRetries    = 2
-	shortTimeoutOneIn     = 12 // messages with very little time
-	shortTimeout      = 120 * time.Millisecond
-	idleReuseInterval     = 150 * time.Millisecond
-	badPeerInterval    = 700 * time.Millisecond
-	badPeerReleaseTime    = 3 * time.Second
-	badPeerPatience = 4 * time.Second
-)
-
 // NewClients prepares the clients of one sender.
-func NewClients(l *History, rules Rules, sender int, addr string, destinations []float64, rate float64, seed uint64) *Clients {
-	return &Clients{ledger: l, rules: rules, sender: sender, addr: addr, destinations: destinations, rate: rate,
-		rand: rand.New(rand.NewPCG(seed, uint64(sender)))}
+func NewClients(h *History, rules Rules, sender int, addr string, destinations []float64, rate float64,
+	seed uint64) *Clients {
+	return &Clients{
+		history:      h,
+		rules:        rules,
+		sender:       sender,
+		addr:         addr,
+		destinations: destinations,
+		rate:         rate,
+		rand:         rand.New(rand.NewPCG(seed, uint64(sender))),
+	}
 }
 
-// Run hands messages in until stop is closed, and waits for their answers.
-func (c *Clients) Run(stop <-chan struct{}) {
-	bad := time.NewTicker(badPeerInterval)
-	defer bad.Stop()
+// Run submits messages until the context ends, and waits for their answers.
+func (c *Clients) Run(ctx context.Context) {
+	badPeers := time.NewTicker(badPeerInterval)
+	defer badPeers.Stop()
 	for {
-		c.mu.Lock()
-		pause := time.Duration(c.rand.ExpFloat64() / c.rate * float64(time.Second))
-		c.mu.Unlock()
 		select {
-		case <-stop:
-			c.exchanges.Wait()
-			c.closeIdle()
+		case <-ctx.Done():
+			c.Close()
 			return
-		case <-bad.C:
+		case <-badPeers.C:
 			c.spawn(c.badPeer)
-		case <-time.After(pause):
+		case <-time.After(c.drawPause()):
 			s := c.drawSubmission()
 			c.spawn(func() { c.submit(s, 0) })
 		}
 	}
 }
 
-// UseAll hands a message in on each connection that is open and idle, again and again until stop is closed.
-func (c *Clients) UseIdleConnections(stop <-chan struct{}) {
+// Close waits for all exchanges and closes the connections that are kept.
+func (c *Clients) Close() {
+	c.exchanges.Wait()
+	c.closeIdle()
+}
+
+// UseIdleConnections submits a message on each connection that is open and idle, again and again until the context
+// ends.
+func (c *Clients) UseIdleConnections(ctx context.Context) {
 	for {
 		c.mu.Lock()
 		idle := len(c.idle)
@@ -91,91 +102,118 @@
 			c.spawn(func() { c.submit(s, 0) })
 		}
 		select {
-		case <-stop:
+		case <-ctx.Done():
 			return
 		case <-time.After(idleReuseInterval):
 		}
 	}
 }
 
-func (c *Clients) spawn(f func()) {
+// spawn does something in a goroutine that Close waits for.
+func (c *Clients) spawn(exchange func()) {
 	c.exchanges.Add(1)
-	go func() { defer c.exchanges.Done(); f() }()
+	go func() {
+		defer c.exchanges.Done()
+		exchange()
+	}()
+}
+
+// chance draws whether something happens that happens once in so many times.
+func (c *Clients) chance(oneIn int) bool { return c.drawIntN(oneIn) == 0 }
+
+func (c *Clients) drawIntN(n int) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.rand.IntN(n)
 }
 
-func (c *Clients) chance(oneIn int) bool {
+// drawPause draws the time to the next message: arrivals are a Poisson process.
+func (c *Clients) drawPause() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rand.IntN(oneIn) == 0
+	return time.Duration(c.rand.ExpFloat64() / c.rate * float64(time.Second))
 }
 
-// draw makes a new message.
+// drawSubmission makes a new message.
 func (c *Clients) drawSubmission() Submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastMessage++
-	at, destination := c.rand.Float64(), 0
-	for destination < len(c.destinations)-1 && at >= c.destinations[destination] {
-		at -= c.destinations[destination]
+	position, destination := c.rand.Float64(), 0
+	for destination < len(c.destinations)-1 && position >= c.destinations[destination] {
+		position -= c.destinations[destination]
 		destination++
 	}
-	s := Submission{ID: fmt.Sprintf("m%d-%d", c.sender, c.lastMessage), Effect: Effect(c.rand.IntN(3)), Destination: destination, Sender: c.sender}
+	s := Submission{
+		ID:          fmt.Sprintf("m%d-%d", c.sender, c.lastMessage),
+		Class:       Class(c.rand.IntN(len(classNames))),
+		Destination: destination,
+		Sender:      c.sender,
+	}
 	s.Key = "k" + s.ID
-	s.DeliveryTimeout = deliveryTimeouts[s.Effect]
+	s.DeliveryTimeout = deliveryTimeouts[s.Class]
 	if c.rand.IntN(shortTimeoutOneIn) == 0 {
 		s.DeliveryTimeout = shortTimeout
 	}
 	return s
 }
 
-// handIn hands a message in, and again after refusals.
+// submit hands a message in, and some again after a rejection.
 func (c *Clients) submit(s Submission, retries int) {
-	status, hold := c.exchange(s)
-	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests || retries >= maxRetries || !c.chance(retryOneIn) {
+	a := c.exchange(s)
+	rejected := a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests
+	if !rejected || retries >= maxRetries || !c.chance(retryOneIn) {
 		return
 	}
-	time.Sleep(hold)
-	s.ID = fmt.Sprintf("%s.%d", strings.SplitN(s.ID, ".", 2)[0], retries+1)
+	time.Sleep(a.retryAfter)
+	original, _, _ := strings.Cut(s.ID, ".")
+	s.ID = fmt.Sprintf("%s.%d", original, retries+1)
 	c.submit(s, retries+1)
 }
 
+// answer is what a client reads of a sender's answer; the zero value stands for none.
+type answer struct {
+	status     int
+	closes     bool // the connection ends with it
+	retryAfter time.Duration
+}
+
 var errNotWritten = errors.New("the request could not be written whole")
 
-// exchange hands a message in once and returns the answer's status, 0 for none, and for how long to stay away.
-func (c *Clients) exchange(s Submission) (status int, hold time.Duration) {
+// exchange submits a message once. A request that crosses with the close of a kept connection is written once more.
+func (c *Clients) exchange(s Submission) answer {
 	for try := 0; ; try++ {
 		conn, err := c.acquire(try > 0)
 		if err != nil {
-			return 0, 0 // nobody listens: the message goes to no sender
+			return answer{} // nobody listens: the message goes to no sender
 		}
-		resp, err := c.roundTrip(conn, s)
+		a, err := c.roundTrip(conn, s)
 		switch {
 		case err == nil:
-			c.ledger.RecordAnswer(s.ID, resp.StatusCode)
-			c.noteAnswer(resp.StatusCode)
-			seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-			if resp.Close {
-				conn.Close()
+			c.history.RecordAnswer(s.ID, a.status)
+			c.noteAnswer(a.status)
+			if a.closes {
+				closeQuietly(conn)
 			} else {
 				c.release(conn)
 			}
-			return resp.StatusCode, time.Duration(seconds * float64(time.Second))
-		case errors.Is(err, os.ErrDeadlineExceeded): // it waits no longer
-			c.ledger.RecordTimeout(s.ID)
-			conn.Close()
-			return 0, 0
-		case !conn.isFresh && try == 0: // the close crossed the request: it is written once more
-			conn.Close()
+			return a
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			c.history.RecordTimeout(s.ID)
+			closeQuietly(conn)
+			return answer{}
+		case !conn.isFresh && try == 0:
+			closeQuietly(conn)
 			continue
 		case conn.isFresh && !errors.Is(err, errNotWritten):
-			c.ledger.RecordClose(s.ID, err)
+			c.history.RecordClose(s.ID, err)
 		}
-		conn.Close()
-		return 0, 0
+		closeQuietly(conn)
+		return answer{}
 	}
 }
 
-// atNextAnswer is closed at the next answer that takes a message on.
+// nextAccepted is closed at the next answer that accepts a message.
 func (c *Clients) nextAccepted() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,6 +223,7 @@
 	return c.accepted
 }
 
+// noteAnswer lets those who wait for it know that a message was accepted.
 func (c *Clients) noteAnswer(status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,48 +233,53 @@
 	}
 }
 
-// bodyOf is the body of a message.
+// messageBody is the body of a message.
 func messageBody(s Submission) string { return "body of " + s.Key }
 
+// requestText is the request that submits a message.
 func requestText(s Submission, body string) string {
-	text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\n"+
-		"Content-Length: %d\r\nX-Addressing: dest=%d\r\n", s.ID, s.Effect, s.DeliveryTimeout.Milliseconds(), len(body), s.Destination)
-	if s.Effect == IdempotentByKey {
+	text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: backend.local\r\n"+
+		"X-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\nContent-Length: %d\r\nX-Addressing: dest=%d\r\n",
+		s.ID, s.Class, s.DeliveryTimeout.Milliseconds(), len(body), s.Destination)
+	if s.Class == IdempotentByKey {
 		text += "Idempotency-Key: " + s.Key + "\r\n"
 	}
 	return text + "\r\n" + body
 }
 
-// ask writes a request, some in pieces, and reads its answer.
-func (c *Clients) roundTrip(conn *clientConn, s Submission) (*http.Response, error) {
+// roundTrip writes a request, some in two parts, and reads its answer.
+func (c *Clients) roundTrip(conn *clientConn, s Submission) (answer, error) {
 	text := requestText(s, messageBody(s))
 	if c.chance(fragmentOneIn) {
-		c.mu.Lock()
-		at := 1 + c.rand.IntN(len(text)-1)
-		c.mu.Unlock()
+		at := 1 + c.drawIntN(len(text)-1)
 		if _, err := io.WriteString(conn, text[:at]); err != nil {
-			return nil, errNotWritten
+			return answer{}, errNotWritten
 		}
 		time.Sleep(fragmentPause)
 		text = text[at:]
 	}
-	s.SentAt, s.FreshConnection = c.ledger.Now(), conn.isFresh
-	c.ledger.RecordSubmission(s)
+	s.SentAt, s.FreshConnection = c.history.Now(), conn.isFresh
+	c.history.RecordSubmission(s)
 	if _, err := io.WriteString(conn, text); err != nil {
-		return nil, errNotWritten
+		return answer{}, errNotWritten
 	}
-	conn.SetReadDeadline(time.Now().Add(c.rules.AnswerTimeout))
-	resp, err := http.ReadResponse(conn.reader, nil)
+	limitRead(conn, c.rules.AnswerTimeout)
+	response, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		return nil, err
+		return answer{}, err
 	}
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return nil, err
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		return answer{}, err
 	}
-	return resp, nil
+	a := answer{status: response.StatusCode, closes: response.Close}
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		a.retryAfter = time.Duration(seconds * float64(time.Second))
+	}
+	return a, nil
 }
 
-// get takes an idle connection, or opens one.
+// acquire takes an idle connection, or opens one; it opens one in any case if the connection has to be fresh.
 func (c *Clients) acquire(fresh bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
@@ -245,13 +289,14 @@
 		return conn, nil
 	}
 	c.mu.Unlock()
-	conn, err := net.DialTimeout("tcp", c.addr, time.Second)
+	conn, err := net.DialTimeout("tcp", c.addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), isFresh: true}, nil
 }
 
+// release keeps a connection for the next message.
 func (c *Clients) release(conn *clientConn) {
 	conn.isFresh = false
 	c.mu.Lock()
@@ -263,34 +308,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.idle {
-		conn.Close()
+		closeQuietly(conn)
 	}
 	c.idle = nil
 }
-
-// badPeers is what peers send that hand in nothing.
-var badPeerPayloads = map[string]string{
-	"silent":    "",
-	"half head": "POST /api HTTP/1.1\r\nX-Request-",
-	"half body": "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: bad\r\nX-Class: safe\r\nX-Deadline-Ms: 500\r\nX-Addressing: dest=0\r\nContent-Length: 50\r\n\r\nten bytes.",
-	"garbage":   "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
-}
-
-// badPeer connects, sends something that is no request, and waits to be let go of.
-func (c *Clients) badPeer() {
-	c.mu.Lock()
-	kind := []string{"silent", "half head", "half body", "garbage"}[c.rand.IntN(len(badPeerPayloads))]
-	c.mu.Unlock()
-	conn, err := net.DialTimeout("tcp", c.addr, time.Second)
-	if err != nil {
-		return
-	}
-	defer conn.Close()
-	peer := BadPeer{Sender: c.sender, Kind: kind, OpenedAt: c.ledger.Now()}
-	io.WriteString(conn, badPeerPayloads[kind])
-	conn.SetReadDeadline(time.Now().Add(badPeerPatience))
-	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		peer.ReleasedAt = c.ledger.Now()
-	}
-	c.ledger.RecordBadPeer(peer)
-}
--- /dev/null
+++ b/internal/emulator/injection.go
@@ -0,0 +1,233 @@
+package emulator
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const (
+	drainDuration        = 1500 * time.Millisecond // of a replaced endpoint, until it is gone
+	maxReloads           = 4                       // in a row,
+	minReloadInterval    = 200 * time.Millisecond  // so far apart
+	reloadIntervalJitter = 400 * time.Millisecond  // and up to so much further
+	maxSignalOffset      = 120 * time.Millisecond  // between a SIGTERM and the signals beside it
+)
+
+// behaviour is how the endpoints of a destination behave now.
+func (r *runner) behaviour(destination int) Behaviour {
+	now := r.history.Now()
+	for _, f := range r.plan {
+		if b, ok := behaviourOf[f.Kind]; ok && f.Destination == destination && f.activeAt(now) {
+			return b
+		}
+	}
+	return Healthy
+}
+
+// linkFault is what the links of a sender to endpoints do now.
+func (r *runner) linkFault(sender int) LinkFault {
+	now := r.history.Now()
+	for _, f := range r.plan {
+		if fault, ok := linkFaultOf[f.Kind]; ok && f.activeAt(now) && slices.Contains(f.Senders, sender) {
+			return fault
+		}
+	}
+	return LinkHealthy
+}
+
+// clientFault is what the link of clients to a sender does now.
+func (r *runner) clientFault(sender int) LinkFault {
+	if r.isAffected(sender, r.history.Now(), ClientsFragmented) {
+		return LinkFragments
+	}
+	return LinkHealthy
+}
+
+// inject carries out a fault that is not simply a state of the stand-ins or a shim.
+func (r *runner) inject(f Fault) {
+	r.sleepUntil(f.From)
+	switch f.Kind {
+	case DiscoverySilent:
+		r.forEachSender(f, func(i int) {
+			r.agents[i].SetSilent(true)
+			r.sleepUntil(f.Until)
+			r.agents[i].SetSilent(false)
+		})
+	case WatchesLost:
+		r.forEachSender(f, func(i int) { r.agents[i].LoseWatches() })
+	case EndpointsReplaced:
+		r.noteError(r.replaceEndpoints(f))
+	case SendersTerminated:
+		r.forEachSender(f, func(i int) { r.terminate(i, f.signalRandom(r.Seed, i)) })
+	case SendersKilled:
+		r.forEachSender(f, r.kill)
+	case SendersReloaded:
+		r.forEachSender(f, func(i int) { r.reloadInSeries(i, f.signalRandom(r.Seed, i)) })
+	case ConnectionFlood:
+		r.forEachSender(f, func(i int) { r.clients[i].flood(r.processes[i].Addr, f.Until) })
+	case SendersUpgraded:
+		r.forEachSender(f, r.upgrade)
+	case SendersKilledAtAnswer:
+		r.forEachSender(f, func(i int) { r.killAtAnswer(i, f.Until) })
+	case DescriptorsExhausted:
+		r.forEachSender(f, func(i int) { r.noteError(r.processes[i].LimitDescriptors(f.Until - f.From)) })
+	case SendersPaused:
+		r.forEachSender(f, func(i int) { r.processes[i].Pause(f.Until - f.From) })
+	}
+}
+
+// restart ends a sender's process and starts the next one, unless that is under way.
+func (r *runner) restart(sender int, end func() error) {
+	if !r.restartLocks[sender].TryLock() {
+		return
+	}
+	defer r.restartLocks[sender].Unlock()
+	r.noteError(end())
+	time.Sleep(restartPause)
+	r.startLocks[sender].Lock()
+	defer r.startLocks[sender].Unlock()
+	r.noteError(r.processes[sender].Start())
+}
+
+// kill restarts a sender by SIGKILL.
+func (r *runner) kill(sender int) {
+	r.restart(sender, func() error {
+		r.processes[sender].Kill()
+		return nil
+	})
+}
+
+// killAtAnswer kills a sender right after its next answer that accepts a message.
+func (r *runner) killAtAnswer(sender int, until time.Duration) {
+	select {
+	case <-r.clients[sender].nextAccepted():
+		r.kill(sender)
+	case <-time.After(until - r.history.Now()):
+	}
+}
+
+// terminate restarts a sender by SIGTERM, which may come amid other signals. Clients use every connection that stays
+// open until the process is gone.
+func (r *runner) terminate(sender int, random *rand.Rand) {
+	reloadsBefore, reloadsAfter, terminatesAgain := random.IntN(3) == 0, random.IntN(2) == 0, random.IntN(3) == 0
+	r.restart(sender, func() error {
+		if reloadsBefore {
+			r.noteError(r.reload(sender, true))
+			time.Sleep(time.Duration(random.Int64N(int64(maxSignalOffset))))
+		}
+		running, gone := context.WithCancel(context.Background())
+		var beside sync.WaitGroup
+		beside.Add(2)
+		go func() {
+			defer beside.Done()
+			r.clients[sender].UseIdleConnections(running)
+		}()
+		go func() {
+			defer beside.Done()
+			time.Sleep(time.Duration(random.Int64N(int64(maxSignalOffset))))
+			if reloadsAfter {
+				r.reloadInSeries(sender, random)
+			}
+			if terminatesAgain {
+				r.processes[sender].signal(syscall.SIGTERM)
+			}
+		}()
+		err := r.processes[sender].Terminate()
+		gone()
+		beside.Wait()
+		return err
+	})
+}
+
+// upgrade starts a sender's next process beside the one that runs, where it has a socket to pass, and ends that.
+func (r *runner) upgrade(sender int) {
+	if !r.processes[sender].passesSocket() || !r.restartLocks[sender].TryLock() {
+		return
+	}
+	defer r.restartLocks[sender].Unlock()
+	r.startLocks[sender].Lock()
+	defer r.startLocks[sender].Unlock()
+	r.noteError(r.processes[sender].Upgrade())
+}
+
+// reloadInSeries gives a sender one to four new configurations in a row, most of which move discovery.
+func (r *runner) reloadInSeries(sender int, random *rand.Rand) {
+	for range 1 + random.IntN(maxReloads) {
+		r.noteError(r.reload(sender, random.IntN(4) > 0))
+		time.Sleep(minReloadInterval + time.Duration(random.Int64N(int64(reloadIntervalJitter))))
+	}
+}
+
+// reload gives a sender a new configuration, unless it is just starting. Where that moves discovery, the old address
+// accepts no new connections any more and ends a moment later.
+func (r *runner) reload(sender int, movesDiscovery bool) error {
+	if !r.startLocks[sender].TryLock() {
+		return nil
+	}
+	defer r.startLocks[sender].Unlock()
+	if !r.processes[sender].mayReload() {
+		return nil
+	}
+	old := r.agentAddresses[sender]
+	if !movesDiscovery {
+		return r.processes[sender].Reload(old.addr)
+	}
+	next, err := r.agents[sender].Listen(r.host)
+	if err != nil {
+		return err
+	}
+	r.addCloser(next.close)
+	r.agentAddresses[sender] = next
+	r.agents[sender].AddressMoved()
+	err = r.processes[sender].Reload(next.addr)
+	old.retire()
+	return err
+}
+
+// replaceEndpoints drains the endpoints of a destination one after another and puts new ones in their place.
+func (r *runner) replaceEndpoints(f Fault) error {
+	old := r.endpointsOf(f.Destination)
+	for n, e := range old {
+		id := fmt.Sprintf("e%d-%d-%d", f.Destination, f.From.Milliseconds(), n)
+		servers, err := r.addEndpoint(id, f.Destination)
+		if err != nil {
+			return err
+		}
+		for i, agent := range r.agents {
+			agent.Change(servers[i])
+			agent.Change(serverLine(e.ID, r.linkAddr(e, i), e.Destination, Draining))
+		}
+	}
+	time.Sleep(drainDuration)
+	for _, e := range old {
+		for i, agent := range r.agents {
+			agent.Change(serverLine(e.ID, r.linkAddr(e, i), e.Destination, Deleted))
+		}
+	}
+	return nil
+}
+
+// endpointsOf is all endpoints that a destination has had.
+func (r *runner) endpointsOf(destination int) []*Endpoint {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var endpoints []*Endpoint
+	for _, e := range r.endpoints {
+		if e.Destination == destination {
+			endpoints = append(endpoints, e)
+		}
+	}
+	return endpoints
+}
+
+// linkAddr is where a sender reaches an endpoint.
+func (r *runner) linkAddr(e *Endpoint, sender int) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.links[e.ID][sender].Addr
+}
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -5,14 +5,12 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -22,7 +20,7 @@
 )
 
 // Command is how a sender's process is started. Its environment has the EDGE_ variables added, and shimVariable with
-// the faults that it has to show by itself.
+// the faults that it has to inject into itself.
 type Command struct {
 	Path string
 	Args []string
@@ -30,86 +28,114 @@
 }
 
 const (
-	readyWithin = 10 * time.Second
-	readyPollInterval   = 10 * time.Millisecond
-	// The operators' addresses of processes that come by upgrades have ports from here on.
+	readyWithin       = 10 * time.Second
+	readyPollInterval = 10 * time.Millisecond
+	readyTimeout      = time.Second             // of one request
+	killAfter         = 3700 * time.Millisecond // from SIGTERM to SIGKILL
+	restartPause      = 600 * time.Millisecond  // from SIGKILL to the next start
+	reloadHoldOff     = time.Second             // a process gets no SIGHUP for so long from its start
+
+	// firstUpgradePort is the first of the admin ports that processes started by upgrades have.
 	firstUpgradePort = 9100
-	killAfter    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	restartPause  = 600 * time.Millisecond  // from SIGKILL to the next start
-	reloadHoldOff  = time.Second             // from its start a process gets no SIGHUP for so long
 )
 
-// Process is one sender: its folder and addresses, and the process that runs at a time.
+// ProcessSpec is what stays the same for all processes of a sender.
+type ProcessSpec struct {
+	Number    int
+	Addr      string // where clients connect
+	AdminAddr string
+	Directory string // holds the state, the configuration and the log
+	Command   Command
+	Rules     Rules
+	Senders   int // of the deployment
+	Agent     *Agent
+	Known     List // the list that the configuration holds
+	History   *History
+}
+
+// Process is one sender: its directory and addresses, and the process that runs at a time.
 type Process struct {
-	Number int
-	Addr   string // where clients connect
-	Admin  string
-	Shims  []Shim
-
-	ledger  *History
-	command Command
-	directory  string // holds its state, its configuration and its log
-	rules   Rules
-	senders int
-	agent   *Agent
-	known   List
-	passedSocket  *os.File // where clients connect, passed to each process; nil if it listens by itself
-
-	mu        sync.Mutex
-	discovery string
-	upgrades  int
-	instance  // the one that clients are to come to
+	ProcessSpec
+	shims        []Shim
+	passedSocket *os.File // where clients connect, passed to each process; nil if each listens by itself
+	upgrades     int      // begun so far; upgrades come one at a time
+
+	mu            sync.Mutex
+	discoveryAddr string
+	instance      // the one that clients are to reach
 }
 
-// instance is one process of a sender.
+// instance is one process of a sender. A goroutine waits for its end and then closes exited.
 type instance struct {
-	running  *exec.Cmd
-	exited   chan struct{}
+	running      *exec.Cmd
+	exited       chan struct{}
 	exitExpected *atomic.Bool // it was told to end
-	admin    string
-	started  time.Time
-	ready    time.Time // the zero time before
+	adminAddr    string
+	startedAt    time.Time
+	readyAt      time.Time // zero before it is ready
 }
 
-func (p *Process) config() string { return filepath.Join(p.directory, "config.json") }
+// current is the instance that clients are to reach.
+func (p *Process) current() instance {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.instance
+}
+
+func (p *Process) configPath() string { return filepath.Join(p.Directory, "config.json") }
+
+func (p *Process) statePath() string { return filepath.Join(p.Directory, "state") }
 
-// writeConfig replaces the configuration at once.
+func (p *Process) logPath() string { return filepath.Join(p.Directory, "log") }
+
+// writeConfig replaces the configuration atomically.
 func (p *Process) writeConfig() error {
 	p.mu.Lock()
-	discovery := p.discovery
+	discoveryAddr := p.discoveryAddr
 	p.mu.Unlock()
-	text, err := json.Marshal(senderConfig(p.rules, p.senders, p.Number, p.agent.pollsEndpointList, discovery, filepath.Join(p.directory, "state"), p.known))
+	text, err := json.Marshal(senderConfig(p.ProcessSpec, discoveryAddr, p.statePath()))
 	if err != nil {
-		return err
+		return fmt.Errorf("encode configuration: %w", err)
 	}
-	if err := os.WriteFile(p.config()+".new", text, 0o600); err != nil {
+	next := p.configPath() + ".new"
+	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(p.config()+".new", p.config())
+	return os.Rename(next, p.configPath())
 }
 
-// passes reports whether the sender's processes get the socket for clients passed.
+// passesSocket reports whether the sender's processes get the socket for clients passed.
 func (p *Process) passesSocket() bool { return p.passedSocket != nil }
 
 // Start runs the sender and waits until it is ready.
 func (p *Process) Start() error {
-	i, err := p.launch(p.Admin)
+	started, err := p.launch(p.AdminAddr)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.instance = *i
+	p.instance = *started
 	p.mu.Unlock()
-	p.ledger.RecordIncarnationEvent(p.Number, Started, "")
-	return p.awaitReady(i)
+	p.History.RecordIncarnationEvent(p.Number, Started, "")
+	if err := p.await(started, p.isReady); err != nil {
+		return err
+	}
+	p.History.RecordIncarnationEvent(p.Number, Ready, "")
+	p.setReady()
+	return nil
 }
 
-// Upgrade starts the next process beside the one that runs, waits until that is ready, and ends the other.
-func (p *Process) Upgrade() error {
+// setReady notes that the current instance is ready.
+func (p *Process) setReady() {
 	p.mu.Lock()
-	old := p.instance
-	p.mu.Unlock()
-	host, _, err := net.SplitHostPort(p.Admin)
+	defer p.mu.Unlock()
+	p.readyAt = time.Now()
+}
+
+// Upgrade starts the next process beside the one that runs, waits until it is healthy, and ends the other.
+func (p *Process) Upgrade() error {
+	old := p.current()
+	host, _, err := net.SplitHostPort(p.AdminAddr)
 	if err != nil {
 		return err
 	}
@@ -118,94 +144,96 @@
 	if err != nil {
 		return err
 	}
-	if err := p.awaitHealthy(next); err != nil {
+	if err := p.await(next, next.isHealthy); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	p.instance = *next
-	p.ready = time.Now()
+	p.readyAt = time.Now()
 	p.mu.Unlock()
 	old.exitExpected.Store(true)
-	old.running.Process.Signal(syscall.SIGTERM)
+	old.signal(syscall.SIGTERM)
 	select {
 	case <-old.exited:
 		return nil
 	case <-time.After(killAfter):
-		old.running.Process.Kill()
+		old.signal(syscall.SIGKILL)
 		<-old.exited
 		return fmt.Errorf("sender %d: the old process had to be killed after an upgrade", p.Number)
 	}
 }
 
-// launch starts a process of the sender.
-func (p *Process) launch(admin string) (*instance, error) {
-	if err := os.MkdirAll(filepath.Join(p.directory, "state"), 0o700); err != nil {
-		return nil, err
-	}
-	if err := p.writeConfig(); err != nil {
-		return nil, err
-	}
-	log, err := os.OpenFile(filepath.Join(p.directory, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// launch starts a process of the sender, and a goroutine that waits for its end.
+func (p *Process) launch(adminAddr string) (*instance, error) {
+	cmd, err := p.prepare(adminAddr)
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	shims, err := json.Marshal(p.Shims)
+	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(p.command.Path, p.command.Args...)
-	cmd.Env = append(append(os.Environ(), p.command.Env...), "EDGE_CONFIG="+p.config(), "EDGE_LISTEN="+p.Addr,
-		"EDGE_ADMIN_ADDR="+admin, "EDGE_LOG_LEVEL=debug", shimVariable+"="+string(shims), "TMPDIR="+p.directory)
-	if p.passesSocket() {
-		cmd.Env = append(cmd.Env, "EDGE_PASSED_SOCKET=3")
-		cmd.ExtraFiles = []*os.File{p.passedSocket}
-	}
+	defer log.Close() // the process has a descriptor of its own
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	i := &instance{running: cmd, exited: make(chan struct{}), exitExpected: new(atomic.Bool), admin: admin, started: time.Now()}
-	go func() {
-		err := cmd.Wait()
-		detail := ""
-		if !i.exitExpected.Load() {
-			detail = fmt.Sprintf("unasked: %v", err)
-		}
-		p.mu.Lock()
-		serves := p.running == cmd
-		p.mu.Unlock()
-		if serves || detail != "" {
-			p.ledger.RecordIncarnationEvent(p.Number, Exited, detail)
-		}
-		close(i.exited)
-	}()
+	i := &instance{
+		running:      cmd,
+		exited:       make(chan struct{}),
+		exitExpected: new(atomic.Bool),
+		adminAddr:    adminAddr,
+		startedAt:    time.Now(),
+	}
+	go p.awaitExit(i)
 	return i, nil
 }
 
-// awaitReady waits until the sender takes clients.
-func (p *Process) awaitReady(i *instance) error {
-	err := p.await(i, p.isReady)
-	if err == nil {
-		p.ledger.RecordIncarnationEvent(p.Number, Ready, "")
-		p.mu.Lock()
-		p.ready = time.Now()
-		p.mu.Unlock()
+// prepare makes the command for a process, and the files that it needs.
+func (p *Process) prepare(adminAddr string) (*exec.Cmd, error) {
+	if err := os.MkdirAll(p.statePath(), 0o700); err != nil {
+		return nil, err
+	}
+	if err := p.writeConfig(); err != nil {
+		return nil, err
 	}
-	return err
+	shims, err := json.Marshal(p.shims)
+	if err != nil {
+		return nil, fmt.Errorf("encode shims: %w", err)
+	}
+	cmd := exec.Command(p.Command.Path, p.Command.Args...)
+	cmd.Env = append(append(os.Environ(), p.Command.Env...),
+		"EDGE_CONFIG="+p.configPath(),
+		"EDGE_LISTEN="+p.Addr,
+		"EDGE_ADMIN_ADDR="+adminAddr,
+		"EDGE_LOG_LEVEL=debug",
+		shimVariable+"="+string(shims),
+		"TMPDIR="+p.Directory)
+	if p.passesSocket() {
+		cmd.Env = append(cmd.Env, "EDGE_PASSED_SOCKET=3") // the first of ExtraFiles
+		cmd.ExtraFiles = []*os.File{p.passedSocket}
+	}
+	return cmd, nil
 }
 
-// awaitHealthy waits until a process says at the operators' address that it serves.
-func (p *Process) awaitHealthy(i *instance) error {
-	return p.await(i, func() bool {
-		reply, err := callAdmin(i.admin, "HEALTH")
-		return err == nil && reply == "ok\n"
-	})
+// awaitExit waits for the end of a process and records it, unless it was to end after an upgrade.
+func (p *Process) awaitExit(i *instance) {
+	err := i.running.Wait()
+	detail := ""
+	if !i.exitExpected.Load() {
+		detail = fmt.Sprintf("unexpected exit: %v", err)
+	}
+	isCurrent := p.current().running == i.running
+	if isCurrent || detail != "" {
+		p.History.RecordIncarnationEvent(p.Number, Exited, detail)
+	}
+	close(i.exited)
 }
 
-func (p *Process) await(i *instance, ready func() bool) error {
+// await polls a process until it is ready. The error is for one that ends before, or takes too long.
+func (p *Process) await(i *instance, isReady func() bool) error {
 	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(readyPollInterval) {
-		if ready() {
+		if isReady() {
 			return nil
 		}
 		select {
@@ -217,33 +245,42 @@
 	return fmt.Errorf("sender %d was not ready within %v", p.Number, readyWithin)
 }
 
+// isReady reports whether the sender accepts clients.
 func (p *Process) isReady() bool {
-	c, err := net.DialTimeout("tcp", p.Addr, time.Second)
+	conn, err := net.DialTimeout("tcp", p.Addr, dialTimeout)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
-	io.WriteString(c, "GET /-/ready HTTP/1.1\r\nHost: backend.local\r\nConnection: close\r\n\r\n")
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	return err == nil && resp.StatusCode == http.StatusOK
+	defer conn.Close()
+	limitRead(conn, readyTimeout)
+	writeQuietly(conn, "GET /-/ready HTTP/1.1\r\nHost: backend.local\r\nConnection: close\r\n\r\n")
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return false
+	}
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
+// signal sends a signal to the current process, if there is one.
 func (p *Process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running != nil {
-		p.running.Process.Signal(s)
+		p.instance.signal(s)
 	}
 }
 
-// told books that the process is told to end, and gives what is closed when it has.
-func (p *Process) expectExit(event IncarnationPhase) (exited <-chan struct{}) {
+// signal sends a signal to a process. One that has just ended cannot get it, which its exit tells.
+func (i *instance) signal(s syscall.Signal) { _ = i.running.Process.Signal(s) }
+
+// expectExit records that the process is told to end, and gives what is closed when it has.
+func (p *Process) expectExit(phase IncarnationPhase) (exited <-chan struct{}) {
 	p.mu.Lock()
 	p.exitExpected.Store(true)
 	exited = p.exited
 	p.mu.Unlock()
-	p.ledger.RecordIncarnationEvent(p.Number, event, "")
+	p.History.RecordIncarnationEvent(p.Number, phase, "")
 	return exited
 }
 
@@ -254,8 +291,8 @@
 	<-exited
 }
 
-// Terminate ends the process by SIGTERM, and by SIGKILL if it is still there at the earliest time for that. It returns at that
-// time in any case. The error tells that the process did not end by itself.
+// Terminate ends the process by SIGTERM, and by SIGKILL if it is still there at the earliest time for that. It returns
+// at that time in any case. The error tells that the process did not end by itself.
 func (p *Process) Terminate() error {
 	kill := time.After(killAfter)
 	exited := p.expectExit(Terminated)
@@ -270,24 +307,23 @@
 	return fmt.Errorf("sender %d had to be killed after SIGTERM", p.Number)
 }
 
-// Pause holds the process up for a time, as a busy machine does.
-func (p *Process) Pause(d time.Duration) {
+// Pause stops the process for a time, as a busy machine does.
+func (p *Process) Pause(lasting time.Duration) {
 	p.signal(syscall.SIGSTOP)
-	time.Sleep(d)
+	time.Sleep(lasting)
 	p.signal(syscall.SIGCONT)
 }
 
 // mayReload reports whether the platform may send SIGHUP: not in a process's first second, nor before it is ready.
 func (p *Process) mayReload() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.running != nil && !p.ready.IsZero() && time.Since(p.started) > reloadHoldOff
+	i := p.current()
+	return i.running != nil && !i.readyAt.IsZero() && time.Since(i.startedAt) > reloadHoldOff
 }
 
 // Reload gives the process a configuration with an address of discovery, which may be the one that it has.
-func (p *Process) Reload(discovery string) error {
+func (p *Process) Reload(discoveryAddr string) error {
 	p.mu.Lock()
-	p.discovery = discovery
+	p.discoveryAddr = discoveryAddr
 	p.mu.Unlock()
 	if err := p.writeConfig(); err != nil {
 		return err
@@ -296,73 +332,35 @@
 	return nil
 }
 
-// LimitDescriptors leaves the process no further descriptors for a time.
-func (p *Process) LimitDescriptors(d time.Duration) error {
-	p.mu.Lock()
-	running := p.running
-	p.mu.Unlock()
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", running.Process.Pid))
+// LimitDescriptors leaves the process no further descriptors for a time. A process that has just ended is no error.
+func (p *Process) LimitDescriptors(lasting time.Duration) error {
+	pid := p.current().running.Process.Pid
+	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return nil // it has just ended
 	}
 	var usual unix.Rlimit
-	if err := unix.Prlimit(running.Process.Pid, unix.RLIMIT_NOFILE, nil, &usual); err != nil {
+	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &usual) != nil {
 		return nil
 	}
-	short := usual
-	short.Cur = uint64(len(open))
-	if err := unix.Prlimit(running.Process.Pid, unix.RLIMIT_NOFILE, &short, nil); err != nil {
+	limited := usual
+	limited.Cur = uint64(len(open))
+	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limited, nil) != nil {
 		return nil
 	}
-	time.Sleep(d)
-	if err := unix.Prlimit(running.Process.Pid, unix.RLIMIT_NOFILE, &usual, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
+	time.Sleep(lasting)
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &usual, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
 		return fmt.Errorf("descriptors of sender %d: %w", p.Number, err)
 	}
 	return nil
 }
 
-// callAdmin makes one call at an operators' address.
-func callAdmin(addr, call string) (string, error) {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
-	if err != nil {
-		return "", err
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(2 * time.Second))
-	if _, err := io.WriteString(c, call+"\n"); err != nil {
-		return "", err
-	}
-	reply, err := io.ReadAll(c)
-	return string(reply), err
-}
-
-// Figures reads what the process reports of itself.
-func (p *Process) Metrics() (map[string]int, error) {
-	p.mu.Lock()
-	admin := p.admin
-	p.mu.Unlock()
-	text, err := callAdmin(admin, "DUMP")
-	if err != nil {
-		return nil, err
-	}
-	figures := map[string]int{}
-	for _, line := range strings.Split(text, "\n") {
-		name, value, found := strings.Cut(line, "=")
-		if n, err := strconv.Atoi(value); found && err == nil {
-			figures[name] = n
-		}
-	}
-	return figures, nil
-}
-
-// end kills the process if it still runs.
+// stop kills the process if it still runs, and waits for its end.
 func (p *Process) stop() {
-	p.mu.Lock()
-	i := p.instance
-	p.mu.Unlock()
+	i := p.current()
 	if i.running != nil {
 		i.exitExpected.Store(true)
-		i.running.Process.Kill()
+		i.signal(syscall.SIGKILL)
 		<-i.exited
 	}
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -15,112 +15,122 @@
 
 // The faults of a link.
 const (
-	LinkHealthy    LinkFault = iota
-	LinkConnectsLate              // a new connection relays nothing for lateFor
-	LinkCut               // nothing passes; what is open is reset when the cut ends
-	LinkResets            // connections are reset some time after bytes have passed towards the endpoint
-	LinkFragments           // answers and requests pass a few bytes at a time
+	LinkHealthy      LinkFault = iota
+	LinkConnectsLate           // a new connection relays nothing for connectDelay
+	LinkCut                    // nothing passes; what is open is reset when the cut ends
+	LinkResets                 // connections are reset some time after bytes have passed towards the target
+	LinkFragments              // requests and answers pass a few bytes at a time
 )
 
 const (
-	connectDelay    = 700 * time.Millisecond
-	resetAfter = 30 * time.Millisecond
-	fragmentSize   = 24
-	fragmentInterval  = time.Millisecond
-	partitionPollInterval    = 10 * time.Millisecond
+	connectDelay     = 700 * time.Millisecond
+	resetDelay       = 30 * time.Millisecond // from bytes that pass to the reset
+	fragmentSize     = 24                    // bytes
+	fragmentInterval = time.Millisecond
+	cutPollInterval  = 10 * time.Millisecond
+	copyBufferSize   = 32 << 10 // bytes
 )
 
+// ProxySpec says what a proxy relays.
+type ProxySpec struct {
+	Target func() string // the address to connect to, asked for each connection
+	// Preface is written to the target first, with how long the first call has been delayed (µs); "" for nothing.
+	Preface string
+	Fault   func() LinkFault // asked for each connection and each chunk of bytes
+	// OnRefused is called when the target refused a connection that was dialled at a time; nil if nobody asks.
+	OnRefused func(dialled time.Time)
+}
+
 // Proxy relays connections from one sender to one endpoint, or from clients to one sender.
 type Proxy struct {
 	Addr string
 
-	preface string // written first to the far side, with how long the first call has been held back (µs); "" for nothing
-	target  func() string
-	fault   func() LinkFault
-	onRefused func(dialled time.Time) // the target took no connection that was dialled then; nil if nobody asks
-
+	spec     ProxySpec
 	listener net.Listener
-	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	closed   bool
+	relaying sync.WaitGroup // the goroutines that accept and relay
+
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
 }
 
-// NewProxy listens on a port of its own at host. fault is asked at each connection and chunk of bytes; refused, if there is one,
-// is called when the target takes no connection.
-func NewProxy(host string, target func() string, preface string, fault func() LinkFault, refused func(dialled time.Time)) (*Proxy, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+// NewProxy starts a proxy on a port of its own at host.
+func NewProxy(host string, spec ProxySpec) (*Proxy, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{Addr: l.Addr().String(), preface: preface, target: target, fault: fault, onRefused: refused, listener: l, conns: map[net.Conn]bool{}}
-	go p.accept()
+	p := &Proxy{Addr: listener.Addr().String(), spec: spec, listener: listener, conns: map[net.Conn]bool{}}
+	p.relaying.Add(1)
+	go func() {
+		defer p.relaying.Done()
+		p.accept()
+	}()
 	return p, nil
 }
 
-// Close ends the listener and all connections.
+// Close ends the listener and all connections, and waits for the proxy's goroutines.
 func (p *Proxy) Close() {
-	p.listener.Close()
+	closeQuietly(p.listener)
 	p.mu.Lock()
-	defer p.mu.Unlock()
 	p.closed = true
-	for c := range p.conns {
-		c.Close()
+	for conn := range p.conns {
+		closeQuietly(conn)
 	}
+	p.mu.Unlock()
+	p.relaying.Wait()
 }
 
-func (p *Proxy) track(c net.Conn) bool {
+// track lets Close end a connection; false if the proxy is closed already.
+func (p *Proxy) track(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		c.Close()
+		closeQuietly(conn)
 		return false
 	}
-	p.conns[c] = true
+	p.conns[conn] = true
 	return true
 }
 
-func (p *Proxy) forget(c net.Conn) {
+func (p *Proxy) untrack(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.conns, c)
+	delete(p.conns, conn)
 }
 
+// accept relays each connection in a goroutine of its own until the listener is closed.
 func (p *Proxy) accept() {
 	for {
-		c, err := p.listener.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.relay(c)
+		p.relaying.Add(1)
+		go func() {
+			defer p.relaying.Done()
+			p.relay(conn)
+		}()
 	}
 }
 
-// relay joins a connection with one to the target. The end of either side passes on to the other, a reset as a reset.
+// relay joins a connection with one to the target. The end of either side passes to the other, a reset as a reset.
 func (p *Proxy) relay(near net.Conn) {
 	defer near.Close()
 	if !p.track(near) {
 		return
 	}
-	defer p.forget(near)
-	var early []byte // what came on a late connection before it relays
-	var heldFor time.Duration
-	switch p.fault() {
-	case LinkConnectsLate:
-		var stands bool
-		if early, heldFor, stands = delayConnect(near, connectDelay); !stands {
-			reset(near)
-			return
-		}
-	case LinkCut:
-		p.awaitCutEnd()
+	defer p.untrack(near)
+	early, delay, connected := p.setUp(near)
+	if !connected {
 		reset(near)
 		return
 	}
 	dialled := time.Now()
-	far, err := net.DialTimeout("tcp", p.target(), time.Second)
+	far, err := net.DialTimeout("tcp", p.spec.Target(), dialTimeout)
 	if err != nil {
-		if p.onRefused != nil {
-			p.onRefused(dialled)
+		if p.spec.OnRefused != nil {
+			p.spec.OnRefused(dialled)
 		}
 		reset(near)
 		return
@@ -129,32 +139,50 @@
 	if !p.track(far) {
 		return
 	}
-	defer p.forget(far)
-	if p.preface != "" {
-		if _, err := fmt.Fprintf(far, "%s %d\n", p.preface, heldFor.Microseconds()); err != nil {
+	defer p.untrack(far)
+	if p.spec.Preface != "" {
+		if _, err := fmt.Fprintf(far, "%s %d\n", p.spec.Preface, delay.Microseconds()); err != nil {
 			return
 		}
 	}
 	if _, err := far.Write(early); err != nil {
 		return
 	}
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); p.forward(far, near, true) }()
-	go func() { defer both.Done(); p.forward(near, far, false) }()
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Add(2)
+	go func() {
+		defer directions.Done()
+		p.forward(far, near, true)
+	}()
+	go func() {
+		defer directions.Done()
+		p.forward(near, far, false)
+	}()
+	directions.Wait()
+}
+
+// setUp applies the link's fault to a new connection. It gives what was received on a connection that comes up late
+// and how long ago that began; connected is false for a connection that never comes up.
+func (p *Proxy) setUp(near net.Conn) (early []byte, delay time.Duration, connected bool) {
+	switch p.spec.Fault() {
+	case LinkConnectsLate:
+		return delayConnect(near, connectDelay)
+	case LinkCut:
+		p.awaitCutEnd()
+		return nil, 0, false
+	}
+	return nil, 0, true
 }
 
-// holdBack takes what comes on a connection for a time, and gives it with the time since its first byte. If the other side
-// ends the connection meanwhile, it has never come up, and nothing has been sent.
-func delayConnect(c net.Conn, lasting time.Duration) (early []byte, heldFor time.Duration, stands bool) {
-	until := time.Now().Add(lasting)
-	c.SetReadDeadline(until)
-	defer c.SetReadDeadline(time.Time{})
-	buffer := make([]byte, 32<<10)
+// delayConnect receives on a connection for a time without passing anything on, and gives what came with the time since
+// its first byte. If the other side ends the connection meanwhile, it has never come up, and nothing has been sent.
+func delayConnect(conn net.Conn, lasting time.Duration) (early []byte, delay time.Duration, connected bool) {
+	limitRead(conn, lasting)
+	defer unlimitRead(conn)
+	buffer := make([]byte, copyBufferSize)
 	var first time.Time
 	for {
-		n, err := c.Read(buffer)
+		n, err := conn.Read(buffer)
 		if n > 0 && first.IsZero() {
 			first = time.Now()
 		}
@@ -167,51 +195,44 @@
 		}
 	}
 	if !first.IsZero() {
-		heldFor = time.Since(first)
+		delay = time.Since(first)
 	}
-	return early, heldFor, true
+	return early, delay, true
 }
 
+// awaitCutEnd waits until the link is no longer cut.
 func (p *Proxy) awaitCutEnd() {
-	for p.fault() == LinkCut {
-		time.Sleep(partitionPollInterval)
+	for p.spec.Fault() == LinkCut {
+		time.Sleep(cutPollInterval)
 	}
 }
 
-// copy passes bytes on until an end. outward is the direction from the near side to the target.
-func (p *Proxy) forward(to, from net.Conn, outward bool) {
-	buffer := make([]byte, 32<<10)
+// forward passes bytes in one direction until an end. towardsTarget says which.
+func (p *Proxy) forward(to, from net.Conn, towardsTarget bool) {
+	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		fault := p.fault()
+		fault := p.spec.Fault()
 		if fault == LinkCut {
 			p.awaitCutEnd()
 			reset(to)
 			reset(from)
 			return
 		}
-		size := max(1, n)
-		if fault == LinkFragments {
-			size = fragmentSize
-		}
-		for rest := buffer[:n]; len(rest) > 0; {
-			part := rest[:min(size, len(rest))]
-			if _, err := to.Write(part); err != nil {
-				reset(from)
-				return
-			}
-			if rest = rest[len(part):]; len(rest) > 0 {
-				time.Sleep(fragmentInterval)
-			}
+		if writeErr := writeFragments(to, buffer[:n], fault); writeErr != nil {
+			reset(from)
+			return
 		}
-		if fault == LinkResets && outward && n > 0 {
-			time.Sleep(resetAfter)
+		if fault == LinkResets && towardsTarget && n > 0 {
+			time.Sleep(resetDelay)
 			reset(to)
 			reset(from)
 			return
 		}
-		if err == io.EOF {
-			to.(*net.TCPConn).CloseWrite()
+		if errors.Is(err, io.EOF) {
+			if tcp, ok := to.(*net.TCPConn); ok {
+				_ = tcp.CloseWrite() // fails only if the other direction has ended the connection
+			}
 			return
 		}
 		if err != nil {
@@ -221,13 +242,32 @@
 	}
 }
 
-// reset ends a connection so that the other side sees a reset.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+// writeFragments passes bytes on, a few at a time if that is the link's fault.
+func writeFragments(to net.Conn, data []byte, fault LinkFault) error {
+	size := max(1, len(data))
+	if fault == LinkFragments {
+		size = fragmentSize
+	}
+	for len(data) > 0 {
+		fragment := data[:min(size, len(data))]
+		if _, err := to.Write(fragment); err != nil {
+			return err
+		}
+		if data = data[len(fragment):]; len(data) > 0 {
+			time.Sleep(fragmentInterval)
+		}
 	}
-	c.Close()
+	return nil
 }
 
-// prefaceOf tells an endpoint which sender a relayed connection is from.
+// senderPreface says in a proxy's preface which sender its connections are from.
 func senderPreface(sender int) string { return fmt.Sprintf("sender %d", sender) }
+
+// parsePreface reads the line that a proxy with a sender's preface writes first.
+func parsePreface(line string) (sender int, delay time.Duration, err error) {
+	var microseconds int64
+	if _, err := fmt.Sscanf(line, "sender %d %d", &sender, &microseconds); err != nil {
+		return 0, 0, fmt.Errorf("preface %q: %w", line, err)
+	}
+	return sender, time.Duration(microseconds) * time.Microsecond, nil
+}
--- /dev/null
+++ b/internal/emulator/report.go
@@ -0,0 +1,231 @@
+package emulator
+
+import (
+	"bufio"
+	"math"
+	"os"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	maxLatencyMS     = 60_000
+	latencyDigits    = 3       // significant figures of a latency
+	maxLogLine       = 1 << 20 // bytes
+	counterPrefix    = "edge_edge."
+	violationCounter = "violations." // the prefix of the senders' counters of violations
+)
+
+// Report is the outcome of a run.
+type Report struct {
+	Plan       []Fault
+	Violations []Violation
+	Counts     map[string]int
+	Latency    *hdrhistogram.Histogram // ms from submission to delivery
+}
+
+// Quantile is a latency that a share of the deliveries did not exceed, in milliseconds.
+func (report *Report) Quantile(share float64) int64 {
+	return report.Latency.ValueAtQuantile(math.Min(100, share*100))
+}
+
+// report ends the senders and judges the run.
+func (r *runner) report() *Report {
+	end := r.history.Now()
+	r.collectCounters()
+	r.terminateAll()
+	report := &Report{
+		Plan:       r.plan,
+		Violations: Check(r.history, r.facts(end)),
+		Latency:    hdrhistogram.New(1, maxLatencyMS, latencyDigits),
+	}
+	for _, err := range r.errors {
+		report.Violations = append(report.Violations, Violation{Rule: ruleProcess, At: end, Detail: err})
+	}
+	report.Violations = append(report.Violations, r.loggedViolations(end)...)
+	report.summarize(r.history)
+	return report
+}
+
+// collectCounters reads the senders' own figures before they end.
+func (r *runner) collectCounters() {
+	for _, p := range r.processes {
+		metrics, err := p.Metrics()
+		r.noteError(err)
+		for name, n := range metrics {
+			if counter, found := strings.CutPrefix(name, counterPrefix); found {
+				r.history.AddCounter(counter, n)
+			}
+		}
+	}
+}
+
+// terminateAll ends the senders, side by side.
+func (r *runner) terminateAll() {
+	var all sync.WaitGroup
+	for _, p := range r.processes {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			r.noteError(p.Terminate())
+		}()
+	}
+	all.Wait()
+}
+
+// facts is what the invariants need to know of the run beside its history.
+func (r *runner) facts(end time.Duration) RunFacts {
+	facts := RunFacts{
+		Rules:            r.rules,
+		Tolerance:        r.Tolerance,
+		Outages:          r.outages(),
+		End:              end,
+		OutcomeUncertain: r.outcomeUncertain,
+		Impaired:         r.impaired,
+		Flooded:          r.flooded,
+	}
+	total := r.Rate * float64(r.Senders)
+	for _, share := range r.trafficShares {
+		facts.Capacity = append(facts.Capacity, capacityMultiple*share*total)
+	}
+	return facts
+}
+
+// outages are the spans after which destinations return cold.
+func (r *runner) outages() []Outage {
+	var list []Outage
+	for _, f := range r.plan {
+		switch f.Kind {
+		case EndpointsHang, EndpointsFail, EndpointsUnavailable, EndpointsReset:
+			list = append(list, Outage{Destination: f.Destination, From: f.From, Until: f.Until})
+		}
+	}
+	return list
+}
+
+// isAffected reports whether a fault of one of some kinds affects a sender at a time.
+func (r *runner) isAffected(sender int, at time.Duration, kinds ...FaultKind) bool {
+	for _, f := range r.plan {
+		if slices.Contains(kinds, f.Kind) && f.activeAt(at) && slices.Contains(f.Senders, sender) {
+			return true
+		}
+	}
+	return false
+}
+
+// outcomeUncertain reports whether answers may not reach a sender at a time, or its disk takes no writes.
+func (r *runner) outcomeUncertain(sender int, at time.Duration) bool {
+	return r.isAffected(sender, at, DiskFull, DiskErrors, DiskTornWrites, LinksCut, LinksReset)
+}
+
+// impaired reports whether a sender's machine keeps it from accepting or answering clients at a time.
+func (r *runner) impaired(sender int, at time.Duration) bool {
+	return r.isAffected(sender, at, AcceptFails, DescriptorsExhausted, SendersPaused, ClientsFragmented)
+}
+
+// flooded reports whether a connection flood keeps a sender from accepting new connections at a time, or has just done
+// so.
+func (r *runner) flooded(sender int, at time.Duration) bool {
+	return r.isAffected(sender, at, ConnectionFlood) || r.isAffected(sender, at-floodDrainTime, ConnectionFlood)
+}
+
+// violationLogLine is how a sender logs that one of its own invariants is violated.
+var violationLogLine = regexp.MustCompile(`msg="rule violated" rule=(\S+)`)
+
+// loggedViolations is what the senders' own invariant checkers have logged, which no stand-in may have seen.
+func (r *runner) loggedViolations(end time.Duration) []Violation {
+	var found []Violation
+	for _, p := range r.processes {
+		lines, err := violationLines(p.logPath())
+		if err != nil {
+			continue // a sender that never started has no log, which counts by itself
+		}
+		for _, line := range lines {
+			rule := violationLogLine.FindStringSubmatch(line)[1]
+			found = append(found, violationf(senderRulePrefix+rule, end, "sender %d: %s", p.Number, line))
+		}
+	}
+	return found
+}
+
+// violationLines are the lines of a log that report a violation.
+func violationLines(path string) ([]string, error) {
+	log, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer log.Close()
+	var lines []string
+	scanner := bufio.NewScanner(log)
+	scanner.Buffer(nil, maxLogLine)
+	for scanner.Scan() {
+		if violationLogLine.MatchString(scanner.Text()) {
+			lines = append(lines, scanner.Text())
+		}
+	}
+	return lines, nil
+}
+
+// summarize counts what happened.
+func (report *Report) summarize(h *History) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	counts := map[string]int{
+		"submissions": len(h.submissions),
+		"calls":       len(h.attempts),
+		"notices":     len(h.notices),
+		"bad peers":   len(h.badPeers),
+	}
+	for _, s := range h.submissions {
+		counts[s.outcome()]++
+	}
+	counts["delivered"] = report.recordLatencies(h)
+	for _, n := range h.notices {
+		counts["notice "+n.Outcome]++
+	}
+	for name, n := range h.counters {
+		if strings.HasPrefix(name, violationCounter) && n > 0 {
+			counts[name] = n
+		}
+	}
+	for _, event := range h.incarnationEvents {
+		counts["process "+string(event.Phase)]++
+	}
+	report.Counts = counts
+}
+
+// outcome is what became of a request, as counted.
+func (s *Submission) outcome() string {
+	switch {
+	case s.isAccepted():
+		return "accepted"
+	case s.isRejected():
+		return "rejected"
+	case s.Status != 0:
+		return "failed"
+	case s.ConnectionClosed:
+		return "closed"
+	default:
+		return "unanswered"
+	}
+}
+
+// recordLatencies records the first delivery of each message and gives their number.
+func (report *Report) recordLatencies(h *History) int {
+	delivered := map[string]bool{}
+	for _, a := range h.attempts {
+		s := h.submissions[a.ID]
+		if a.Status != 200 || s == nil || delivered[a.ID] {
+			continue
+		}
+		delivered[a.ID] = true
+		latency := min(maxLatencyMS, max(1, (a.EndedAt-s.SentAt).Milliseconds()))
+		_ = report.Latency.RecordValue(latency) // it is in the histogram's range
+	}
+	return len(delivered)
+}
