--- a/internal/sendertest/platform.go
+++ b/internal/sendertest/platform.go
@@ -1,12 +1,9 @@
-// Package sendertest stands in for what a sender talks to, in tests: discovery with its notices, and
-// endpoints that answer as a test scripts them. All of it listens on loopback addresses, port 0.
 package sendertest
 
 import (
-	"bufio"
 	"encoding/json"
+	"errors"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strconv"
@@ -16,200 +13,73 @@
 	"time"
 )
 
-// Wait is how long a test waits for an event that should come.
-const Wait = 20 * time.Second
-
-// Call is a request as an endpoint got it.
-type Call struct {
-	ID, Key, Body string
-	Header        http.Header
-	Conn          int // which connection it came on, from 1
-	Path          string
-}
-
-// Part is a message of a call that several share.
-type Part struct {
-	ID   string `json:"id"`
-	Key  string `json:"key"`
-	Body []byte `json:"body"`
-}
-
-// Parts reads the messages of a shared call.
-func (c Call) Parts(t testing.TB) []Part {
-	t.Helper()
-	var parts []Part
-	if err := json.Unmarshal([]byte(c.Body), &parts); c.Path != "/hook/batch" || err != nil {
-		t.Fatalf("%s is no shared call: %v %q", c.Path, err, c.Body)
-	}
-	return parts
-}
-
-// Endpoint is a destination's endpoint. Answer gets each whole call and the connection to answer on; if it
-// reports false the connection is closed without more.
-type Endpoint struct {
-	Addr  string
-	Calls chan Call
-	close func()
-}
-
-// NewEndpoint starts an endpoint.
-func NewEndpoint(t testing.TB, answer func(Call, net.Conn) bool) *Endpoint {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	e := &Endpoint{Addr: l.Addr().String(), Calls: make(chan Call, 1000)}
-	var mu sync.Mutex
-	var conns []net.Conn
-	e.close = func() {
-		l.Close()
-		mu.Lock()
-		defer mu.Unlock()
-		for _, c := range conns {
-			c.Close()
-		}
-	}
-	t.Cleanup(e.close)
-	go func() {
-		for n := 1; ; n++ {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			conns = append(conns, c)
-			mu.Unlock()
-			go e.serve(c, n, answer)
-		}
-	}()
-	return e
-}
-
-func (e *Endpoint) serve(c net.Conn, n int, answer func(Call, net.Conn) bool) {
-	defer c.Close()
-	r := bufio.NewReader(c)
-	for {
-		req, err := http.ReadRequest(r)
-		if err != nil {
-			return
-		}
-		body, err := io.ReadAll(req.Body)
-		if err != nil {
-			return
-		}
-		call := Call{req.Header.Get("X-Request-Id"), req.Header.Get("Idempotency-Key"), string(body), req.Header, n, req.URL.Path}
-		e.Calls <- call
-		if !answer(call, c) {
-			return
-		}
-	}
-}
-
-// Status is the script of an endpoint that gives every call one answer, with further header lines.
-func Status(code int, lines ...string) func(Call, net.Conn) bool {
-	text := "HTTP/1.1 " + strconv.Itoa(code) + " X\r\nContent-Length: 0\r\n"
-	for _, l := range lines {
-		text += l + "\r\n"
-	}
-	return func(_ Call, c net.Conn) bool {
-		_, err := io.WriteString(c, text+"\r\n")
-		return err == nil
-	}
-}
-
-// Text is the script of an endpoint that gives every call one answer with a body.
-func Text(code int, body string, lines ...string) func(Call, net.Conn) bool {
-	text := "HTTP/1.1 " + strconv.Itoa(code) + " X\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
-	for _, l := range lines {
-		text += l + "\r\n"
-	}
-	return func(_ Call, c net.Conn) bool {
-		_, err := io.WriteString(c, text+"\r\n"+body)
-		return err == nil
-	}
-}
-
-// Silent answers nothing and keeps the connection until its other side closes it.
-func Silent(_ Call, c net.Conn) bool {
-	io.Copy(io.Discard, c)
-	return false
-}
-
-// Reset breaks the connection.
-func Reset(_ Call, c net.Conn) bool {
-	c.(*net.TCPConn).SetLinger(0)
-	return false
-}
-
-// Next waits for the next call.
-func (e *Endpoint) Next(t testing.TB) Call {
-	t.Helper()
-	return Receive(t, e.Calls)
-}
-
-// Receive waits for a value.
-func Receive[T any](t testing.TB, c <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(Wait):
-		t.Fatal("nothing came")
-		panic("unreachable")
-	}
-}
-
-// Notice is a line that discovery was told.
+// Notice is the final outcome of a message, as discovery received it.
 type Notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS int64  `json:"retry_in_ms"`
 }
 
-// Platform is discovery: the list, its watches and notices.
+// Platform is discovery: the endpoint list, its watches and the notices.
 type Platform struct {
 	Addr    string
 	Notices chan Notice
-	Lists   chan string // the query of each call for the list
+	Lists   chan string // the query of each request for the list
 
 	mu      sync.Mutex
 	version int
 	targets []map[string]any
-	changed chan struct{}
-	down    bool
-	deaf    bool // notices are answered 503
-	lost    int  // watches that began before the last of so many losses are never answered
+	changed chan struct{} // closed when something changes
+	down    bool          // requests for the list are answered 503
+	deaf    bool          // notices are answered 503
+	losses  int           // watches that began before the last loss are never answered
 }
 
-// NewPlatform starts discovery with a list of endpoints: that at place i is for destination i.
+// NewPlatform starts discovery with a list of endpoints: that at index i is for destination i.
 func NewPlatform(t testing.TB, addrs ...string) *Platform {
-	p := &Platform{Notices: make(chan Notice, 1000), Lists: make(chan string, 1000), version: 1, changed: make(chan struct{})}
-	for i, a := range addrs {
-		p.targets = append(p.targets, Target("s-"+strconv.Itoa(i), a, i, "SERVING"))
+	p := &Platform{
+		Notices: make(chan Notice, queueSize),
+		Lists:   make(chan string, queueSize),
+		version: 1,
+		changed: make(chan struct{}),
+	}
+	for i, addr := range addrs {
+		p.targets = append(p.targets, Target("s-"+strconv.Itoa(i), addr, i, "SERVING"))
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", p.list)
-	mux.HandleFunc("POST /v1/notices", p.notices)
-	s := httptest.NewServer(mux)
-	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	p.Addr = strings.TrimPrefix(s.URL, "http://")
+	mux.HandleFunc("GET /api/targets", p.handleList)
+	mux.HandleFunc("POST /v1/notices", p.handleNotices)
+	server := httptest.NewServer(mux)
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	p.Addr = strings.TrimPrefix(server.URL, "http://")
 	return p
 }
 
-// Target is a line of the list.
-func Target(id, addr string, cell int, state string) map[string]any {
-	return map[string]any{"id": id, "addr": addr, "cell": cell, "state": state, "zone": "a", "kind": "plain", "weight": 1.0, "started_ms": 0}
+// Target is a line of the endpoint list.
+func Target(id, addr string, destination int, state string) map[string]any {
+	return map[string]any{
+		"id":         id,
+		"addr":       addr,
+		"cell":       destination,
+		"state":      state,
+		"zone":       "a",
+		"kind":       "plain",
+		"weight":     1.0,
+		"started_ms": 0,
+	}
 }
 
-// Known is the list for a configuration.
+// Known is the list as a configuration holds it.
 func (p *Platform) Known() map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return map[string]any{"version": p.version, "full": true, "servers": p.targets}
 }
 
-// Change sets a line and lets the watches know.
+// Change adds a line, or replaces that of the same endpoint, and answers the watches.
 func (p *Platform) Change(line map[string]any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,28 +91,28 @@
 		}
 	}
 	p.targets = append(p.targets, line)
-	p.wake()
+	p.wakeWatches()
 }
 
-func (p *Platform) wake() {
+func (p *Platform) wakeWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Down makes calls for the list fail, or lets them work again; watches end.
+// Down makes requests for the list fail, open watches too, or lets them work again.
 func (p *Platform) Down(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.wakeWatches()
 }
 
-// Lose leaves the watches that are out unanswered for good, with their connections open.
+// Lose leaves the open watches unanswered for good, with their connections open.
 func (p *Platform) Lose() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lost++
-	p.wake()
+	p.losses++
+	p.wakeWatches()
 }
 
 // Deaf makes notices fail, or lets them work again.
@@ -252,35 +122,37 @@
 	p.deaf = deaf
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+// handleList answers a request for the list: a poll at once, a watch when something has changed or its time is up.
+func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
 	p.Lists <- r.URL.RawQuery
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	isPoll := err != nil
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
+	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	p.mu.Lock()
-	began := p.lost
+	began := p.losses
 	p.mu.Unlock()
 	for {
 		p.mu.Lock()
-		version, changed, down, lost := p.version, p.changed, p.down, p.lost
-		answer, _ := json.Marshal(map[string]any{"version": p.version, "full": true, "servers": p.targets})
+		version, changed, down, lost := p.version, p.changed, p.down, p.losses != began
+		list, _ := json.Marshal(map[string]any{"version": p.version, "full": true, "servers": p.targets})
 		p.mu.Unlock()
-		if lost != began {
+		switch {
+		case lost:
 			<-r.Context().Done()
 			return
-		}
-		if down {
+		case down:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		}
-		if err != nil || version > after {
-			w.Write(answer)
+		case isPoll || version > after:
+			_, _ = w.Write(list) // fails only if the sender has gone
 			return
 		}
 		select {
 		case <-changed:
-		case <-over:
-			json.NewEncoder(w).Encode(map[string]any{"version": after, "full": false, "servers": []any{}})
+		case <-timeout:
+			unchanged := map[string]any{"version": after, "full": false, "servers": []any{}}
+			_ = json.NewEncoder(w).Encode(unchanged) // fails only if the sender has gone
 			return
 		case <-r.Context().Done():
 			return
@@ -288,7 +160,8 @@
 	}
 }
 
-func (p *Platform) notices(w http.ResponseWriter, r *http.Request) {
+// handleNotices takes notices, a JSON value each.
+func (p *Platform) handleNotices(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	deaf := p.deaf
 	p.mu.Unlock()
@@ -296,12 +169,14 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	dec := json.NewDecoder(r.Body)
+	decoder := json.NewDecoder(r.Body)
 	for {
 		var n Notice
-		if err := dec.Decode(&n); err == io.EOF {
+		err := decoder.Decode(&n)
+		if errors.Is(err, io.EOF) {
 			break
-		} else if err != nil {
+		}
+		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
@@ -309,61 +184,3 @@
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
-
-// Config is a sender's configuration: classes "safe", "keyed" and "unsafe", one tenant "acme", ten slots.
-func Config(p *Platform, state string) map[string]any {
-	class := func(name, effect string) map[string]any {
-		return map[string]any{"name": name, "slo": 2500.0, "giveUp": 20000.0, "effect": effect, "dedupWindow": 7500.0,
-			"dedupScope": "all", "worth": 1.0, "lateValue": 0.5}
-	}
-	return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": p.Addr, "state": state, "seed": "5",
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
-		"known":  p.Known(),
-		"settings": map[string]any{"balancers": 1, "discovery": "on_request", "step": 5.0, "zone": 0, "zones": []any{"a"},
-			"models":     []any{"plain"},
-			"familyInfo": map[string]any{"callsOut": 10, "fades": "halving", "routesApart": []any{false}, "perCall": []any{1}},
-			"limits": map[string]any{"cancel": true, "connIdle": 15000.0, "connectTimeout": 1500.0, "maxAttempts": 6,
-				"mostHeld": 100, "retryAfter": true, "maxRetryAfter": 2000.0},
-			"rules": map[string]any{"fallMultiple": 2.0, "startCapacity": 0.2, "overloadFor": 3000.0, "cold": 14000.0},
-			"services": []any{class("safe", "read_like"), class("keyed", "idempotency_key"),
-				class("unsafe", "non_idempotent")},
-			"orgs":      []any{map[string]any{"name": "acme", "share": 1.0, "allowancePerS": 1000.0}},
-			"telemetry": map[string]any{"fields": []any{"x0", "x1"}, "via": "answers"}}}
-}
-
-// Message is a request that hands in a message.
-func Message(t testing.TB, addr, id, class string, dest int, deadline time.Duration, body string) *http.Request {
-	t.Helper()
-	r, err := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader(body))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for k, v := range map[string]string{"X-Request-Id": id, "X-Class": class, "X-Tenant": "acme", "Idempotency-Key": "key-" + id,
-		"X-Deadline-Ms": strconv.FormatInt(deadline.Milliseconds(), 10), "X-Addressing": "dest=" + strconv.Itoa(dest)} {
-		r.Header.Set(k, v)
-	}
-	return r
-}
-
-// Do hands a request in and returns the answer, its body read.
-func Do(t testing.TB, r *http.Request) (*http.Response, string) {
-	t.Helper()
-	resp, err := http.DefaultClient.Do(r)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return resp, string(body)
-}
-
-// HandIn hands a message in and wants it taken on.
-func HandIn(t testing.TB, addr, id, class string, dest int, deadline time.Duration) {
-	t.Helper()
-	if resp, body := Do(t, Message(t, addr, id, class, dest, deadline, "body of "+id)); resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("%s is answered %s: %s", id, resp.Status, body)
-	}
-}
