--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -23,7 +23,7 @@
 )
 
 // Agent is discovery on one sender's machine. While it is silent it answers no request for the list and learns
-// nothing, and requests that are open meanwhile stay unanswered when it answers again. It takes notices at any time.
+// nothing, and requests that are open meanwhile stay unanswered when it answers again. It accepts notices at any time.
 type Agent struct {
 	history *History
 	sender  int
@@ -62,7 +62,7 @@
 	addr     string
 	listener net.Listener
 	server   *http.Server
-	served   chan struct{} // closed when the server takes no more connections
+	served   chan struct{} // closed when the server has stopped accepting connections
 
 	mu     sync.Mutex
 	linger *time.Timer // closes the open connections; nil before the address is retired
@@ -116,7 +116,7 @@
 	return List{Version: a.version, Full: true, Servers: append([]Server(nil), a.servers...)}
 }
 
-// Change gives the agent a line, at once or when it is no longer silent.
+// Change adds or replaces a line of the list, at once or when the agent is no longer silent.
 func (a *Agent) Change(s Server) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -156,8 +156,8 @@
 	a.wake = make(chan struct{})
 }
 
-// SetSilent makes the agent answer nothing, or lets it answer again with all that it has missed. Requests that are open
-// when it falls silent, or come while it is, are lost.
+// SetSilent stops the agent from answering, or makes it answer again with every change that it has missed. Requests
+// that are open when it falls silent, or arrive while it is, are lost.
 func (a *Agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -237,7 +237,7 @@
 	}
 }
 
-// listSince is the whole list, or what has changed after a version. Callers hold the mutex.
+// listSince returns the full list, or the lines that changed after a version. Callers hold the mutex.
 func (a *Agent) listSince(after int, full bool) List {
 	list := List{Version: a.version, Full: full, Servers: []Server{}}
 	for i, s := range a.servers {
@@ -258,7 +258,7 @@
 	_ = json.NewEncoder(w).Encode(list) // fails only if the sender has gone
 }
 
-// handleNotices takes notices, a JSON value each.
+// handleNotices accepts notices, one JSON value each.
 func (a *Agent) handleNotices(w http.ResponseWriter, r *http.Request) {
 	decoder := json.NewDecoder(r.Body)
 	for {
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -27,7 +27,7 @@
 	dialTimeout       = time.Second
 )
 
-// Clients submit messages to one sender, through a proxy, and keep their connections.
+// Clients submit messages to one sender, through a proxy, over persistent connections.
 type Clients struct {
 	history      *History
 	rules        Rules
@@ -45,7 +45,7 @@
 	lastMessage int
 }
 
-// clientConn is a connection that a client keeps.
+// clientConn is a persistent connection of a client.
 type clientConn struct {
 	net.Conn
 	reader  *bufio.Reader
@@ -84,7 +84,7 @@
 	}
 }
 
-// Close waits for all exchanges and closes the connections that are kept.
+// Close waits for all exchanges and closes the idle connections.
 func (c *Clients) Close() {
 	c.exchanges.Wait()
 	c.closeIdle()
@@ -178,9 +178,9 @@
 	retryAfter time.Duration
 }
 
-var errNotWritten = errors.New("the request could not be written whole")
+var errNotWritten = errors.New("the request could not be written completely")
 
-// exchange submits a message once. A request that crosses with the close of a kept connection is written once more.
+// exchange submits a message once. A request that races with the close of an idle connection is written once more.
 func (c *Clients) exchange(s Submission) answer {
 	for try := 0; ; try++ {
 		conn, err := c.acquire(try > 0)
@@ -223,7 +223,7 @@
 	return c.accepted
 }
 
-// noteAnswer lets those who wait for it know that a message was accepted.
+// noteAnswer wakes those who wait for an accepted message.
 func (c *Clients) noteAnswer(status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -279,7 +279,7 @@
 	return a, nil
 }
 
-// acquire takes an idle connection, or opens one; it opens one in any case if the connection has to be fresh.
+// acquire returns an idle connection, or opens one; it always opens one if the connection has to be fresh.
 func (c *Clients) acquire(fresh bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
@@ -296,7 +296,7 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), isFresh: true}, nil
 }
 
-// release keeps a connection for the next message.
+// release makes a connection available for the next message.
 func (c *Clients) release(conn *clientConn) {
 	conn.isFresh = false
 	c.mu.Lock()
--- a/internal/emulator/connection_flood.go
+++ b/internal/emulator/connection_flood.go
@@ -16,7 +16,7 @@
 	floodHalfRequestOneIn = 4                      // connections stop in the middle of a request
 )
 
-// flood keeps floodSize connections to the sender's own address until a time.
+// flood holds floodSize connections to the sender's own address open until a time.
 func (c *Clients) flood(addr string, until time.Duration) {
 	var connections sync.WaitGroup
 	for n := range floodSize {
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -12,7 +12,7 @@
 const (
 	endpointsPerDestination = 2
 	capacityMultiple        = 2.0 // a destination's capacity over its mean traffic
-	batchDestinationEvery   = 3   // every such destination takes several messages in one call
+	batchDestinationEvery   = 3   // every third destination accepts batches
 	clientPort              = "8080"
 	adminPort               = "9090"
 	zone                    = "a"
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// addEndpoint starts an endpoint with its links and gives its line of each sender's list.
+// addEndpoint starts an endpoint with its links and returns its line of each sender's list.
 func (r *runner) addEndpoint(id string, destination int) ([]Server, error) {
 	e, err := NewEndpoint(r.host, r.history, EndpointSpec{
 		ID:          id,
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -20,11 +20,11 @@
 // The behaviours of an endpoint.
 const (
 	Healthy      Behaviour = iota
-	Hanging                // takes calls and answers none
+	Hanging                // accepts calls and answers none
 	Failing                // answers 500 at once
 	Unavailable            // answers 503 at once
 	RateLimiting           // answers 429 with a wait
-	Resetting              // resets the connection once it has a whole call
+	Resetting              // resets the connection once it has read a complete call
 	Malformed              // sends answers that cannot be parsed, or never end
 )
 
@@ -201,7 +201,7 @@
 	}
 }
 
-// write ends a call with an answer and reports whether it could be written. What was written may be read at once, so
+// write ends a call with a text and reports whether it could be written. What was written may be read at once, so
 // the end is recorded first.
 func (e *Endpoint) write(conn net.Conn, call *endpointCall, end AttemptEnd, text string) bool {
 	e.end(call, end)
@@ -209,6 +209,11 @@
 	return err == nil
 }
 
+// reply ends a call with an answer of the end's status and reports whether it could be written.
+func (e *Endpoint) reply(conn net.Conn, call *endpointCall, end AttemptEnd, body string, headers ...string) bool {
+	return e.write(conn, call, end, answerText(end.Status, body, headers...))
+}
+
 // answer behaves as the endpoint has to at the time and reports whether the connection goes on.
 func (e *Endpoint) answer(conn net.Conn, r *bufio.Reader, call *endpointCall) bool {
 	lost := AttemptEnd{MayHaveRun: true}
@@ -218,12 +223,12 @@
 		e.end(call, lost)
 		return false
 	case Failing:
-		return e.write(conn, call, AttemptEnd{Status: 500, MayHaveRun: true}, answerText(500, ""))
+		return e.reply(conn, call, AttemptEnd{Status: http.StatusInternalServerError, MayHaveRun: true}, "")
 	case Unavailable:
-		return e.write(conn, call, AttemptEnd{Status: 503}, answerText(503, ""))
+		return e.reply(conn, call, AttemptEnd{Status: http.StatusServiceUnavailable}, "")
 	case RateLimiting:
-		end := AttemptEnd{Status: 429, RetryAfter: rateLimitWait}
-		return e.write(conn, call, end, answerText(429, "", rateLimitHeader))
+		end := AttemptEnd{Status: http.StatusTooManyRequests, RetryAfter: rateLimitWait}
+		return e.reply(conn, call, end, "", rateLimitHeader)
 	case Resetting:
 		e.end(call, lost)
 		reset(conn)
@@ -241,7 +246,7 @@
 	if call.isBatch {
 		body = batchAnswer(call.entries)
 	}
-	return e.write(conn, call, AttemptEnd{Status: 200, MayHaveRun: true}, answerText(200, body))
+	return e.reply(conn, call, AttemptEnd{Status: http.StatusOK, MayHaveRun: true}, body)
 }
 
 // answerMalformed sends one of several answers that break the protocol. The call may have run whichever it is.
--- a/internal/emulator/incarnations.go
+++ b/internal/emulator/incarnations.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The queries of this file tell what a sender's processes were doing at a time. Their callers hold the history's mutex.
+// The queries of this file answer what a sender's processes were doing at a time. Callers hold the history's mutex.
 
 const (
 	// clockSkew is how late an event may be recorded: the end of an abandoned call's connection, or a process's phase.
@@ -45,12 +45,12 @@
 	return spans
 }
 
-// acceptsConnections reports whether a sender was ready at a time and had not been told to end.
+// acceptsConnections reports whether a sender was ready at a time and had not been sent SIGTERM.
 func (h *History) acceptsConnections(sender int, at time.Duration) bool {
 	return h.inPhase(sender, at, Ready, Terminated, Killed, Exited)
 }
 
-// isServing reports whether a sender had a process at a time that had been ready, told to end or not.
+// isServing reports whether a sender had a process at a time that had been ready, terminating or not.
 func (h *History) isServing(sender int, at time.Duration) bool {
 	return h.inPhase(sender, at, Ready, Killed, Exited)
 }
--- a/internal/emulator/injection.go
+++ b/internal/emulator/injection.go
@@ -155,7 +155,7 @@
 	r.noteError(r.processes[sender].Upgrade())
 }
 
-// reloadInSeries gives a sender one to four new configurations in a row, most of which move discovery.
+// reloadInSeries reloads a sender's configuration one to four times in a row; most reloads move discovery.
 func (r *runner) reloadInSeries(sender int, random *rand.Rand) {
 	for range 1 + random.IntN(maxReloads) {
 		r.noteError(r.reload(sender, random.IntN(4) > 0))
@@ -163,7 +163,7 @@
 	}
 }
 
-// reload gives a sender a new configuration, unless it is just starting. Where that moves discovery, the old address
+// reload reloads a sender's configuration, unless it is just starting. Where that moves discovery, the old address
 // accepts no new connections any more and ends a moment later.
 func (r *runner) reload(sender int, movesDiscovery bool) error {
 	if !r.startLocks[sender].TryLock() {
--- a/internal/emulator/invariants_client.go
+++ b/internal/emulator/invariants_client.go
@@ -29,8 +29,8 @@
 }
 
 // checkAnswerTime: a request has its answer, or the end of its connection, while its client waits, if the sender has a
-// ready process, also one that has been told to end, and its machine lets it. A new connection may find nobody once the
-// process has been told.
+// ready process, also one that is terminating, and its machine is not impaired. Nobody need accept a new connection
+// once the process is terminating.
 func checkAnswerTime(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for id, s := range h.submissions {
@@ -58,13 +58,13 @@
 		if late && h.acceptsConnections(p.Sender, p.OpenedAt) &&
 			h.acceptsConnections(p.Sender, p.OpenedAt+badPeerReleaseTime) {
 			found = append(found, violationf(ruleBadPeer, p.OpenedAt,
-				"sender %d keeps a peer (%s) for %v", p.Sender, p.Kind, p.ReleasedAt-p.OpenedAt))
+				"sender %d does not release a peer (%s) for %v", p.Sender, p.Kind, p.ReleasedAt-p.OpenedAt))
 		}
 	}
 	return found
 }
 
-// checkIncarnations: no process ends unless it is told to, and each is ready in time.
+// checkIncarnations: no process exits unexpectedly, and each is ready in time.
 func checkIncarnations(h *History, _ RunFacts) []Violation {
 	var found []Violation
 	started := map[int]time.Duration{}
--- a/internal/emulator/invariants_endpoint.go
+++ b/internal/emulator/invariants_endpoint.go
@@ -82,8 +82,8 @@
 	return found
 }
 
-// callsAround gives the calls that a destination gets while it warms up after an outage, in order of time, and the
-// senders that had seen a call fail in it.
+// callsAround returns the calls that reach a destination while it warms up after an outage, in order of time, and the
+// senders that had seen a call fail in the outage.
 func (h *History) callsAround(o Outage, warmUp time.Duration) (arrivals []arrival, aware map[int]bool) {
 	aware = map[int]bool{}
 	seen := map[string]bool{}
@@ -93,7 +93,7 @@
 			continue
 		}
 		seen[call] = true
-		if a.At >= o.From && a.At < o.Until && a.Status != 200 {
+		if a.At >= o.From && a.At < o.Until && !a.isDelivered() {
 			aware[a.Sender] = true
 		}
 		if a.At >= o.Until && a.At < o.Until+warmUp {
--- a/internal/emulator/invariants_message.go
+++ b/internal/emulator/invariants_message.go
@@ -22,7 +22,7 @@
 	return groups
 }
 
-// messageKey is the key of the message that an attempt is for; a message keeps it when it is submitted again.
+// messageKey is the key of the message that an attempt is for. It stays when the message is submitted again.
 func (h *History) messageKey(a *Attempt) string {
 	if s := h.submissions[a.ID]; s != nil {
 		return s.Key
@@ -42,7 +42,7 @@
 		note(n.ID, n.At)
 	}
 	for _, a := range h.attempts {
-		if a.Status == 200 {
+		if a.isDelivered() {
 			note(a.ID, a.EndedAt)
 		}
 	}
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -24,7 +24,7 @@
 	return h
 }
 
-// completedCall is a whole call for the message.
+// completedCall is a call for the message that has ended.
 func completedCall(from, until time.Duration, status int, mayHaveRun bool) *Attempt {
 	return &Attempt{
 		ID:         "m",
@@ -79,7 +79,7 @@
 		recordClose(h, 2*second)
 		recordRestart(h, 2*second, 3*second)
 	}},
-	"told to end, and no answer": {edit: func(h *History) {
+	"terminating, and no answer": {edit: func(h *History) {
 		recordDelivery(h)
 		h.submissions["m"].ClientTimedOut = true
 		h.incarnationEvents = append(h.incarnationEvents, IncarnationEvent{Phase: Terminated, At: second / 2})
@@ -89,7 +89,7 @@
 		recordClose(h, 2*second)
 		h.submissions["m"].FreshConnection = true
 	}, facts: RunFacts{Flooded: always}},
-	"a kept connection amid a flood": {edit: func(h *History) {
+	"a persistent connection amid a flood": {edit: func(h *History) {
 		recordDelivery(h)
 		h.submissions["m"].ClientTimedOut = true
 	}, facts: RunFacts{Flooded: always}, want: ruleSlow},
@@ -256,7 +256,7 @@
 	h.attempts = append(h.attempts, a)
 }
 
-// recordBurst lets a sender that has seen an outage send forty messages at once.
+// recordBurst records that a sender that has seen an outage sends forty messages at once.
 func recordBurst(h *History, at time.Duration) {
 	for n := range 41 {
 		id := "h" + string(rune('A'+n))
--- a/internal/emulator/outages_test.go
+++ b/internal/emulator/outages_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// playDrainsWhilePollingFails plays three drains, each in the middle of one fault that keeps list updates from the
-// senders and another one that keeps them from polling.
+// playDrainsWhilePollingFails plays three drains, each in the middle of one fault that loses list updates and
+// another one that prevents polling.
 func playDrainsWhilePollingFails(t *testing.T, losesUpdates, preventsPolling FaultKind) {
 	t.Helper()
 	const pollingFailsFor = 1900 * time.Millisecond
@@ -78,8 +78,8 @@
 	playRun(t, Options{Seed: 28, LoadDuration: drain, Plan: plan})
 }
 
-// A sender that cannot poll its agent, as its machine lets it open no socket for a moment, does not know whether the
-// list has changed: it calls nobody by a list of which it is not sure.
+// A sender that cannot poll its agent, as its machine cannot open a socket for a moment, does not know whether the
+// list has changed: it calls nobody by a list that may be stale.
 func TestDrainsAreHonouredWhileTheAgentCannotBePolled(t *testing.T) {
 	t.Parallel()
 	for name, kinds := range map[string]struct{ losesUpdates, preventsPolling FaultKind }{
@@ -100,7 +100,7 @@
 	playDrainsWhilePollingFails(t, DiscoverySilent, DescriptorsExhausted)
 }
 
-// A sender whose machine lets it open no socket for a moment, just as a new configuration moves discovery, still ends
+// A sender whose machine cannot open a socket for a moment, just as a new configuration moves discovery, still ends
 // its messages in time: connections at the old address stay open for 1.5 s.
 func TestNoticesArriveWhileTheNewAddressCannotBeReached(t *testing.T) {
 	t.Parallel()
@@ -121,8 +121,7 @@
 	playRun(t, Options{Seed: 29, LoadDuration: 12 * time.Second, Plan: plan})
 }
 
-// A process that takes over while its machine lets it open no socket for a moment ends its messages in time all the
-// same.
+// A process that takes over while its machine cannot open a socket for a moment still ends its messages in time.
 func TestNoticesArriveAfterAnUpgradeWhileNoSocketCanBeOpened(t *testing.T) {
 	t.Parallel()
 	var plan []Fault
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -69,7 +69,7 @@
 type instance struct {
 	running      *exec.Cmd
 	exited       chan struct{}
-	exitExpected *atomic.Bool // it was told to end
+	exitExpected *atomic.Bool // it was asked to exit or killed
 	adminAddr    string
 	startedAt    time.Time
 	readyAt      time.Time // zero before it is ready
@@ -271,10 +271,10 @@
 	}
 }
 
-// signal sends a signal to a process. One that has just ended cannot get it, which its exit tells.
+// signal sends a signal to a process. An error means that the process has just exited, which awaitExit records.
 func (i *instance) signal(s syscall.Signal) { _ = i.running.Process.Signal(s) }
 
-// expectExit records that the process is told to end, and gives what is closed when it has.
+// expectExit records that the process is about to be signalled, and returns what is closed when it has exited.
 func (p *Process) expectExit(phase IncarnationPhase) (exited <-chan struct{}) {
 	p.mu.Lock()
 	p.exitExpected.Store(true)
@@ -292,7 +292,7 @@
 }
 
 // Terminate ends the process by SIGTERM, and by SIGKILL if it is still there at the earliest time for that. It returns
-// at that time in any case. The error tells that the process did not end by itself.
+// at that time in any case. The error reports that the process did not exit by itself.
 func (p *Process) Terminate() error {
 	kill := time.After(killAfter)
 	exited := p.expectExit(Terminated)
@@ -320,7 +320,7 @@
 	return i.running != nil && !i.readyAt.IsZero() && time.Since(i.startedAt) > reloadHoldOff
 }
 
-// Reload gives the process a configuration with an address of discovery, which may be the one that it has.
+// Reload writes a configuration with an address of discovery, which may be unchanged, and sends SIGHUP.
 func (p *Process) Reload(discoveryAddr string) error {
 	p.mu.Lock()
 	p.discoveryAddr = discoveryAddr
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -81,7 +81,7 @@
 	p.relaying.Wait()
 }
 
-// track lets Close end a connection; false if the proxy is closed already.
+// track registers a connection for Close; it reports false if the proxy is closed already.
 func (p *Proxy) track(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,8 +161,8 @@
 	directions.Wait()
 }
 
-// setUp applies the link's fault to a new connection. It gives what was received on a connection that comes up late
-// and how long ago that began; connected is false for a connection that never comes up.
+// setUp applies the link's fault to a new connection. It returns what was received on a connection that is set up
+// late and how long ago that began; connected is false for a connection that is never set up.
 func (p *Proxy) setUp(near net.Conn) (early []byte, delay time.Duration, connected bool) {
 	switch p.spec.Fault() {
 	case LinkConnectsLate:
@@ -174,8 +174,9 @@
 	return nil, 0, true
 }
 
-// delayConnect receives on a connection for a time without passing anything on, and gives what came with the time since
-// its first byte. If the other side ends the connection meanwhile, it has never come up, and nothing has been sent.
+// delayConnect receives on a connection for a time without passing anything on, and returns what it received and the
+// time since the first byte. If the other side ends the connection meanwhile, it was never set up, and nothing has been
+// sent.
 func delayConnect(conn net.Conn, lasting time.Duration) (early []byte, delay time.Duration, connected bool) {
 	limitRead(conn, lasting)
 	defer unlimitRead(conn)
--- a/internal/emulator/records.go
+++ b/internal/emulator/records.go
@@ -1,6 +1,9 @@
 package emulator
 
-import "time"
+import (
+	"net/http"
+	"time"
+)
 
 // Class is a message's class by what a repeat of it does.
 type Class int
@@ -17,7 +20,7 @@
 
 func (c Class) String() string { return classNames[c] }
 
-// Submission is one request by which a client hands in a message. Times count from the run's start.
+// Submission is one request by which a client submits a message. Times count from the run's start.
 type Submission struct {
 	ID               string
 	Key              string // of the message: it stays when the message is submitted again
@@ -35,10 +38,14 @@
 }
 
 // isAccepted reports whether the sender took responsibility for the message.
-func (s *Submission) isAccepted() bool { return s.Status == 200 || s.Status == 202 }
+func (s *Submission) isAccepted() bool {
+	return s.Status == http.StatusOK || s.Status == http.StatusAccepted
+}
 
 // isRejected reports whether the sender refused the message.
-func (s *Submission) isRejected() bool { return s.Status == 429 || s.Status == 503 }
+func (s *Submission) isRejected() bool {
+	return s.Status == http.StatusTooManyRequests || s.Status == http.StatusServiceUnavailable
+}
 
 // Attempt is one message of one call, as an endpoint received it.
 type Attempt struct {
@@ -59,6 +66,9 @@
 // sentAt is when the sender began to write the call.
 func (a *Attempt) sentAt() time.Duration { return a.At - a.ConnectDelay }
 
+// isDelivered reports whether the endpoint confirmed the message.
+func (a *Attempt) isDelivered() bool { return a.Status == http.StatusOK }
+
 // mayTakeEffect reports whether the endpoint did the work of a call, or may have done it, or may yet do it.
 func (a *Attempt) mayTakeEffect() bool { return a.MayHaveRun || a.EndedAt == 0 }
 
@@ -70,7 +80,7 @@
 	At      time.Duration
 }
 
-// IncarnationPhase is a step in the life of one process of a sender.
+// IncarnationPhase is a phase of one incarnation of a sender, that is of one of its processes.
 type IncarnationPhase string
 
 // The phases of a process.
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -215,12 +215,12 @@
 	}
 }
 
-// recordLatencies records the first delivery of each message and gives their number.
+// recordLatencies records the latency of each message's first delivery and returns the number of messages.
 func (report *Report) recordLatencies(h *History) int {
 	delivered := map[string]bool{}
 	for _, a := range h.attempts {
 		s := h.submissions[a.ID]
-		if a.Status != 200 || s == nil || delivered[a.ID] {
+		if !a.isDelivered() || s == nil || delivered[a.ID] {
 			continue
 		}
 		delivered[a.ID] = true
--- a/internal/emulator/runner.go
+++ b/internal/emulator/runner.go
@@ -82,7 +82,7 @@
 	return r
 }
 
-// play lets the load and the faults run, and waits until their effects have settled.
+// play runs the load and the faults, and waits until their effects have settled.
 func (r *runner) play() {
 	r.sleepUntil(0)
 	load, endLoad := context.WithCancel(context.Background())
--- a/internal/emulator/shim.go
+++ b/internal/emulator/shim.go
@@ -73,7 +73,7 @@
 	return now.Round(0) // without Go's monotonic reading
 }
 
-// openError is what opening a file for reading fails with, nil if it does not.
+// openError is the error of opening a file for reading, nil if it succeeds.
 func (s shimSchedule) openError(path string) error {
 	if s.active(ShimRead) {
 		return &os.PathError{Op: "open", Path: path, Err: syscall.ENFILE}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// writeError is what changes to the state directory fail with, nil if they do not.
+// writeError is the error of changes to the state directory, nil if they succeed.
 func (s shimSchedule) writeError(op, path string) error {
 	var errno error
 	switch {
--- a/internal/sendertest/platform.go
+++ b/internal/sendertest/platform.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// handleNotices takes notices, a JSON value each.
+// handleNotices accepts notices, one JSON value each.
 func (p *Platform) handleNotices(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	deaf := p.deaf
