--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -80,7 +80,7 @@
 	}
 	moves := d.base != ""
 	d.base = "http://" + addr
-	d.reserved.lead(addr)
+	d.reserved.setAddress(addr)
 	if moves {
 		d.bindingAt = time.Now().Add(movedBy)
 		d.metrics.CountReason(metrics.ReasonDiscovery, ReasonMoved)
@@ -163,11 +163,15 @@
 // SkipInitialDelay makes the first call go out at once: a single process has been replaced.
 func (d *Client) SkipInitialDelay() { d.initialDelay = 0 }
 
+// StaleFunc is called when the endpoint list becomes stale, and when it is fresh again. Calls come from several
+// goroutines.
+type StaleFunc func(stale bool)
+
 // IsListStale reports whether the list is stale, see endpointListLease.
 func (d *Client) IsListStale() bool { return d.lease.isStale() }
 
 // OnStaleChange makes notify hear when the list becomes stale, and when it is fresh again. It is called before Follow.
-func (d *Client) OnStaleChange(notify func(stale bool)) { d.lease.changed = notify }
+func (d *Client) OnStaleChange(notify StaleFunc) { d.lease.onChange = notify }
 
 // Close closes the connection that is kept for notices.
 func (d *Client) Close() { d.reserved.close() }
@@ -187,7 +191,7 @@
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		if info.Err == nil {
-			d.lease.called()
+			d.lease.noteCall()
 		}
 	}})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -196,7 +200,7 @@
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		d.lease.failed(err)
+		d.lease.noteFailure(err)
 		return t.Update, err
 	}
 	defer resp.Body.Close()
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -10,75 +10,78 @@
 )
 
 const (
-	// askedFor is how old the last call for the list may be before the list is stale, if no further one can be made. With the
-	// time that it takes to find that out, and a hold-up of 0.15 s, a drain's grace of 0.5 s covers it.
-	askedFor = 200 * time.Millisecond
-	// staleAnswer is when the agent is taken to be silent that has not answered the call that ends staleness. An answer ends it
-	// at once; until then there may be one on its way that a busy machine holds up.
-	staleAnswer = 300 * time.Millisecond
-	// staleMost bounds staleness: a machine that lets no call be made for longer than a moment would stop the sender.
-	staleMost = 3 * time.Second
+	// leaseDuration is how old the last call for the list may be before the list is stale, if no further call can be
+	// made. With the time that it takes to find that out, and a process that is paused for 0.15 s, it fits in a
+	// drain's grace of 0.5 s.
+	leaseDuration = 200 * time.Millisecond
+	// renewalTimeout is how long the call that ends staleness may go unanswered before the agent is taken to be
+	// silent. An answer ends staleness at once; until then one may be on its way that a busy machine delays.
+	renewalTimeout = 300 * time.Millisecond
+	// maxStaleTime bounds staleness: otherwise a machine that lets no call be made for long would stop the sender.
+	maxStaleTime = 3 * time.Second
 )
 
-// freshness is a lease on the endpoint list where lists are pushed. Whoever has just asked its agent holds a list that is fresh,
-// whether the agent answers or is silent, as a silent one tells nobody anything. Who cannot ask, for want of something on
-// this machine, does not know: the list is stale then, and nobody may be called by it. It is safe for concurrent use.
+// endpointListLease is the sender's lease on the endpoint list where lists are pushed. A sender that has just called
+// its agent holds a fresh list, whether the agent answers or is silent, as a silent one tells no sender anything. A
+// sender that cannot make a call, for want of a resource of this machine, does not know what has changed: its list is
+// stale, and it may call no endpoint by it. The lease is safe for concurrent use.
 type endpointListLease struct {
-	changed func(stale bool) // called at each change, with no lock held
+	onChange StaleFunc // nil for none; called at each change, without the lock
 
-	mu      sync.Mutex
-	asked   time.Time // when a call was last made
-	failing time.Time // since when none can be made, the zero time if one can
-	stale   bool
+	mu           sync.Mutex
+	lastCallAt   time.Time // when a call was last made
+	failingSince time.Time // since when no call can be made, the zero time if one can
+	stale        bool
 }
 
-// called books that a call has been written, or that nobody listened for it: in either case the agent has been asked.
-func (f *endpointListLease) called() {
-	f.mu.Lock()
-	f.asked, f.failing = time.Now(), time.Time{}
-	stale := f.stale
-	f.mu.Unlock()
+// noteCall records that the agent has been called: a call was written, or nobody listened for it.
+func (l *endpointListLease) noteCall() {
+	l.mu.Lock()
+	l.lastCallAt, l.failingSince = time.Now(), time.Time{}
+	stale := l.stale
+	l.mu.Unlock()
 	if stale {
-		time.AfterFunc(staleAnswer, f.renew)
+		time.AfterFunc(renewalTimeout, l.renew)
 	}
 }
 
 // renew ends staleness, unless calls fail again: the agent has answered, or is silent.
-func (f *endpointListLease) renew() {
-	f.set(func() bool { return f.stale && !f.failing.IsZero() })
+func (l *endpointListLease) renew() {
+	l.update(func() bool { return l.stale && !l.failingSince.IsZero() })
 }
 
 // isStale reports whether the list is stale.
-func (f *endpointListLease) isStale() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.stale
+func (l *endpointListLease) isStale() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.stale
 }
 
-// failed books how a call ended that may not have been made.
-func (f *endpointListLease) failed(err error) {
+// noteFailure records why a call failed. A refused connection counts as a call that was made. A transient error of
+// this machine means that no call can be made, and the list becomes stale when the lease has run out.
+func (l *endpointListLease) noteFailure(err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		f.called()
+		l.noteCall()
 	case retry.IsTransient(err):
-		f.set(func() bool {
+		l.update(func() bool {
 			now := time.Now()
-			if f.failing.IsZero() {
-				f.failing = now
+			if l.failingSince.IsZero() {
+				l.failingSince = now
 			}
-			return now.Sub(f.asked) > askedFor && now.Sub(f.failing) < staleMost
+			return now.Sub(l.lastCallAt) > leaseDuration && now.Sub(l.failingSince) < maxStaleTime
 		})
 	}
 }
 
-// set makes the list stale or not as rule says, which is called with the lock held.
-func (f *endpointListLease) set(rule func() bool) {
-	f.mu.Lock()
-	was := f.stale
-	f.stale = rule()
-	now := f.stale
-	f.mu.Unlock()
-	if now != was && f.changed != nil {
-		f.changed(now)
+// update makes the list stale or fresh as isStale decides, which is called with the lock held.
+func (l *endpointListLease) update(isStale func() bool) {
+	l.mu.Lock()
+	before := l.stale
+	l.stale = isStale()
+	after := l.stale
+	l.mu.Unlock()
+	if after != before && l.onChange != nil {
+		l.onChange(after)
 	}
 }
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -81,7 +81,7 @@
 		d.notifier.CloseIdleConnections()
 		return false
 	}
-	previous := d.reserved.previousAddress()
+	previous := d.reserved.lastAddress()
 	return previous != "" && d.post(ctx, "http://"+previous, lines, noticeFirst) == nil
 }
 
--- a/internal/discovery/reservedconn.go
+++ b/internal/discovery/reservedconn.go
@@ -9,121 +9,135 @@
 	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
-// spareDialer opens connections and keeps one ready that nobody uses yet: what is due within 0.3 s cannot wait until a
-// machine that is short of something lets a socket be opened again. After a move the one to the previous address is kept, too,
-// until that closes it. It is safe for concurrent use.
+const (
+	reserveDialTimeout    = time.Second           // bounds one attempt to open the reserved connection
+	initialReserveBackoff = 10 * time.Millisecond // before the next attempt; doubles
+	maxReserveBackoff     = 100 * time.Millisecond
+)
+
+// dialFunc opens a connection, as net.Dialer.DialContext does.
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+
+// reservedConnection opens connections and keeps an unused one open in reserve: a notice that is due within 0.3 s
+// cannot wait until a machine that is short of a resource lets a socket be opened again. After a move the connection
+// to the previous address is kept as well, until the platform closes it. It is safe for concurrent use.
 type reservedConnection struct {
-	dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	dial dialFunc
 
-	mu           sync.Mutex
-	spare        net.Conn // nil for none
-	addr         string   // where it leads, or has to
-	previous     net.Conn // to the address before the last move, nil for none
-	previousAddr string
-	filling      bool // a spare connection is being opened
-	closed       bool // none is wanted any more
+	mu              sync.Mutex
+	address         string   // host and port to which a connection is reserved
+	conn            net.Conn // the reserved connection to address, nil for none
+	previousAddress string   // before the last move, "" if no connection to it stood then
+	previousConn    net.Conn // to previousAddress, nil for none
+	isOpening       bool     // a refill is in progress
+	isClosed        bool     // no connection is wanted any more
 }
 
-const (
-	spareTime      = time.Second           // bounds one try to open the spare connection
-	spareRestFirst = 10 * time.Millisecond // before the next try; doubles
-	spareRestMost  = 100 * time.Millisecond
-)
-
-// DialContext gives a connection that is kept if it still stands, or opens one.
-func (d *reservedConnection) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
-	if c := d.take(addr); c != nil {
-		go d.refill()
-		return c, nil
+// DialContext returns a reserved connection to address if one is still usable, or opens a new one.
+func (r *reservedConnection) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	if conn := r.take(address); conn != nil {
+		go r.refill()
+		return conn, nil
 	}
-	return d.dial(ctx, network, addr)
+	return r.dial(ctx, network, address)
 }
 
-// take takes the connection that is kept to addr, nil if there is none that stands.
-func (d *reservedConnection) take(addr string) (c net.Conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	switch addr {
-	case d.addr:
-		c, d.spare = d.spare, nil
-	case d.previousAddr:
-		c, d.previous = d.previous, nil
+// take removes the reserved connection to address and returns it. It returns nil if none is usable.
+func (r *reservedConnection) take(address string) (conn net.Conn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch address {
+	case r.address:
+		conn, r.conn = r.conn, nil
+	case r.previousAddress:
+		conn, r.previousConn = r.previousConn, nil
 	}
-	if c != nil && !netconn.IsQuiet(c) {
-		c.Close()
+	if conn != nil && !netconn.IsQuiet(conn) {
+		_ = conn.Close() // the platform has ended it
 		return nil
 	}
-	return c
+	return conn
 }
 
-// lead makes addr the address to which a connection is kept. It opens none: see refill.
-func (d *reservedConnection) lead(addr string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.addr == addr {
+// setAddress makes address the one to which a connection is reserved. It opens none, see refill.
+func (r *reservedConnection) setAddress(address string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.address == address {
 		return
 	}
-	if d.spare != nil {
-		if d.previous != nil {
-			d.previous.Close()
+	if r.conn != nil {
+		if r.previousConn != nil {
+			_ = r.previousConn.Close() // nothing was sent on it
 		}
-		d.previous, d.previousAddr, d.spare = d.spare, d.addr, nil
+		r.previousConn, r.previousAddress, r.conn = r.conn, r.address, nil
 	}
-	d.addr = addr
+	r.address = address
 }
 
-// refill sees to it that there is a spare connection that stands, as soon as a socket can be had.
-func (d *reservedConnection) refill() {
-	d.mu.Lock()
-	if d.spare != nil && !netconn.IsQuiet(d.spare) {
-		d.spare.Close()
-		d.spare = nil
+// refill opens the reserved connection if there is no usable one, and retries until a socket can be had. One refill
+// works at a time, another returns at once. Callers start it as a goroutine and do not wait for it: it ends when the
+// connection stands, or within reserveDialTimeout and a pause of close.
+func (r *reservedConnection) refill() {
+	if !r.beginRefill() {
+		return
+	}
+	for backoff := initialReserveBackoff; !r.tryOpen(); backoff = min(2*backoff, maxReserveBackoff) {
+		time.Sleep(backoff)
 	}
-	fills := d.spare == nil && !d.filling && !d.closed
-	d.filling = d.filling || fills
-	d.mu.Unlock()
-	for rest := spareRestFirst; fills && !d.fill(); rest = min(2*rest, spareRestMost) {
-		time.Sleep(rest)
+}
+
+// beginRefill drops a reserved connection that is not usable any more. It reports whether the caller has to open one.
+func (r *reservedConnection) beginRefill() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.conn != nil && !netconn.IsQuiet(r.conn) {
+		_ = r.conn.Close() // the platform has ended it
+		r.conn = nil
 	}
+	isNeeded := r.conn == nil && !r.isOpening && !r.isClosed
+	r.isOpening = r.isOpening || isNeeded
+	return isNeeded
 }
 
-// fill tries once to open the spare connection, and reports whether that is over: it stands, or none is wanted any more.
-func (d *reservedConnection) fill() bool {
-	d.mu.Lock()
-	addr := d.addr
-	d.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), spareTime)
+// tryOpen tries once to open the reserved connection. It reports whether the refill is over: the connection stands,
+// or none is wanted any more.
+func (r *reservedConnection) tryOpen() bool {
+	r.mu.Lock()
+	address := r.address
+	r.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), reserveDialTimeout)
 	defer cancel()
-	c, err := d.dial(ctx, "tcp", addr)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	stands := err == nil && d.addr == addr // else it may have moved meanwhile
+	conn, err := r.dial(ctx, "tcp", address)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	isCurrent := err == nil && r.address == address // the platform may have moved meanwhile
 	switch {
-	case stands && !d.closed:
-		d.spare = c
+	case isCurrent && !r.isClosed:
+		r.conn = conn
 	case err == nil:
-		c.Close()
+		_ = conn.Close() // nothing was sent on it
 	}
-	d.filling = !stands && !d.closed
-	return !d.filling
+	r.isOpening = !isCurrent && !r.isClosed
+	return !r.isOpening
 }
 
-// previousAddress is the address before the last move to which a connection has stood, "" for none.
-func (d *reservedConnection) previousAddress() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.previousAddr
+// lastAddress returns the address before the last move to which a reserved connection stood, "" for none.
+func (r *reservedConnection) lastAddress() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.previousAddress
 }
 
-// close ends the connections that are kept, for good.
-func (d *reservedConnection) close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.closed = true
-	for _, c := range []net.Conn{d.spare, d.previous} {
-		if c != nil {
-			c.Close()
+// close closes the reserved connections. None is opened any more.
+func (r *reservedConnection) close() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.isClosed = true
+	for _, conn := range []net.Conn{r.conn, r.previousConn} {
+		if conn != nil {
+			_ = conn.Close() // nothing was sent on it
 		}
 	}
-	d.spare, d.previous = nil, nil
+	r.conn, r.previousConn = nil, nil
 }
