--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,14 +29,14 @@
 			t.Parallel()
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				select {
-				case <-time.After(answerTime + answerTime/2):
+				case <-time.After(answerTimeout + answerTimeout/2):
 					w.Write([]byte(`{"version":7,"full":true,"servers":[]}`))
 				case <-r.Context().Done():
 				}
 			}))
 			t.Cleanup(s.Close)
 			d := newTestClient(strings.TrimPrefix(s.URL, "http://"), c.senders)
-			list, err := d.list(context.Background(), s.URL, -1, d.patience(-1, 0))
+			list, err := d.watcher.list.fetch(context.Background(), d.watcher.list.query(s.URL, noVersion), d.watcher.timeout(noVersion))
 			if served := err == nil && list.Version == 7; served != c.served {
 				t.Errorf("served %v: %v", served, err)
 			}
@@ -66,7 +66,7 @@
 		st.Receive(t, calls)
 	}
 	// After each refusal a pause of a quarter and then half of all turns, of which at least half is waited.
-	if took, least := time.Since(began), (d.turns/4+d.turns/2)/2; took < least {
+	if took, least := time.Since(began), (d.watcher.queueTime/4+d.watcher.queueTime/2)/2; took < least {
 		t.Errorf("three calls in %v, sooner than %v", took, least)
 	}
 	cancel()
@@ -76,10 +76,10 @@
 // What the agent holds binds a sender from its start on, and what drains may get calls for 500 ms more. Whoever of
 // three hundred asked after 15 s, its turn then, sent by an old list until then. Where senders are few nobody waits.
 func TestSendersAskForTheListBeforeADrainBinds(t *testing.T) {
-	for _, senders := range []int{fewOfUs + 1, 80, 300, 100_000} {
+	for _, senders := range []int{maxUncontendedSenders + 1, 80, 300, 100_000} {
 		spread := map[time.Duration]bool{}
 		for range 100 {
-			first := newTestClient("127.0.0.1:1", senders).initialDelay
+			first := newTestClient("127.0.0.1:1", senders).watcher.initialDelay
 			if first > 200*time.Millisecond {
 				t.Fatalf("one of %d asks after %v", senders, first)
 			}
@@ -89,7 +89,7 @@
 			t.Errorf("%d senders ask at %d times", senders, len(spread))
 		}
 	}
-	if first := newTestClient("127.0.0.1:1", fewOfUs).initialDelay; first != 0 {
+	if first := newTestClient("127.0.0.1:1", maxUncontendedSenders).watcher.initialDelay; first != 0 {
 		t.Errorf("one of few waits for %v", first)
 	}
 }
@@ -99,26 +99,27 @@
 // refusal binds by then. Rests went up to 24 s.
 func TestTimesThatGrowWithTheSendersHaveACeiling(t *testing.T) {
 	d := newTestClient("127.0.0.1:1", 300)
-	for name, needs := range map[string]time.Duration{"pushed": answerTime, "asked for": 2 * answerTime} {
-		d.pace, d.polled = 0, needs > answerTime
+	for name, needs := range map[string]time.Duration{"pushed": answerTimeout, "asked for": 2 * answerTimeout} {
+		d.watcher.rejectionPause, d.watcher.polled = 0, needs > answerTimeout
 		for n := range 10 {
-			if d.slowDown(refusedError("503")); d.pace+needs > bindsBy {
-				t.Errorf("a list that is %s: a rest of %v after %d refusals", name, d.pace, n+1)
+			if d.watcher.lengthenRejectionPause(&RejectedError{Status: "503"}); d.watcher.rejectionPause+needs > changeBindsAfter {
+				t.Errorf("a list that is %s: a rest of %v after %d refusals", name, d.watcher.rejectionPause, n+1)
 			}
 		}
 	}
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(s.Close)
 	began := time.Now()
-	if _, err := d.list(context.Background(), s.URL, 7, d.patience(7, 0)); err == nil {
+	if _, err := d.watcher.list.fetch(context.Background(), d.watcher.list.query(s.URL, 7), d.watcher.timeout(7)); err == nil {
 		t.Error("an answer from an agent that is silent")
 	}
-	if took := time.Since(began); took > d.watchWait()+watchLate+time.Second {
+	if took := time.Since(began); took > d.watcher.list.longPoll+maxLongPollLateness+time.Second {
 		t.Errorf("%v waited for an agent that is silent", took)
 	}
 }
 
-// scripted is an agent whose calls for the list are answered by one script after another, the last one for all further ones.
+// scripted is an agent whose calls for the list are answered by one script after another, the last one for all
+// further ones.
 func scripted(t *testing.T, scripts ...http.HandlerFunc) (addr string, calls *atomic.Int32) {
 	t.Helper()
 	calls = new(atomic.Int32)
@@ -156,8 +157,9 @@
 	return told
 }
 
-// A watch that falls silent is given up and opened anew while there is still time to heed what it misses, whenever that
-// happens and even where the next one is as silent: 6 s after the silence began, or 4 s after a new address was told.
+// A watch that falls silent is given up and opened anew while there is still time to heed what it misses, whenever
+// that happens and even where the next one is as silent: 6 s after the silence began, or 4 s after a new address was
+// told.
 func TestASilentWatchIsOpenedAnewInTime(t *testing.T) {
 	t.Parallel()
 	old, now := lists(`{"version":7,"full":false,"servers":[]}`), lists(`{"version":8,"full":true,"servers":[]}`)
@@ -177,7 +179,7 @@
 				began := time.Now()
 				for told := newsOf(t, d, 7); st.Receive(t, told).Version < 8; {
 				}
-				if took := time.Since(began); took > bindsBy+400*time.Millisecond { // a drain leaves 500 ms after that
+				if took := time.Since(began); took > changeBindsAfter+400*time.Millisecond { // a drain leaves 500 ms after that
 					t.Errorf("it took %v", took)
 				}
 			})
@@ -201,14 +203,15 @@
 			d.Move(next)
 			for st.Receive(t, told).Version < 8 {
 			}
-			if took := time.Since(began); took > movedBy+400*time.Millisecond {
+			if took := time.Since(began); took > changeBindsAfterMove+400*time.Millisecond {
 				t.Errorf("it took %v", took)
 			}
 		})
 	}
 }
 
-// An answer that is no list, or an older one than is held, changes nothing: it would bring back what has drained since.
+// An answer that is no list, or an older one than is held, changes nothing: it would bring back what has drained
+// since.
 func TestListsThatCannotBeUsedChangeNothing(t *testing.T) {
 	t.Parallel()
 	good := "{\r\n  \"version\" : 9,\r\n\t\"full\" : true,\r\n  \"servers\" : [ ]\r\n}\r\n" // indented
@@ -237,8 +240,8 @@
 	}
 }
 
-// Refusals make a sender rest before it asks again, never within a watch: what changes between two calls counts as told, and a
-// watch goes on only if each call comes within 200 ms of the answer before.
+// Refusals make a sender rest before it asks again, never within a watch: what changes between two calls counts as
+// told, and a watch goes on only if each call comes within 200 ms of the answer before.
 func TestAWatchGoesOnAtOnceAlsoAfterRefusals(t *testing.T) {
 	t.Parallel()
 	var answered time.Time
@@ -263,8 +266,8 @@
 	}
 }
 
-// An agent that is silent answers no call of that time when it speaks again, and what it has by then counts as told at once.
-// A drain leaves 500 ms, of which a sender may be held up for 150 ms: the rest is the time to hear of it.
+// An agent that is silent answers no call of that time when it speaks again, and what it has by then counts as told
+// at once. A drain leaves 500 ms, of which a sender may be held up for 150 ms: the rest is the time to hear of it.
 func TestAnAgentThatSpeaksAgainIsHeardInTime(t *testing.T) {
 	t.Parallel()
 	const hearWithin = 350 * time.Millisecond
@@ -368,7 +371,8 @@
 	}
 }
 
-// The connection that is kept ready for notices follows discovery to a new address at once: sockets may be short there right after.
+// The connection that is kept ready for notices follows discovery to a new address at once: sockets may be short
+// there right after.
 func TestANoticeIsToldRightAfterAMoveWhileNoSocketCanBeHad(t *testing.T) {
 	t.Parallel()
 	taken := func() *httptest.Server {
@@ -378,13 +382,16 @@
 	}
 	before, now := taken(), taken()
 	var failing atomic.Bool
-	d := newTestClient(strings.TrimPrefix(before.URL, "http://"), 3)
-	d.dialer.Control = func(string, string, syscall.RawConn) error {
-		if failing.Load() {
-			return syscall.ENOBUFS
-		}
-		return nil
-	}
+	d := New(Options{
+		Address: strings.TrimPrefix(before.URL, "http://"),
+		Senders: 3,
+		Control: func(string, string, syscall.RawConn) error {
+			if failing.Load() {
+				return syscall.ENOBUFS
+			}
+			return nil
+		},
+	})
 	t.Cleanup(d.reserved.close)
 	d.ReserveConnection()
 	time.Sleep(100 * time.Millisecond)
@@ -394,7 +401,7 @@
 	failing.Store(false)
 	time.Sleep(200 * time.Millisecond)
 	failing.Store(true)
-	if err := d.post(context.Background(), now.URL, []byte("{}\n"), noticeTime); err != nil {
+	if err := d.notifier.post(context.Background(), now.URL, []byte("{}\n"), maxPostTimeout); err != nil {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/internal/discovery/doc.go
@@ -0,0 +1,23 @@
+// Package discovery is the client of the platform: it follows the endpoint list and delivers notices of how messages
+// ended.
+//
+// Callers. The sender's event loop makes one Client. It starts Follow and DeliverNotices once, each on a goroutine of
+// its own, which ends with the context that it is given. The listener of signals calls Move when a new configuration
+// names another address. Neither knows the other's state; results come back by the functions that Follow and
+// DeliverNotices take, which are called on these goroutines and may block them.
+//
+// Owners of state. The watcher belongs to Follow's goroutine and the notifier to that of DeliverNotices; neither has
+// a lock. Both share platformState, which holds the platform's address and the time by which its changes bind, the
+// reservedConnection and, for the watcher alone, the endpointListLease. Each of these three has a mutex of its own. A
+// mutex of platformState may be held when that of reservedConnection is taken, never the other way round.
+//
+// Further goroutines. A hedged call runs each of its requests on a goroutine, which ends when the call returns and
+// cancels it. The reserved connection is refilled on a goroutine that ends with the first success or soon after
+// Close. Nobody waits for these: the time between two calls of a watch is short, and a stop is not held up by a
+// socket that cannot be had. The lease starts a timer that does nothing once the list is fresh.
+//
+// Terms. An agent on the sender's own machine answers for the platform. A call with a version is a long poll: it is
+// held until there is a newer version or its wait is over. Long polls that follow one another without a gap are a
+// watch. A change binds the sender from the moment in which the protocol takes it to be known here, whether the
+// answer that carries it has arrived or not: the sender is then judged by it.
+package discovery
