--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -7,14 +7,14 @@
 // DeliverNotices take, which are called on these goroutines and may block them.
 //
 // Owners of state. The watcher belongs to Follow's goroutine and the notifier to that of DeliverNotices; neither has
-// a lock. Both share platformState, which holds the platform's address and the time by which its changes bind, the
-// reservedConnection and, for the watcher alone, the endpointListLease. Each of these three has a mutex of its own. A
-// mutex of platformState may be held when that of reservedConnection is taken, never the other way round.
+// a lock. Three parts are shared, each with a mutex of its own: platformState (the platform's address, and by when
+// its changes bind), reservedConnection and endpointListLease. Only one lock is ever taken with another one held:
+// that of reservedConnection under that of platformState.
 //
-// Further goroutines. A hedged call runs each of its requests on a goroutine, which ends when the call returns and
-// cancels it. The reserved connection is refilled on a goroutine that ends with the first success or soon after
-// Close. Nobody waits for these: the time between two calls of a watch is short, and a stop is not held up by a
-// socket that cannot be had. The lease starts a timer that does nothing once the list is fresh.
+// Further goroutines. Each request of a hedged call has a goroutine, which ends when the call returns and cancels its
+// requests. The reserved connection is refilled on a goroutine that ends with the first success or soon after Close.
+// Nobody waits for these, so that the next call of a watch goes out at once, and a stop is not held up by a socket
+// that cannot be had. The lease starts a timer that does nothing once the list is fresh.
 //
 // Terms. An agent on the sender's own machine answers for the platform. A call with a version is a long poll: it is
 // held until there is a newer version or its wait is over. Long polls that follow one another without a gap are a
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -38,7 +38,7 @@
 type hedger struct {
 	pausedUntil time.Time     // the platform has rejected a call: none is hedged until then
 	lateness    time.Duration // of the last answers, where they were slow; decays with prompt ones
-	silentSince time.Time     // when the first call without an answer since was hedged, the zero time for none
+	silentSince time.Time     // when the first of the calls in a row without an answer was hedged, zero for none
 }
 
 // fetchHedged makes a call for the list and hedges it while it stays unanswered, each request on a connection of its
