--- a/internal/sender/endpointlist.go
+++ b/internal/sender/endpointlist.go
@@ -14,51 +14,53 @@
 // listedEndpoint is an endpoint with its entry in the list, as the event loop knows it.
 type listedEndpoint struct {
 	*endpoint.Endpoint
-	zone         int
+	zone         int  // its index in the configuration
 	maxBatchSize int  // messages in one call
 	isListed     bool // draining ones are
 	entry        endpointlist.Endpoint
 }
 
-// endpoints is the list as the loop knows it. Numbers stay with ids, also of those that are gone.
-type endpoints struct {
+// endpointTable is the endpoint list as the event loop knows it. Numbers stay with IDs, also of endpoints that are
+// gone.
+type endpointTable struct {
 	byID     map[string]*listedEndpoint
 	byNumber []*listedEndpoint
-	listed   int // lines that the list holds now
+	listed   int // endpoints on the list now
 }
 
-// changes are the lines of an answer that say something else than what is known, those that a whole list lacks among
-// them.
-func (l *endpoints) changes(t endpointlist.Update) []endpointlist.Endpoint {
+// changes are the entries of an update that differ from what is known. Endpoints that a full list lacks are among
+// them, as deleted.
+func (l *endpointTable) changes(update endpointlist.Update) []endpointlist.Endpoint {
 	var changed []endpointlist.Endpoint
-	told := map[string]bool{} // of a whole list
-	for _, line := range t.Endpoints {
-		if t.Full {
-			told[line.ID] = true
+	inFullList := map[string]bool{}
+	for _, entry := range update.Endpoints {
+		if update.Full {
+			inFullList[entry.ID] = true
 		}
-		e := l.byID[line.ID]
+		e := l.byID[entry.ID]
 		switch {
-		case e == nil && line.IsDeleted():
-		case line.IsDeleted():
+		case e == nil && entry.IsDeleted():
+		case entry.IsDeleted():
 			if !e.entry.IsDeleted() {
-				changed = append(changed, endpointlist.Endpoint{ID: line.ID, State: endpointlist.StateDeleted})
+				changed = append(changed, endpointlist.Endpoint{ID: entry.ID, State: endpointlist.StateDeleted})
 			}
-		case e == nil || !e.entry.EqualExceptWeight(line):
-			changed = append(changed, line)
+		case e == nil || !e.entry.EqualExceptWeight(entry):
+			changed = append(changed, entry)
 		}
 	}
-	if t.Full {
-		for _, e := range l.byNumber {
-			if e.isListed && !told[e.ID] {
-				changed = append(changed, endpointlist.Endpoint{ID: e.ID, State: endpointlist.StateDeleted})
-			}
+	if !update.Full {
+		return changed
+	}
+	for _, e := range l.byNumber {
+		if e.isListed && !inFullList[e.ID] {
+			changed = append(changed, endpointlist.Endpoint{ID: e.ID, State: endpointlist.StateDeleted})
 		}
 	}
 	return changed
 }
 
-// clear forgets what is listed: a whole list says it anew.
-func (l *endpoints) clear() {
+// unlistAll marks all endpoints as deleted, before a full list is applied.
+func (l *endpointTable) unlistAll() {
 	for _, e := range l.byNumber {
 		e.isListed, e.entry.State = false, endpointlist.StateDeleted
 		e.SetServing(false)
@@ -66,61 +68,82 @@
 	l.listed = 0
 }
 
-func (l *endpoints) number(n dispatch.EndpointID) (*listedEndpoint, error) {
-	if int(n) >= len(l.byNumber) {
-		return nil, fmt.Errorf("endpoint %d is not known", n)
+// lookup returns the endpoint with the dispatcher's number.
+func (l *endpointTable) lookup(number dispatch.EndpointID) (*listedEndpoint, error) {
+	if int(number) >= len(l.byNumber) {
+		return nil, fmt.Errorf("endpoint %d is not known", number)
 	}
-	return l.byNumber[n], nil
+	return l.byNumber[number], nil
 }
 
-// line books a line of the list and translates it for the dispatcher.
-func (l *endpoints) line(t endpointlist.Endpoint, c *config.Config, p *endpoint.Pool) dispatch.Endpoint {
-	e := l.byID[t.ID]
+// apply updates an endpoint by its entry and translates that for the dispatcher.
+func (l *endpointTable) apply(entry endpointlist.Endpoint, c *config.Config, p *endpoint.Pool) dispatch.Endpoint {
+	e := l.byID[entry.ID]
 	if e == nil {
-		e = &listedEndpoint{Endpoint: &endpoint.Endpoint{Number: dispatch.EndpointID(len(l.byNumber)), ID: t.ID}}
-		l.byID[t.ID] = e
+		e = &listedEndpoint{Endpoint: &endpoint.Endpoint{Number: dispatch.EndpointID(len(l.byNumber)), ID: entry.ID}}
+		l.byID[entry.ID] = e
 		l.byNumber = append(l.byNumber, e)
 	}
-	if t.Addr == "" {
-		t.Addr = e.entry.Addr
+	if entry.Addr == "" {
+		entry.Addr = e.entry.Addr
 	}
-	e.entry = t
-	e.zone, e.maxBatchSize = config.IndexOf(c.Zones, t.Zone, 0), 1
-	kind := config.IndexOf(c.Kinds, t.Kind, 0)
-	if kind < len(c.Settings.Kinds) {
+	e.entry = entry
+	e.zone, e.maxBatchSize = config.IndexOf(c.Zones, entry.Zone, 0), 1
+	kind := config.IndexOf(c.Kinds, entry.Kind, 0)
+	isKnownKind := kind < len(c.Settings.Kinds)
+	if isKnownKind {
 		e.maxBatchSize = max(1, c.Settings.Kinds[kind].MaxBatchSize)
 	}
-	ready := t.State == endpointlist.StateServing
-	if listed := !t.IsDeleted(); listed != e.isListed {
-		e.isListed = listed
-		if listed {
-			l.listed++
-		} else {
-			l.listed--
-		}
-	}
-	if t.Addr != "" {
-		e.SetAddress(t.Addr)
+	l.setListed(e, !entry.IsDeleted())
+	if entry.Addr != "" {
+		e.SetAddress(entry.Addr)
 	}
-	if !ready {
+	isReady := entry.State == endpointlist.StateServing
+	if !isReady {
 		p.CloseIdle(e.Endpoint, 0)
 	}
-	e.SetServing(ready)
-	scope := invariant.Scope{Destination: dispatch.DestinationID(t.Cell)}
-	if kind < len(c.Settings.Kinds) && c.Settings.Kinds[kind].PerEndpoint {
+	e.SetServing(isReady)
+	scope := invariant.Scope{Destination: dispatch.DestinationID(entry.Cell)}
+	if isKnownKind && c.Settings.Kinds[kind].PerEndpoint {
 		scope = invariant.Scope{Endpoint: e.Number, PerEndpoint: true}
 	}
 	e.SetScope(scope)
-	return dispatch.Endpoint{ID: e.Number, Destination: dispatch.DestinationID(t.Cell), Kind: kind,
-		Zone: e.zone, Ready: ready, Rating: t.Weight}
+	return dispatch.Endpoint{
+		ID:          e.Number,
+		Destination: dispatch.DestinationID(entry.Cell),
+		Kind:        kind,
+		Zone:        e.zone,
+		Ready:       isReady,
+		Rating:      entry.Weight,
+	}
 }
 
-// storedOutages translates what the dispatcher notes.
-func (l *endpoints) storedOutages(list []dispatch.Outage) []journal.Outage {
+// setListed notes whether an endpoint is on the list.
+func (l *endpointTable) setListed(e *listedEndpoint, isListed bool) {
+	switch {
+	case isListed == e.isListed:
+		return
+	case isListed:
+		l.listed++
+	default:
+		l.listed--
+	}
+	e.isListed = isListed
+}
+
+// storedOutages translates the dispatcher's outages for the journal.
+func (l *endpointTable) storedOutages(outages []dispatch.Outage) []journal.Outage {
 	var stored []journal.Outage
-	for _, o := range list {
-		s := journal.Outage{Destination: uint32(o.Destination), Resolved: o.Resolved, WarmingUp: o.WarmingUp, Since: o.Since, StartedAt: o.StartedAt, RateBefore: o.RateBefore}
-		if e, err := l.number(o.Endpoint); o.PerEndpoint && err == nil {
+	for _, o := range outages {
+		s := journal.Outage{
+			Destination: uint32(o.Destination),
+			Resolved:    o.Resolved,
+			WarmingUp:   o.WarmingUp,
+			Since:       o.Since,
+			StartedAt:   o.StartedAt,
+			RateBefore:  o.RateBefore,
+		}
+		if e, err := l.lookup(o.Endpoint); o.PerEndpoint && err == nil {
 			s.Endpoint = e.ID
 		}
 		stored = append(stored, s)
@@ -128,11 +151,18 @@
 	return stored
 }
 
-// knownOutages translates back, by the numbers of this process. What is not listed is left out.
-func (l *endpoints) knownOutages(list []journal.Outage) dispatch.OutagesRestored {
-	var known dispatch.OutagesRestored
-	for _, s := range list {
-		o := dispatch.Outage{Destination: dispatch.DestinationID(s.Destination), WarmingUp: s.WarmingUp, Since: s.Since, StartedAt: s.StartedAt, RateBefore: s.RateBefore}
+// restoredOutages translates the journal's outages back, by the numbers of this process. Those of endpoints that were
+// never listed are left out.
+func (l *endpointTable) restoredOutages(stored []journal.Outage) dispatch.OutagesRestored {
+	var restored dispatch.OutagesRestored
+	for _, s := range stored {
+		o := dispatch.Outage{
+			Destination: dispatch.DestinationID(s.Destination),
+			WarmingUp:   s.WarmingUp,
+			Since:       s.Since,
+			StartedAt:   s.StartedAt,
+			RateBefore:  s.RateBefore,
+		}
 		if s.Endpoint != "" {
 			e := l.byID[s.Endpoint]
 			if e == nil {
@@ -140,7 +170,7 @@
 			}
 			o.Endpoint, o.PerEndpoint = e.Number, true
 		}
-		known.Outages = append(known.Outages, o)
+		restored.Outages = append(restored.Outages, o)
 	}
-	return known
+	return restored
 }
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -36,10 +36,10 @@
 	translated := dispatch.EndpointListUpdate{Full: full}
 	s.listVersion = update.Version
 	if full {
-		s.list.clear()
+		s.list.unlistAll()
 	}
 	for _, target := range update.Endpoints {
-		translated.Endpoints = append(translated.Endpoints, s.list.line(target, s.config, s.pool))
+		translated.Endpoints = append(translated.Endpoints, s.list.apply(target, s.config, s.pool))
 	}
 	return translated
 }
@@ -49,7 +49,7 @@
 func (s *Sender) endpointListEvents() (allReady, current dispatch.EndpointListUpdate) {
 	allReady.Full, current.Full = true, true
 	for _, e := range s.list.byNumber {
-		translated := s.list.line(e.entry, s.config, s.pool)
+		translated := s.list.apply(e.entry, s.config, s.pool)
 		ready := translated
 		ready.Ready = true
 		allReady.Endpoints = append(allReady.Endpoints, ready)
--- a/internal/sender/restore.go
+++ b/internal/sender/restore.go
@@ -51,7 +51,7 @@
 // restoreSnapshot restores the endpoint list and the dispatcher. A snapshot's list is as new as can be.
 func (s *Sender) restoreSnapshot(ctx context.Context, snapshot *handover.Snapshot) {
 	for _, target := range snapshot.Endpoints { // in the order of the other dispatcher's numbers
-		s.list.line(target, s.config, s.pool)
+		s.list.apply(target, s.config, s.pool)
 		s.listVersion = snapshot.ListVersion
 	}
 	for _, attempt := range snapshot.InFlight {
@@ -68,7 +68,7 @@
 func (s *Sender) restoreEndpointList(ctx context.Context) []dispatch.Event {
 	known := s.journal.MergeEndpointList(s.config.Known)
 	s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(known, true)})
-	s.dispatch(ctx, []dispatch.Event{s.list.knownOutages(s.journal.Outages())})
+	s.dispatch(ctx, []dispatch.Event{s.list.restoredOutages(s.journal.Outages())})
 	select {
 	case e := <-s.events:
 		return s.handleEvent(ctx, e)
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -37,7 +37,7 @@
 	dispatcher *dispatch.Dispatcher
 	journal    *journal.Journal // nil after a hand-over, and until this process is the owner
 	pool       *endpoint.Pool
-	list       endpoints
+	list       endpointTable
 	discovery  *discovery.Client
 	server     *ingress.Server
 	metrics    *metrics.Registry
@@ -80,7 +80,7 @@
 		log:           log,
 		clock:         clock.New(env.Wall()),
 		dispatcher:    dispatch.New(c.Settings, c.Seed),
-		list:          endpoints{byID: map[string]*listedEndpoint{}},
+		list:          endpointTable{byID: map[string]*listedEndpoint{}},
 		metrics:       registry,
 		invariants:    checker,
 		events:        make(chan event, eventQueueLength),
@@ -185,7 +185,7 @@
 
 // endpoint returns the endpoint with the dispatcher's number, nil if there is none.
 func (s *Sender) endpoint(number dispatch.EndpointID) *listedEndpoint {
-	e, err := s.list.number(number)
+	e, err := s.list.lookup(number)
 	if err != nil {
 		s.log.Error("the dispatcher names an endpoint", "err", err)
 		return nil
