--- a/internal/sender/admin_test.go
+++ b/internal/sender/admin_test.go
@@ -24,9 +24,9 @@
 		"forwards": 0, "outstanding": 0, "discovered": 3, "ejected": 0, "sighup_applied": 0, "sighup_rejected": 0})
 	st.HandIn(t, addr, "a", "safe", 0, 5*time.Second)
 	awaitMetrics(t, admin, map[string]int{"succeeded.safe": 1, "forwards": 1, "outstanding": 0})
-	st.HandIn(t, addr, "b", "unsafe", 1, 5*time.Second) // it may have run and may not be repeated
+	st.HandIn(t, addr, "b", "unsafe", 1, 5*time.Second) // it may have run, and may not be retried
 	awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": 0, "aborted.unsafe": 1, "forwards": 2, "outstanding": 0})
-	st.HandIn(t, addr, "c", "unsafe", 2, 15*time.Second) // beside it there is room for none
+	st.HandIn(t, addr, "c", "unsafe", 2, 15*time.Second) // the limit is reached
 	if resp, _ := do(t, st.Message(t, addr, "d", "keyed", 0, 5*time.Second, "x")); resp.StatusCode != 503 {
 		t.Errorf("a message beyond the room is answered %s", resp.Status)
 	}
--- a/internal/sender/batching_test.go
+++ b/internal/sender/batching_test.go
@@ -76,12 +76,12 @@
 		items = append(items, callItem{Item: item, message: testMessage(id)})
 	}
 	s.startCall(context.Background(), testEndpoint(l.Addr().String()), items, true)
-	c, err := l.Accept() // it takes nothing in but what the machine does
+	c, err := l.Accept() // nothing is read from it but what the kernel buffers
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	// The call's end may overtake that of the message alone, which is booked once all the same.
+	// The call's end may overtake that of the message, which counts once all the same.
 	for over := false; !over; {
 		end := st.Receive(t, s.events).(callEndedEvent)
 		over = end.callDone
@@ -118,7 +118,7 @@
 	if c := e.Next(t); c.Path != "/hook" || c.ID != "m0" {
 		t.Errorf("one message goes to %s as %s", c.Path, c.ID)
 	}
-	for i := range 5 { // they wait: a window starts at one call
+	for i := range 5 { // they wait: the concurrency window starts at one call
 		st.HandIn(t, addr, "m"+strconv.Itoa(i+1), "keyed", 0, 15*time.Second)
 	}
 	close(first)
@@ -165,7 +165,7 @@
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		items []*endpoint.Item
-		want  [][]dispatch.Outcome // of the events in turn, by message
+		want  [][]dispatch.Outcome // of each event, by message
 		over  []bool
 	}{
 		"time up": {[]*endpoint.Item{{Timeout: 50 * ms, LastAttempt: true}, {Timeout: 150 * ms, LastAttempt: true}},
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -125,7 +125,7 @@
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, func(c *config.Config) {
 		c.Settings.Classes[1].IdempotencyWindow = window
-		c.Settings.MaxAttempts = 2 // the repeat is the last, and has all the time that is left
+		c.Settings.MaxAttempts = 2 // the retry is the last attempt, and has all the time that is left
 	})
 	var dials atomic.Int32
 	again, up := make(chan struct{}), make(chan struct{})
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -99,25 +99,25 @@
 	} {
 		e := st.NewEndpoint(t, st.Silent)
 		addr := startSender(t, st.NewPlatform(t, e.Addr), edit)
-		refused := false
-		for i := 0; i < 20 && !refused; i++ {
+		rejected := false
+		for i := 0; i < 20 && !rejected; i++ {
 			resp, _ := do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, "body"))
 			switch resp.StatusCode {
 			case http.StatusAccepted:
 			case http.StatusServiceUnavailable:
-				refused = true
+				rejected = true
 				if wait, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || wait != 2 {
 					t.Errorf("%s: Retry-After %q", name, resp.Header.Get("Retry-After"))
 				}
 			default:
 				t.Fatalf("%s: %s", name, resp.Status)
 			}
-			if i == 0 && refused {
-				t.Errorf("%s: the first is refused", name)
+			if i == 0 && rejected {
+				t.Errorf("%s: the first is rejected", name)
 			}
 		}
-		if !refused {
-			t.Errorf("%s: nothing is refused", name)
+		if !rejected {
+			t.Errorf("%s: nothing is rejected", name)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
 	addr := startSender(t, p, func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
-	for i := range 20 { // the module makes room from 95% on
+	for i := range 20 { // the dispatcher sheds load from 95% on
 		resp, body := do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, ""))
 		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%s %s", resp.Status, body)
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -114,7 +114,7 @@
 	addr := startSender(t, p, edit)
 	awaitWatch(t, p, 1)
 	p.Down(true)
-	for st.Receive(t, p.Lists) != "" { // it asks for the whole, in vain
+	for st.Receive(t, p.Lists) != "" { // it requests the full list, in vain
 	}
 	st.HandIn(t, addr, "a", "keyed", 0, 15*time.Second)
 	e.Next(t)
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -204,7 +204,7 @@
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
 	startProcess(t, p, state, listen)
-	for n := range 5 { // its window grows, so that a further call would have a place
+	for n := range 5 { // the concurrency window grows, so that it allows a further call
 		st.HandIn(t, addr, "before"+strconv.Itoa(n), "safe", 0, 15*time.Second)
 		e.Next(t)
 	}
--- a/internal/sender/helpers_test.go
+++ b/internal/sender/helpers_test.go
@@ -268,20 +268,28 @@
 // startStoppable starts a sender and returns once it listens.
 func startStoppable(t *testing.T, p *st.Platform, edit func(c *config.Config)) *stoppableSender {
 	t.Helper()
-	l := &stoppableSender{Sender: newTest(t, p, edit), done: make(chan error, 1)}
-	addr := make(chan string, 1)
-	listen := func() (net.Listener, error) {
+	s, addr := newTest(t, p, edit), make(chan string, 1)
+	l := newStoppable(s)
+	l.run(func() (net.Listener, error) {
 		nl, err := net.Listen("tcp", l.config.Listen)
 		if err == nil {
 			addr <- nl.Addr().String()
 		}
 		return nl, err
-	}
+	})
+	l.addr = st.Receive(t, addr)
+	return l
+}
+
+func newStoppable(s *Sender) *stoppableSender {
+	return &stoppableSender{Sender: s, done: make(chan error, 1)}
+}
+
+// run starts the sender. stop requests its shutdown, and done gets its result.
+func (l *stoppableSender) run(listen ListenFunc) {
 	var ctx context.Context
 	ctx, l.stop = context.WithCancel(context.Background())
 	go func() { l.done <- l.Run(ctx, listen) }()
-	l.addr = st.Receive(t, addr)
-	return l
 }
 
 // awaitEnd waits for the end of the process and returns the messages that the next one finds.
--- a/internal/sender/invariants_test.go
+++ b/internal/sender/invariants_test.go
@@ -25,7 +25,7 @@
 	errors.As(err, &violation)
 	switch {
 	case want == "" && err != nil:
-		t.Errorf("it is refused: %v", err)
+		t.Errorf("it is not allowed: %v", err)
 	case want != "" && (violation == nil || violation.Rule != want):
 		t.Errorf("%v, want rule %s", err, want)
 	}
--- a/internal/sender/journalfailure_test.go
+++ b/internal/sender/journalfailure_test.go
@@ -19,7 +19,7 @@
 func TestRejectionIsWrittenBeforeItIsAnswered(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		write func(b []byte) error // of the refusal's record
+		write func(b []byte) error // of the rejection's record
 		want  int
 	}{
 		"a disk that is slow": {
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -182,7 +182,7 @@
 			t.Parallel()
 			open, later := make(chan struct{}), make(chan struct{})
 			at := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
-				if c.Conn == 1 { // what is out across the change may have run
+				if c.Conn == 1 { // what is in flight across the change may have run
 					<-open
 					return st.Reset(c, conn)
 				}
--- a/internal/sender/requests_test.go
+++ b/internal/sender/requests_test.go
@@ -65,7 +65,7 @@
 	}
 	_, _ = io.WriteString(conns[0], "body")
 	time.Sleep(10 * time.Millisecond)
-	dial(t, s.addr) // all places are taken now, and the first one has been in the middle of its request for longest
+	dial(t, s.addr) // the connection limit is reached now, and the first connection has the oldest incomplete request
 	_ = conns[0].SetReadDeadline(time.Now().Add(st.Wait))
 	resp, err := readReply(bufio.NewReader(conns[0]))
 	if err != nil || resp.StatusCode != http.StatusAccepted {
@@ -151,7 +151,7 @@
 		}
 		_ = nc.SetDeadline(time.Now().Add(st.Wait))
 		_, _ = io.WriteString(nc, c.text)
-		got, _ := io.ReadAll(nc) // to its close, by which all that the peer sent has been read or dropped
+		got, _ := io.ReadAll(nc) // to its close, by which all that the client sent has been read or dropped
 		_ = nc.Close()
 		if len(got) < 12 || string(got[9:12]) != c.status || strings.Count(string(got), "Content-Type: ") != 1 {
 			t.Errorf("%s: answered %q", name, got)
@@ -171,7 +171,7 @@
 	addr := startSender(t, st.NewPlatform(t, e.Addr), nil)
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: m\r\nX-Class: safe\r\nX-Tenant: acme\r\n" +
 		"X-Deadline-Ms: 9000\r\nX-Addressing: dest=0\r\nContent-Length: 100\r\n"
-	left := map[string]chan time.Duration{}
+	disconnected := map[string]chan time.Duration{}
 	for name, text := range map[string]string{
 		"nothing":          "",
 		"half a head":      head,
@@ -179,7 +179,7 @@
 		"no request after": "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n",
 	} {
 		done := make(chan time.Duration, 1)
-		left[name] = done
+		disconnected[name] = done
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -192,9 +192,9 @@
 			done <- time.Since(began)
 		}()
 	}
-	for name, done := range left {
+	for name, done := range disconnected {
 		if took := st.Receive(t, done); took > 4500*time.Millisecond { // with room for a slow machine
-			t.Errorf("%s: left after %v", name, took)
+			t.Errorf("%s: disconnected after %v", name, took)
 		}
 	}
 	if len(e.Calls) != 0 {
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -24,15 +24,15 @@
 		step      time.Duration
 		class     string
 		deadline  time.Duration
-		rest      time.Duration // between the processes
-		tried     bool          // by the first, without an answer
+		pause     time.Duration // between the processes
+		tried     bool          // by the first, without a response
 		delivered bool          // by the second; else it is given up
 	}{
 		"back, a deadline that passes": {
 			step:     -time.Hour,
 			class:    "safe",
 			deadline: 700 * time.Millisecond,
-			rest:     800 * time.Millisecond,
+			pause:    800 * time.Millisecond,
 		},
 		"forward, a deadline far away": {
 			step:      time.Hour,
@@ -44,14 +44,14 @@
 			step:     -time.Hour,
 			class:    "keyed",
 			deadline: 15 * time.Second,
-			rest:     600 * time.Millisecond,
+			pause:    600 * time.Millisecond,
 			tried:    true,
 		},
 		"a little back, a key forgotten": {
 			step:     -3 * time.Second,
 			class:    "keyed",
 			deadline: 15 * time.Second,
-			rest:     600 * time.Millisecond,
+			pause:    600 * time.Millisecond,
 			tried:    true,
 		},
 		"forward, a key that is remembered": {
@@ -97,7 +97,7 @@
 				silent.Next(t)
 			}
 			first.stop()
-			time.Sleep(c.rest)
+			time.Sleep(c.pause)
 			if c.delivered || c.tried {
 				p.Change(st.Target("s-0", good.Addr, 0, "SERVING"))
 			}
@@ -124,7 +124,7 @@
 	t.Parallel()
 	const (
 		usual    = 5.0 // calls a second before the outage
-		headroom = 2.0 // of the destination over them
+		headroom = 2.0 // of the destination over the usual rate
 		pending  = 60
 	)
 	for name, restart := range map[string]bool{"one process": false, "a restart": true} {
@@ -170,8 +170,8 @@
 				(1-rules.SlowStartCapacity)*rules.OverloadWindow.Seconds()/rules.SlowStartDuration.Seconds()
 			n := rules.CollapseLoadFactor * share * usual * headroom * rules.OverloadWindow.Seconds()
 			calls := len(e.Calls)
-			if bears := n + 3*math.Sqrt(n) + 3; float64(calls) > bears || calls == 0 {
-				t.Errorf("%d calls in %v after its return, it bears %.1f", calls, rules.OverloadWindow, bears)
+			if limit := n + 3*math.Sqrt(n) + 3; float64(calls) > limit || calls == 0 {
+				t.Errorf("%d calls in %v after its return, its limit is %.1f", calls, rules.OverloadWindow, limit)
 			}
 		})
 	}
@@ -283,7 +283,7 @@
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
-		c.Settings.MaxPendingMessages, c.Discovery = 50, "127.0.0.1:1" // less room than before
+		c.Settings.MaxPendingMessages, c.Discovery = 50, "127.0.0.1:1" // a lower limit than before
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -86,7 +86,7 @@
 		t.Helper()
 		began := time.Now()
 		answer <- list(version, full, servers)
-		watches(fmt.Sprint(version)) // by then the loop has the list before whatever comes now
+		watches(fmt.Sprint(version)) // by then the list is queued before any later event
 		if took := time.Since(began); took > 500*time.Millisecond {
 			t.Errorf("version %d was applied after %v", version, took)
 		}
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"io"
 	"log/slog"
 	"net"
@@ -104,7 +103,7 @@
 		}
 		defer c.Close()
 		_ = c.SetDeadline(time.Now().Add(st.Wait))
-		if i < 2 { // these take the places, and say half of what they have to
+		if i < 2 { // these use up the limit, and send half of a request
 			_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: h\r\n")
 			continue
 		}
@@ -186,7 +185,7 @@
 	st.HandIn(t, l.addr, "out", "safe", 0, 15*time.Second)
 	e.Next(t)
 	l.stop()
-	for { // until answers end their connections
+	for { // until responses close their connections
 		if resp, _ := do(t, st.Message(t, l.addr, "out", "safe", 0, 15*time.Second, "body")); resp.Close {
 			break
 		}
@@ -197,7 +196,7 @@
 		body := strings.Repeat("x", 20000)
 		second := renderRequest(t, st.Message(t, l.addr, "behind"+strconv.Itoa(i), "safe", 0, 15*time.Second, body))
 		_, _ = io.WriteString(c, first+second)
-		answers, err := io.ReadAll(c) // to the end, which is no reset
+		answers, err := io.ReadAll(c) // to its end, which is not a reset
 		if err != nil || strings.Count(string(answers), "HTTP/1.1 202") != 1 {
 			t.Fatalf("answered %q, %v", answers, err)
 		}
@@ -224,11 +223,11 @@
 	request := func(n int) string {
 		return renderRequest(t, st.Message(t, l.addr, "late"+strconv.Itoa(n), "safe", 0, 15*time.Second, "body"))
 	}
-	for n, said := range []int{0, 1, 40, len(request(2)) - 2} {
+	for n, sent := range []int{0, 1, 40, len(request(2)) - 2} {
 		fresh, used := dial(t, l.addr), dial(t, l.addr)
-		_, _ = io.WriteString(fresh, request(2 * n)[:said])
-		clients = append(clients, client{fresh, "fresh", request(2 * n)[said:]})
-		if said == 0 { // at rest: that may be closed
+		_, _ = io.WriteString(fresh, request(2 * n)[:sent])
+		clients = append(clients, client{fresh, "fresh", request(2 * n)[sent:]})
+		if sent == 0 { // an idle connection may be closed
 			continue
 		}
 		_, _ = io.WriteString(used, renderRequest(t, st.Message(t, l.addr, "out", "unsafe", 0, 15*time.Second, "body")))
@@ -236,8 +235,8 @@
 		if err != nil || resp.StatusCode != http.StatusAccepted {
 			t.Fatal(resp, err)
 		}
-		_, _ = io.WriteString(used, request(2*n + 1)[:said])
-		clients = append(clients, client{used, "used", request(2*n + 1)[said:]})
+		_, _ = io.WriteString(used, request(2*n + 1)[:sent])
+		clients = append(clients, client{used, "used", request(2*n + 1)[sent:]})
 	}
 	l.stop()
 	l.awaitDrain(t)
@@ -265,7 +264,7 @@
 			t.Parallel()
 			e := st.NewEndpoint(t, st.Status(200))
 			p := st.NewPlatform(t, e.Addr)
-			l := &stoppableSender{Sender: newTest(t, p, nil), done: make(chan error, 1)}
+			l := newStoppable(newTest(t, p, nil))
 			l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 5*time.Second
 			dialing, up := make(chan struct{}, 1), make(chan struct{})
 			l.pool = l.newPool(func(string, string, syscall.RawConn) error {
@@ -280,9 +279,7 @@
 				}
 			}))
 			addr, listen := platformSocket(t)
-			var ctx context.Context
-			ctx, l.stop = context.WithCancel(context.Background())
-			go func() { l.done <- l.Run(ctx, listen) }()
+			l.run(listen)
 			st.HandIn(t, addr, "m", "unsafe", 0, 15*time.Second)
 			st.Receive(t, dialing)
 			successor := end(t, l)
--- a/internal/sender/start_test.go
+++ b/internal/sender/start_test.go
@@ -133,7 +133,7 @@
 	for _, id := range []string{"safe", "unsafe"} {
 		st.HandIn(t, first.addr, id, id, 0, 15*time.Second)
 		good.Next(t)
-		awaitMetrics(t, admin, map[string]int{"outstanding": 0}) // there is room for one at a time
+		awaitMetrics(t, admin, map[string]int{"outstanding": 0}) // the limit allows one at a time
 	}
 	st.HandIn(t, first.addr, "out", "unsafe", 1, 15*time.Second)
 	hung.Next(t)
--- a/internal/sender/successorloss_test.go
+++ b/internal/sender/successorloss_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"io"
 	"net"
 	"net/http"
@@ -39,7 +38,7 @@
 		if c := quick.Next(t); c.ID != id {
 			t.Errorf("the endpoint got %s", c.ID)
 		}
-		awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": n + 1}) // else it is handed over as out, too
+		awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": n + 1}) // else it is handed over as in flight, too
 	}
 	close(open)
 	awaitMetrics(t, admin, map[string]int{"outstanding": 0, "succeeded.unsafe": 3, "aborted.unsafe": 0, "forwards": 3})
@@ -105,14 +104,12 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
 	addr, listen := platformSocket(t)
-	l := &stoppableSender{Sender: newTest(t, st.NewPlatform(t, hung.Addr), nil), done: make(chan error, 1)}
+	l := newStoppable(newTest(t, st.NewPlatform(t, hung.Addr), nil))
 	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
-	var ctx context.Context
-	ctx, l.stop = context.WithCancel(context.Background())
-	go func() { l.done <- l.Run(ctx, listen) }()
+	l.run(listen)
 	st.HandIn(t, addr, "out", "unsafe", 0, 15*time.Second)
 	hung.Next(t)
-	var halves []net.Conn // whoever is in the middle of a request is not let go
+	var incomplete []net.Conn // a connection with an incomplete request is not closed
 	for i := range 20 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -121,13 +118,13 @@
 		defer c.Close()
 		text := renderRequest(t, st.Message(t, addr, "late"+strconv.Itoa(i), "unsafe", 0, 15*time.Second, "xy"))
 		_, _ = io.WriteString(c, text[:len(text)-1])
-		halves = append(halves, c)
+		incomplete = append(incomplete, c)
 	}
 	successor, _ := requestSnapshot(t, l.upgrade.stateDir)
 	l.stop()
 	successor.Close()
 	rejected := false
-	for _, c := range halves { // until both have been noticed
+	for _, c := range incomplete { // until both have been noticed
 		_, _ = io.WriteString(c, "y")
 		_ = c.SetDeadline(time.Now().Add(400 * time.Millisecond)) // as long as a client waits
 		if resp, err := readReply(bufio.NewReader(c)); err == nil {
@@ -152,11 +149,9 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Silent)
 	addr, listen := platformSocket(t)
-	l := &stoppableSender{Sender: newTest(t, st.NewPlatform(t, hung.Addr), nil), done: make(chan error, 1)}
+	l := newStoppable(newTest(t, st.NewPlatform(t, hung.Addr), nil))
 	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
-	var ctx context.Context
-	ctx, l.stop = context.WithCancel(context.Background())
-	go func() { l.done <- l.Run(ctx, listen) }()
+	l.run(listen)
 	c := dial(t, addr)
 	r := bufio.NewReader(c)
 	accepted := sendOn(t, c, r, st.Message(t, addr, "out", "unsafe", 0, 15*time.Second, "x"))
