--- a/internal/sender/batching_test.go
+++ b/internal/sender/batching_test.go
@@ -48,7 +48,8 @@
 		t.Errorf("the endpoint got %+v", parts)
 	}
 	for _, end := range st.Receive(t, s.events).(callEndedEvent).ends {
-		if want := map[string]dispatch.Outcome{"a": dispatch.NotSent, "b": dispatch.Served}[end.message.ID]; end.Outcome != want {
+		want := map[string]dispatch.Outcome{"a": dispatch.NotSent, "b": dispatch.Served}[end.message.ID]
+		if end.Outcome != want {
 			t.Errorf("%s ended as %d, want %d", end.message.ID, end.Outcome, want)
 		}
 	}
@@ -59,7 +60,9 @@
 func TestBatchThatHasNotArrivedIsAbandonedAtATimeout(t *testing.T) {
 	t.Parallel()
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
+		return c.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) // else the test shows it
+		})
 	}}
 	l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,12 +76,12 @@
 		items = append(items, callItem{Item: item, message: testMessage(id)})
 	}
 	s.startCall(context.Background(), testEndpoint(l.Addr().String()), items, true)
-	c, err := l.Accept() // it takes nothing in but what the machine does
+	c, err := l.Accept() // nothing is read from it but what the kernel buffers
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	// The call's end may overtake that of the message alone, which is booked once all the same.
+	// The call's end may overtake that of the message, which counts once all the same.
 	for over := false; !over; {
 		end := st.Receive(t, s.events).(callEndedEvent)
 		over = end.callDone
@@ -97,10 +100,10 @@
 // against the destination's limit and takes a slot.
 func TestMessagesShareABatchCall(t *testing.T) {
 	t.Parallel()
-	first, held := make(chan struct{}), false
+	first, isFirst := make(chan struct{}), true
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
-		if !held {
-			held = true
+		if isFirst {
+			isFirst = false
 			<-first
 			return st.Status(200)(c, nc)
 		}
@@ -115,7 +118,7 @@
 	if c := e.Next(t); c.Path != "/hook" || c.ID != "m0" {
 		t.Errorf("one message goes to %s as %s", c.Path, c.ID)
 	}
-	for i := range 5 { // they wait: a window starts at one call
+	for i := range 5 { // they wait: the concurrency window starts at one call
 		st.HandIn(t, addr, "m"+strconv.Itoa(i+1), "keyed", 0, 15*time.Second)
 	}
 	close(first)
@@ -162,7 +165,7 @@
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		items []*endpoint.Item
-		want  [][]dispatch.Outcome // of the events in turn, by message
+		want  [][]dispatch.Outcome // of each event, by message
 		over  []bool
 	}{
 		"time up": {[]*endpoint.Item{{Timeout: 50 * ms, LastAttempt: true}, {Timeout: 150 * ms, LastAttempt: true}},
