--- a/internal/journal/format_test.go
+++ b/internal/journal/format_test.go
@@ -67,18 +67,18 @@
 	j.AppendOutages([]Outage{{Destination: 3, Since: 100, StartedAt: 90, RateBefore: 2.5}, {Destination: 4, Endpoint: "s-2", WarmingUp: true, Since: 120, StartedAt: 80, RateBefore: 0.5},
 		{Destination: 5, Since: 1, StartedAt: 1}, {Destination: 5, Resolved: true}})
 	waiting, tried := take("waiting", dispatch.Idempotent), take("tried", dispatch.IdempotentByKey)
-	j.Append(tried, Record{Op: "send", Attempt: 0, Sent: &Attempt{SentAt: 1000, Endpoint: "s-1", Zone: 2}})
-	j.Append(tried, Record{Op: "end", Attempt: 0, NeverRan: true})
-	j.Append(tried, Record{Op: "send", Attempt: 1, Sent: &Attempt{SentAt: 2000, Endpoint: "s-2"}})
-	j.Append(tried, Record{Op: "end", Attempt: 1})
+	j.AppendAttemptStarted(tried, Attempt{SentAt: 1000, Endpoint: "s-1", Zone: 2})
+	j.AppendAttemptEnded(tried, 0, true)
+	j.AppendAttemptStarted(tried, Attempt{SentAt: 2000, Endpoint: "s-2"})
+	j.AppendAttemptEnded(tried, 1, false)
 	for id, how := range map[string]string{"delivered": OutcomeDelivered, "answered": OutcomeAnswered} {
-		j.Append(take(id, dispatch.NonIdempotent), Record{Op: "over", Outcome: how})
+		j.AppendMessageEnded(take(id, dispatch.NonIdempotent), how, 0)
 	}
-	j.Append(take("given-up", dispatch.NonIdempotent), Record{Op: "over", Outcome: OutcomeGivenUp})
-	j.Append(take("handed-back", dispatch.Idempotent), Record{Op: "over", Outcome: OutcomeReturned, RetryAfterMS: 750})
+	j.AppendMessageEnded(take("given-up", dispatch.NonIdempotent), OutcomeGivenUp, 0)
+	j.AppendMessageEnded(take("handed-back", dispatch.Idempotent), OutcomeReturned, 750*time.Millisecond)
 	told := take("told", dispatch.NonIdempotent)
-	j.Append(told, Record{Op: "over", Outcome: OutcomeGivenUp})
-	j.Append(told, Record{Op: "told"})
+	j.AppendMessageEnded(told, OutcomeGivenUp, 0)
+	j.AppendNoticeDelivered(told)
 	if err := j.Flush(); err != nil || waiting == nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -36,14 +36,14 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	a, b, c, d := takeTest(t, j, "a"), takeTest(t, j, "b"), takeTest(t, j, "c"), takeTest(t, j, "d")
-	j.Append(a, Record{Op: "send", Sent: &Attempt{SentAt: 10, Endpoint: "s"}})
-	j.Append(a, Record{Op: "end", Attempt: 0, NeverRan: true})
-	j.Append(a, Record{Op: "send", Sent: &Attempt{SentAt: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
-	j.Append(a, Record{Op: "send", Sent: &Attempt{SentAt: 30, Endpoint: "s"}})
-	j.Append(b, Record{Op: "over", Outcome: OutcomeDelivered})
-	j.Append(c, Record{Op: "over", Outcome: OutcomeReturned, RetryAfterMS: 500})
-	j.Append(d, Record{Op: "over", Outcome: OutcomeGivenUp})
-	j.Append(d, Record{Op: "told"})
+	j.AppendAttemptStarted(a, Attempt{SentAt: 10, Endpoint: "s"})
+	j.AppendAttemptEnded(a, 0, true)
+	j.AppendAttemptStarted(a, Attempt{SentAt: 20, Endpoint: "s", Zone: 1}) // no outcome: it may have run
+	j.AppendAttemptStarted(a, Attempt{SentAt: 30, Endpoint: "s"})
+	j.AppendMessageEnded(b, OutcomeDelivered, 0)
+	j.AppendMessageEnded(c, OutcomeReturned, 500*time.Millisecond)
+	j.AppendMessageEnded(d, OutcomeGivenUp, 0)
+	j.AppendNoticeDelivered(d)
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 			t.Fatalf("holds %d messages", len(j.byID))
 		}
 		m := j.byID["a"]
-		first, may := m.FirstRun()
+		first, may := m.FirstPossibleRun()
 		if !may || first.SentAt != 20 || first.Zone != 1 || len(m.Attempts) != 3 || string(m.Body) != "body a" || m.Key != "ka" || m.Destination != 3 || m.Deadline != 99 {
 			t.Errorf("a is %+v", m)
 		}
@@ -137,9 +137,9 @@
 	j := openTest(t, dir, 1<<20)
 	m := takeTest(t, j, "a")
 	for n, never := range []bool{false, true} {
-		j.Append(m, Record{Op: "send", Attempt: n, Sent: &Attempt{SentAt: time.Duration(n + 1), Endpoint: "s"}})
+		j.AppendAttemptStarted(m, Attempt{SentAt: time.Duration(n + 1), Endpoint: "s"})
 		if never {
-			j.Append(m, Record{Op: "end", Attempt: n, NeverRan: true})
+			j.AppendAttemptEnded(m, n, true)
 		}
 	}
 	if err := j.Flush(); err != nil {
@@ -154,9 +154,9 @@
 		t.Fatal(err)
 	}
 	again := openTest(t, dir, 1<<20)
-	if got := again.byID["a"]; again.damaged != 1 || got == nil || len(got.Attempts) != 2 {
-		t.Fatalf("%d damaged, came back as %+v", again.damaged, got)
-	} else if _, may := got.FirstRun(); !may {
+	if got := again.byID["a"]; again.damagedLines != 1 || got == nil || len(got.Attempts) != 2 {
+		t.Fatalf("%d damaged, came back as %+v", again.damagedLines, got)
+	} else if _, may := got.FirstPossibleRun(); !may {
 		t.Error("an attempt whose record is damaged is taken for one that never ran")
 	}
 }
@@ -169,7 +169,7 @@
 	j := openTest(t, dir, 1<<20)
 	m := takeTest(t, j, "a")
 	from := int(j.size)
-	j.Append(m, Record{Op: "send", Sent: &Attempt{SentAt: 1, Endpoint: "s"}})
+	j.AppendAttemptStarted(m, Attempt{SentAt: 1, Endpoint: "s"})
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 			if got == nil || again.byID["b"] == nil || len(again.byID["b"].Attempts) > 0 {
 				t.Fatalf("byte %d made %q: holds %v", n-from, wrong, again.byID)
 			}
-			if _, may := got.FirstRun(); !may {
+			if _, may := got.FirstPossibleRun(); !may {
 				t.Fatalf("byte %d made %q: it is taken for one that was never sent", n-from, wrong)
 			}
 		}
@@ -249,18 +249,18 @@
 		} else {
 			held = append(held, m)
 			for n := range 6 {
-				j.Append(m, Record{Op: "send", Sent: &Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"}})
-				j.Append(m, Record{Op: "end", Attempt: n, NeverRan: true})
+				j.AppendAttemptStarted(m, Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"})
+				j.AppendAttemptEnded(m, n, true)
 			}
 			if err := j.Flush(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if j.size+j.liveBytes > budget {
-			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.liveBytes)
+		if j.size+j.liveBytes() > budget {
+			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.liveBytes())
 		}
 		if i%3 == 0 && len(held) > 0 {
-			j.Append(held[0], Record{Op: "over", Outcome: OutcomeDelivered})
+			j.AppendMessageEnded(held[0], OutcomeDelivered, 0)
 			held = held[1:]
 		}
 	}
@@ -291,20 +291,20 @@
 			t.Fatalf("after %d, %d held: %v", i, len(j.byID), err)
 		}
 		for n := range 3 {
-			j.Append(m, Record{Op: "send", Sent: &Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"}})
-			j.Append(m, Record{Op: "end", Attempt: n, NeverRan: true})
+			j.AppendAttemptStarted(m, Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"})
+			j.AppendAttemptEnded(m, n, true)
 			if err := j.Flush(); err != nil {
 				t.Fatal(err)
 			}
 			if j.compactedAt != last {
 				compacted, last = compacted+1, j.compactedAt
 			}
-			if j.size+j.liveBytes > budget {
-				t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.liveBytes)
+			if j.size+j.liveBytes() > budget {
+				t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.liveBytes())
 			}
 		}
 		if len(j.byID) == most {
-			j.Append(j.byID[fmt.Sprintf("%016x", i-most+1)], Record{Op: "over", Outcome: OutcomeDelivered})
+			j.AppendMessageEnded(j.byID[fmt.Sprintf("%016x", i-most+1)], OutcomeDelivered, 0)
 		}
 	}
 	if compacted > most/10 {
@@ -328,7 +328,7 @@
 	if err := os.MkdirAll(filepath.Join(j.path+".new", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	j.Append(a, Record{Op: "send", Sent: &Attempt{SentAt: 5}})
+	j.AppendAttemptStarted(a, Attempt{SentAt: 5})
 	if err := j.Flush(); err == nil {
 		t.Fatal("a full disk took a record")
 	}
@@ -359,9 +359,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.Append(m, Record{Op: "over", Outcome: how})
+		j.AppendMessageEnded(m, how, 0)
 		if how == OutcomeGivenUp || how == OutcomeReturned {
-			j.Append(m, Record{Op: "told"})
+			j.AppendNoticeDelivered(m)
 		}
 	}
 	check := func(j *Journal) {
@@ -394,12 +394,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.Append(m, Record{Op: "over", Outcome: how})
+		j.AppendMessageEnded(m, how, 0)
 		if err := j.Compact(); err != nil {
 			t.Fatal(err)
 		}
 		if how == OutcomeDelivered { // it is forgotten
-			j.ended, j.endedBefore = idGeneration{}, idGeneration{}
+			j.ended.current, j.ended.previous = idGeneration{}, idGeneration{}
 		}
 	}
 	if err := j.Close(); err != nil {
@@ -421,7 +421,7 @@
 		if err != nil {
 			t.Fatalf("message %d: %v", i, err)
 		}
-		j.Append(m, Record{Op: "over", Outcome: OutcomeDelivered})
+		j.AppendMessageEnded(m, OutcomeDelivered, 0)
 		if err := j.Flush(); err != nil {
 			t.Fatalf("message %d: %v", i, err)
 		}
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -1,137 +1,162 @@
 package journal
 
-// How the journal of an earlier process is read, damaged as it may be.
-
 import (
 	"bufio"
 	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
-	"strconv"
 
 	"onyxdyke.example/onyxdyke/internal/clock"
 )
 
-// openJournal reads what an earlier process left and begins a compacted file.
-// It sets the clock to that of the earlier process.
-func Open(files FileSystem, clock *clock.Clock, dir string, budget int64) (*Journal, error) {
-	j := &Journal{files: files, clock: clock, path: filepath.Join(dir, FileName), budget: budget, byID: map[string]*Message{}, liveBytes: clockCost + 2*lineCost,
-		endpointList: endpointListStore{most: budget / listPart}, outages: outageStore{most: budget / outagePart}}
-	old, err := files.OpenFile(j.path, os.O_RDONLY, 0)
-	if err == nil {
-		err = j.replay(old)
-		old.Close()
-	} else if errors.Is(err, os.ErrNotExist) {
-		err = nil
+// Open replays the journal that an earlier process left in a directory and starts a compacted file. It makes the clock
+// continue that of the earlier process. The old and the new file together never take more than budget bytes.
+//
+// On a full disk it succeeds all the same: the old file stays as it is, and Failed reports true until a compacted one
+// can be written.
+func Open(files FileSystem, clock *clock.Clock, directory string, budget int64) (*Journal, error) {
+	j := &Journal{
+		files:        files,
+		clock:        clock,
+		path:         filepath.Join(directory, FileName),
+		budget:       budget,
+		byID:         map[string]*Message{},
+		endpointList: endpointListStore{maxSize: budget / endpointListBudgetDivisor},
+		outages:      outageStore{maxSize: budget / outagesBudgetDivisor},
+		ended:        endedIDs{maxGenerationSize: budget / endedIDsBudgetDivisor},
 	}
-	if err != nil {
+	if err := j.replayFile(); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	// What has ended is dropped here and not by the compaction only, which may fail: this process must not take it up again.
+	// Messages that have ended are dropped here and not only by the compaction, which may fail: this process must not
+	// resume them.
 	j.order = slices.DeleteFunc(j.order, func(m *Message) bool { return j.byID[m.ID] != m })
-	// On a full disk it goes on without: the old file stays as it is, and nothing new is taken or sent
-	// until a compacted one can be written.
-	j.Compact()
+	_ = j.Compact() // Failed reports an error until a later compaction succeeds.
 	return j, nil
 }
 
+// replayFile reads the file of an earlier process, if there is one.
+func (j *Journal) replayFile() error {
+	file, err := j.files.OpenFile(j.path, os.O_RDONLY, 0)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	return j.replay(file)
+}
+
 func (j *Journal) replay(r io.Reader) error {
-	lines := bufio.NewReaderSize(r, 1<<16)
+	lines := bufio.NewReaderSize(r, ioBufferSize)
 	for {
 		line, err := lines.ReadBytes('\n')
-		if err == io.EOF {
-			return nil // a line without its end was not written whole
+		if errors.Is(err, io.EOF) {
+			return nil // A line without its newline was torn by a kill.
 		}
 		if err != nil {
 			return err
 		}
-		rec, lost, ok := salvage(line)
-		if len(lost) > 0 {
-			j.damaged++
-			j.doubt(lost)
+		record, damaged, found := decodeDamaged(line)
+		if len(damaged) > 0 {
+			j.damagedLines++
+			j.assumeAttempt(damaged)
 		}
-		if !ok {
-			continue
+		if found {
+			j.replayRecord(&record, len(line))
+		}
+	}
+}
+
+// replayRecord takes in a record read from a line of the given length in bytes.
+func (j *Journal) replayRecord(r *Record, lineLength int) {
+	switch r.Kind {
+	case KindClock:
+		if r.Clock != nil {
+			j.clock.Follow(*r.Clock)
 		}
-		switch m := j.byID[rec.ID]; {
-		case rec.Op == "clock":
-			if rec.Clock != nil {
-				j.clock.Follow(*rec.Clock)
-			}
-		case rec.Op == "list":
-			j.tookList(rec.Version, rec.Targets)
-		case rec.Op == "outages":
-			j.tookOutages(rec.Outages)
-		case rec.Op == "past":
-			if age := j.clock.Now() - rec.At; age < 2*endedFor {
-				j.rememberID(rec.ID, rec.At)
-			}
-		case rec.Op == "take":
-			delete(j.ended.at, rec.ID) // it came again, when it was no longer known
-			delete(j.endedBefore.at, rec.ID)
-			if m != nil { // an id is used again only once its message is over
-				j.remove(m)
-			}
-			j.add(&Message{Record: rec, PendingOutcome: rec.Outcome, PendingRetryAfterMS: rec.RetryAfterMS, cost: int64(len(line)) + overhead})
-		case m == nil:
-		case rec.Op == "told" || rec.Op == "over" && (rec.Outcome == OutcomeDelivered || rec.Outcome == OutcomeAnswered):
-			j.remove(m)
-			j.rememberEnded(m, &rec)
-		default:
-			m.apply(&rec)
+	case KindEndpointListDelta:
+		j.endpointList.apply(r.Version, r.Endpoints)
+	case KindOutagesDelta:
+		j.outages.apply(r.Outages)
+	case KindEndedID:
+		if age := j.clock.Now() - r.EndedAt; age < 2*endedIDsLifetime {
+			j.ended.add(r.ID, r.EndedAt)
 		}
+	case KindMessageAccepted:
+		j.ended.remove(r.ID) // The id was submitted again after it had been forgotten.
+		if earlier := j.byID[r.ID]; earlier != nil {
+			j.remove(earlier) // An id is accepted again only after its message has ended.
+		}
+		j.add(newMessage(*r, lineLength))
+	default:
+		j.replayMessageRecord(r)
+	}
+}
+
+// replayMessageRecord takes in a record on a message that was accepted before it.
+func (j *Journal) replayMessageRecord(r *Record) {
+	m := j.byID[r.ID]
+	if m == nil {
+		return
+	}
+	if r.isFinal() {
+		j.finish(m, r)
+	} else {
+		m.apply(r)
 	}
 }
 
-// salvage reads a line, or the record at the end of a damaged one: where the end of a line is lost, the record
-// after it still stands whole, behind its own checksum. What cannot be read is given back.
-func salvage(line []byte) (rec Record, lost []byte, ok bool) {
-	for from := 0; ; {
-		rec = Record{}
-		if decode(line[from:], &rec) {
-			return rec, line[:from], true
+// decodeDamaged reads a line, or the record at the end of a damaged one: where the end of a line is lost, the record
+// after it is still intact behind its own checksum. It also returns the part of the line that cannot be read, and
+// whether it found a record.
+func decodeDamaged(line []byte) (record Record, damaged []byte, found bool) {
+	for start := 0; ; {
+		record = Record{}
+		if decode(line[start:], &record) {
+			return record, line[:start], true
 		}
-		next := bytes.Index(line[min(len(line), from+10):], []byte(" {"))
+		// The next record that may be intact starts with a checksum before " {".
+		searchFrom := start + minLineLength
+		next := bytes.Index(line[min(len(line), searchFrom):], []byte(" {"))
 		if next < 0 {
-			return rec, line, false
+			return record, line, false
 		}
-		from += 10 + next - 8
+		start = searchFrom + next - checksumLength
 	}
 }
 
-// doubt books an attempt for the message that a damaged record names, if that may be the record of one: it may have run,
-// nobody knows when.
-func (j *Journal) doubt(line []byte) {
-	for _, op := range []string{"take", "end", "over", "told", "past"} {
-		if bytes.Contains(line, []byte(`"op":"`+op+`"`)) {
-			return
-		}
+// damagedID finds the ids of messages in a damaged line.
+var damagedID = regexp.MustCompile(`"id":("(?:[^"\\]|\\.)*")`)
+
+// assumeAttempt adds an unknown attempt to the messages that a damaged line names, unless it is surely no record of a
+// started attempt: the message may have run.
+func (j *Journal) assumeAttempt(line []byte) {
+	if namesOtherKind(line) {
+		return
 	}
-	for _, named := range damagedID.FindAllSubmatch(line, -1) {
+	for _, match := range damagedID.FindAllSubmatch(line, -1) {
 		var id string
-		if json.Unmarshal(named[1], &id) != nil {
+		if json.Unmarshal(match[1], &id) != nil {
 			continue
 		}
 		if m := j.byID[id]; m != nil {
-			m.Attempts = append(m.Attempts, Attempt{})
+			m.addUnknownAttempt()
 		}
 	}
 }
 
-var damagedID = regexp.MustCompile(`"id":("(?:[^"\\]|\\.)*")`)
-
-func decode(line []byte, rec *Record) bool {
-	if len(line) < 10 {
-		return false
-	}
-	sum, err := strconv.ParseUint(string(line[:8]), 16, 32)
-	text := line[9 : len(line)-1]
-	return err == nil && uint32(sum) == crc32.ChecksumIEEE(text) && json.Unmarshal(text, rec) == nil
+// namesOtherKind reports whether a damaged line names a kind of record on a message that is no started attempt.
+func namesOtherKind(line []byte) bool {
+	otherKinds := []RecordKind{KindMessageAccepted, KindAttemptEnded, KindMessageEnded, KindNoticeDelivered, KindEndedID}
+	return slices.ContainsFunc(otherKinds, func(kind RecordKind) bool {
+		return bytes.Contains(line, []byte(`"op":"`+string(kind)+`"`))
+	})
 }
--- a/internal/sender/frozen.go
+++ b/internal/sender/frozen.go
@@ -309,7 +309,7 @@
 }
 
 func freezeRecord(r journal.Record) frozenRecord {
-	f := frozenRecord{Op: r.Op, ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Dest: r.Destination, Deadline: r.Deadline, Body: r.Body}
+	f := frozenRecord{Op: string(r.Kind), ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Dest: r.Destination, Deadline: r.Deadline, Body: r.Body}
 	if r.Rules != nil {
 		f.Rules = &frozenRules{Effect: uint8(r.Rules.Effect), InZone: r.Rules.KeyScopedToZone, Ordered: r.Rules.Ordered,
 			Attempts: r.Rules.MaxAttempts, Aim: r.Rules.LatencyObjective, Deadline: r.Rules.Deadline, Window: r.Rules.IdempotencyWindow,
@@ -322,7 +322,7 @@
 }
 
 func (f frozenRecord) thaw() journal.Record {
-	r := journal.Record{Op: f.Op, ID: f.ID, Key: f.Key, Class: f.Class, Tenant: f.Tenant, Destination: f.Dest, Deadline: f.Deadline, Body: f.Body}
+	r := journal.Record{Kind: journal.RecordKind(f.Op), ID: f.ID, Key: f.Key, Class: f.Class, Tenant: f.Tenant, Destination: f.Dest, Deadline: f.Deadline, Body: f.Body}
 	if f.Rules != nil {
 		r.Rules = &journal.Rules{Effect: dispatch.Effect(f.Rules.Effect), KeyScopedToZone: f.Rules.InZone, Ordered: f.Rules.Ordered,
 			MaxAttempts: f.Rules.Attempts, LatencyObjective: f.Rules.Aim, Deadline: f.Rules.Deadline, IdempotencyWindow: f.Rules.Window,
--- a/internal/sender/invariants.go
+++ b/internal/sender/invariants.go
@@ -181,7 +181,7 @@
 		return p
 	}
 	earlier := journal.Message{Record: journal.Record{Attempts: m.Attempts[:len(m.Attempts)-1]}}
-	first, ran := earlier.FirstRun()
+	first, ran := earlier.FirstPossibleRun()
 	p.mayHaveRun = ran
 	switch m.Rules.Effect {
 	case dispatch.NonIdempotent:
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -395,7 +395,7 @@
 			s.pendingNotices = append(s.pendingNotices, noticeOf(m))
 			continue
 		}
-		first, may := m.FirstRun()
+		first, may := m.FirstPossibleRun()
 		msg := dispatch.Message{ID: s.addMessage(m), Class: place(s.config.Classes, m.Class, -1),
 			Tenant: place(s.config.Tenants, m.Tenant, -1), Destination: dispatch.DestinationID(m.Destination), Deadline: m.Deadline,
 			PriorAttempts: len(m.Attempts), MayHaveRun: may, FirstRunAt: first.SentAt, FirstRunZone: first.Zone, Rules: m.Rules.ForDispatcher(),
@@ -501,7 +501,7 @@
 			told[n.Message] = true
 			s.trace("notice taken", n.Message, "outcome", n.Outcome)
 			if m := s.journal.Message(n.Message); m != nil && m.PendingOutcome != "" {
-				s.journal.Append(m, journal.Record{Op: "told"})
+				s.journal.AppendNoticeDelivered(m)
 			}
 		}
 		s.pendingNotices = slices.DeleteFunc(s.pendingNotices, func(n discovery.Notice) bool { return told[n.Message] })
@@ -547,7 +547,7 @@
 		switch a := a.(type) {
 		case dispatch.Send:
 			if m, e := s.messages[a.Message], s.endpoint(a.Endpoint); m != nil && e != nil {
-				s.journal.Append(m.Message, journal.Record{Op: "send", Attempt: len(m.Attempts), Sent: &journal.Attempt{SentAt: now, Endpoint: e.id[:min(len(e.id), journal.MaxEndpointLength)], Zone: e.zone}})
+				s.journal.AppendAttemptStarted(m.Message, journal.Attempt{SentAt: now, Endpoint: e.id, Zone: e.zone})
 			}
 		case dispatch.Reject:
 			closed = s.endMessage(closed, a.Message, journal.OutcomeReturned, a.RetryAfter)
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -106,21 +106,21 @@
 		case e.Outcome == dispatch.Served && m.Deadline-s.clock.Now() < clockSlack:
 			// By the client's clock it may have come too late, and then it still needs an end. A notice of one that
 			// was delivered in time does no harm.
-			s.recordEnd(m, journal.Record{Outcome: journal.OutcomeGivenUp})
+			s.recordEnd(m, journal.OutcomeGivenUp, 0)
 			s.pendingNotices = append(s.pendingNotices, noticeOf(m.Message))
 			s.metrics.MessageSucceeded(m.Class)
 		case e.Outcome == dispatch.Served:
-			s.recordEnd(m, journal.Record{Outcome: journal.OutcomeDelivered})
+			s.recordEnd(m, journal.OutcomeDelivered, 0)
 			s.metrics.MessageSucceeded(m.Class)
 		case e.Final:
-			s.recordEnd(m, journal.Record{Outcome: journal.OutcomeAnswered})
+			s.recordEnd(m, journal.OutcomeAnswered, 0)
 		case e.Outcome == dispatch.NotStarted:
 			s.metrics.CountReason(metrics.ReasonRetried, e.Outcome.String())
 			m.dropUnstartedAttempt(m.base + e.attempt)
 		default:
 			s.metrics.CountReason(metrics.ReasonRetried, e.Outcome.String())
 			never := e.Outcome == dispatch.Rejected || e.Outcome == dispatch.ConnectFailed || e.Outcome == dispatch.NotSent
-			s.journal.Append(m.Message, journal.Record{Op: "end", Attempt: m.base + e.attempt, NeverRan: never})
+			s.journal.AppendAttemptEnded(m.Message, m.base+e.attempt, never)
 		}
 	}
 	s.removeIfDone(m)
@@ -136,10 +136,9 @@
 }
 
 // end writes down that a message is over. A client that still waits hears it from the caller.
-func (s *Sender) recordEnd(m *message, rec journal.Record) {
-	rec.Op = "over"
-	s.trace("over", m.ID, "how", rec.Outcome)
-	s.journal.Append(m.Message, rec)
+func (s *Sender) recordEnd(m *message, outcome string, retryAfter time.Duration) {
+	s.trace("over", m.ID, "how", outcome)
+	s.journal.AppendMessageEnded(m.Message, outcome, retryAfter)
 	m.ended = true
 	s.pending--
 }
@@ -188,9 +187,9 @@
 	c := endedMessage{message: m, how: how, clients: m.answer, retryAfter: hold}
 	m.answer = nil
 	if c.clients != nil {
-		s.recordEnd(m, journal.Record{Outcome: journal.OutcomeAnswered})
+		s.recordEnd(m, journal.OutcomeAnswered, 0)
 	} else {
-		s.recordEnd(m, journal.Record{Outcome: how, RetryAfterMS: hold.Milliseconds()})
+		s.recordEnd(m, how, hold)
 	}
 	s.removeIfDone(m)
 	return append(closed, c)
@@ -204,7 +203,7 @@
 		s.metrics.CountReason(metrics.ReasonRejected, "not_written")
 		c.how, c.retryAfter = journal.OutcomeGivenUp, 0
 		if c.clients == nil {
-			s.journal.Append(c.Message, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+			s.journal.AppendMessageEnded(c.Message, journal.OutcomeGivenUp, 0)
 		}
 	}
 	if c.clients == nil {
--- a/internal/sender/notices_test.go
+++ b/internal/sender/notices_test.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+		s.journal.AppendMessageEnded(m, journal.OutcomeGivenUp, 0)
 		s.pendingNotices = append(s.pendingNotices, noticeOf(m))
 		s.deliverNotices()
 	}
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -769,7 +769,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+		s.journal.AppendMessageEnded(m, journal.OutcomeGivenUp, 0)
 		s.pendingNotices = append(s.pendingNotices, noticeOf(m))
 		if id == "c" {
 			s.deliverNotices()
