--- /dev/null
+++ b/internal/journal/endedids_test.go
@@ -0,0 +1,105 @@
+package journal
+
+import (
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// The id of a message that has ended is known for a while, also by the next process. That of a rejected one is not, as
+// its client may submit it again.
+func TestIDsOfEndedMessagesAreKnownUnlessRejected(t *testing.T) {
+	t.Parallel()
+	directory := t.TempDir()
+	j := openTest(t, directory, 1<<20)
+	wantKnown := map[string]bool{
+		OutcomeDelivered: true, OutcomeGivenUp: true, OutcomeReturned: false, OutcomeAnswered: false,
+	}
+	for outcome := range wantKnown {
+		m := acceptRecord(t, j, Record{ID: outcome, Class: "safe"})
+		j.AppendMessageEnded(m, outcome, 0)
+		if outcome == OutcomeGivenUp || outcome == OutcomeReturned {
+			j.AppendNoticeDelivered(m)
+		}
+	}
+	check := func(j *Journal) {
+		t.Helper()
+		for outcome, want := range wantKnown {
+			if j.Knows(outcome) != want {
+				t.Errorf("%s is known: %v", outcome, !want)
+			}
+		}
+	}
+	check(j)
+	closeTest(t, j)
+	for range 3 { // Each start compacts the file.
+		j = openTest(t, directory, 1<<20)
+		check(j)
+		closeTest(t, j)
+	}
+}
+
+// An id that is submitted again after it was forgotten, and rejected then, may be submitted once more, whatever the
+// file says of its first end.
+func TestReusedIDIsKnownByItsLastOutcome(t *testing.T) {
+	t.Parallel()
+	directory := t.TempDir()
+	j := openTest(t, directory, 1<<20)
+	for _, outcome := range []string{OutcomeDelivered, OutcomeAnswered} {
+		m := acceptRecord(t, j, Record{ID: "a", Class: "safe"})
+		j.AppendMessageEnded(m, outcome, 0)
+		if err := j.Compact(); err != nil {
+			t.Fatal(err)
+		}
+		if outcome == OutcomeDelivered { // The id is forgotten.
+			j.ended.current, j.ended.previous = idGeneration{}, idGeneration{}
+		}
+	}
+	closeTest(t, j)
+	if openTest(t, directory, 1<<20).Knows("a") {
+		t.Error("the id of a rejected message is known as one that has ended")
+	}
+}
+
+// The ids of ended messages count towards the budget, and leave space for further messages at any time.
+func TestEndedIDsStayWithinTheBudget(t *testing.T) {
+	t.Parallel()
+	const budget, messages = 64 << 10, 5000
+	directory := t.TempDir()
+	j := openTest(t, directory, budget)
+	// The JSON of "<" takes six bytes: no id is longer.
+	idOf := func(i int) string { return strings.Repeat("<", MaxNameLength-5) + strconv.Itoa(i) }
+	for i := range messages {
+		m, err := j.Accept(Record{ID: idOf(i), Class: "safe"})
+		if err != nil {
+			t.Fatalf("message %d: %v", i, err)
+		}
+		j.AppendMessageEnded(m, OutcomeDelivered, 0)
+		if err := j.Flush(); err != nil {
+			t.Fatalf("message %d: %v", i, err)
+		}
+		if size := directorySize(t, directory); size > budget {
+			t.Fatalf("%d bytes after message %d", size, i)
+		}
+	}
+	if !j.Knows(idOf(messages - 1)) {
+		t.Error("the last id is forgotten")
+	}
+}
+
+func directorySize(t *testing.T, directory string) (size int64) {
+	t.Helper()
+	entries, err := os.ReadDir(directory)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range entries {
+		info, err := entry.Info()
+		if err != nil {
+			t.Fatal(err)
+		}
+		size += info.Size()
+	}
+	return size
+}
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -155,7 +155,9 @@
 
 // namesOtherKind reports whether a damaged line names a kind of record on a message that is no started attempt.
 func namesOtherKind(line []byte) bool {
-	otherKinds := []RecordKind{KindMessageAccepted, KindAttemptEnded, KindMessageEnded, KindNoticeDelivered, KindEndedID}
+	otherKinds := []RecordKind{
+		KindMessageAccepted, KindAttemptEnded, KindMessageEnded, KindNoticeDelivered, KindEndedID,
+	}
 	return slices.ContainsFunc(otherKinds, func(kind RecordKind) bool {
 		return bytes.Contains(line, []byte(`"op":"`+string(kind)+`"`))
 	})
