--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,8 @@
-// Package settings translates what a sender is told at its start into the decision module's Settings.
-// The simulator states it as path=value lines, a real sender's configuration as nested JSON with the
-// same names; both are read through the same keys, so that the two cannot drift apart.
+// Package settings translates the settings of the simulator and of a sender's configuration for the dispatcher.
+//
+// The simulator states them as path=value lines, a configuration as nested JSON with the same names. Flatten brings the
+// JSON into the simulator's form, and Translate reads both by the same keys, so that the two cannot drift apart. The
+// package owns no state; the simulator's adapter and the sender's configuration call it.
 package settings
 
 import (
@@ -16,7 +18,7 @@
 	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
-// Span turns milliseconds into a duration, to the microsecond that the simulator counts in.
+// Span turns milliseconds into a duration, rounded to the microsecond that the simulator counts in.
 func Span(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	if limit := float64(math.MaxInt64 / 2000); us > limit || us < -limit {
@@ -25,90 +27,148 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// Translate reads the settings; unknown keys are skipped. Unreadable ones show in env.Err.
+// Translate reads the settings. Unknown keys are skipped; env.Err names the first value that cannot be read.
 func Translate(env *simprotocol.Env) dispatch.Settings {
-	ms := func(key string) time.Duration { return Span(env.Float(key)) }
-	s := dispatch.Settings{
-		Senders: env.Int("balancers"), Number: env.Int("slotNo"), Zone: env.Int("zone"), MaxConcurrentCalls: env.Int("familyInfo.callsOut"),
-		MaxPendingMessages: env.Int("limits.mostHeld"), MaxAttempts: env.Int("limits.maxAttempts"),
-		CanCancelAttempts: env.Bool("limits.cancel"), IdleConnectionTimeout: ms("limits.connIdle"),
-		SendsRetryAfter: env.Bool("limits.retryAfter"), MaxRetryAfter: ms("limits.maxRetryAfter"),
-		PollsEndpointList: env.Word("discovery", "pushed", "on_request") == 1, StepInterval: ms("step"),
-		OrderedKeySettleTime: ms("rules.settleAfterDoubt"), CollapseLoadFactor: env.Float("rules.fallMultiple"),
-		SlowStartCapacity: env.Float("rules.startCapacity"), OverloadWindow: ms("rules.overloadFor"), SlowStartDuration: ms("rules.cold"),
-		TotalWeight:       env.Float("blend.whole") + env.Float("blend.worstWindow"),
-		WorstClassWeight:  env.Float("blend.worstClass"),
-		OverQuotaWeight:   env.Float("overShareWorth"),
-		CrossZoneCost:     env.Float("costs.crossZone"),
-		LateWeightHalves:  env.Word("familyInfo.fades", "linear", "halving") == 1,
-		RatingIsRateLimit: env.Word("weights", "none", "nominal", "rough", "live")%3 != 0,
-		ZoneFees:          env.Floats("familyInfo.toll"),
+	s := translateScalars(env)
+	s.Kinds = translateKinds(env)
+	s.Classes = translateClasses(env)
+	s.Tenants = translateTenants(env)
+	return s
+}
+
+func milliseconds(env *simprotocol.Env, key string) time.Duration { return Span(env.Float(key)) }
+
+func translateScalars(env *simprotocol.Env) dispatch.Settings {
+	return dispatch.Settings{
+		Senders:               env.Int("balancers"),
+		Number:                env.Int("slotNo"),
+		Zone:                  env.Int("zone"),
+		MaxConcurrentCalls:    env.Int("familyInfo.callsOut"),
+		MaxPendingMessages:    env.Int("limits.mostHeld"),
+		MaxAttempts:           env.Int("limits.maxAttempts"),
+		CanCancelAttempts:     env.Bool("limits.cancel"),
+		IdleConnectionTimeout: milliseconds(env, "limits.connIdle"),
+		SendsRetryAfter:       env.Bool("limits.retryAfter"),
+		MaxRetryAfter:         milliseconds(env, "limits.maxRetryAfter"),
+		PollsEndpointList:     env.Word("discovery", "pushed", "on_request") == 1,
+		StepInterval:          milliseconds(env, "step"),
+		OrderedKeySettleTime:  milliseconds(env, "rules.settleAfterDoubt"),
+		CollapseLoadFactor:    env.Float("rules.fallMultiple"),
+		SlowStartCapacity:     env.Float("rules.startCapacity"),
+		OverloadWindow:        milliseconds(env, "rules.overloadFor"),
+		SlowStartDuration:     milliseconds(env, "rules.cold"),
+		TotalWeight:           env.Float("blend.whole") + env.Float("blend.worstWindow"),
+		WorstClassWeight:      env.Float("blend.worstClass"),
+		OverQuotaWeight:       env.Float("overShareWorth"),
+		CrossZoneCost:         env.Float("costs.crossZone"),
+		LateWeightHalves:      env.Word("familyInfo.fades", "linear", "halving") == 1,
+		RatingIsRateLimit:     isRatingRateLimit(env),
+		ZoneFees:              env.Floats("familyInfo.toll"),
 	}
-	apart, calls := env.Bools("familyInfo.routesApart"), env.Floats("familyInfo.perCall")
+}
+
+// isRatingRateLimit reports whether an endpoint's rating is its destination's rate limit: exactly, or up to half too
+// high or too low.
+func isRatingRateLimit(env *simprotocol.Env) bool {
+	const nominal, rough = 1, 2
+	weights := env.Word("weights", "none", "nominal", "rough", "live")
+	return weights == nominal || weights == rough
+}
+
+func translateKinds(env *simprotocol.Env) []dispatch.Kind {
+	perEndpoint, batchSizes := env.Bools("familyInfo.routesApart"), env.Floats("familyInfo.perCall")
+	var kinds []dispatch.Kind
 	for i := range env.List("models") {
-		k := dispatch.Kind{MaxBatchSize: 1}
-		if i < len(apart) {
-			k.PerEndpoint = apart[i]
+		kind := dispatch.Kind{MaxBatchSize: 1}
+		if i < len(perEndpoint) {
+			kind.PerEndpoint = perEndpoint[i]
 		}
-		if i < len(calls) {
-			k.MaxBatchSize = int(calls[i])
+		if i < len(batchSizes) {
+			kind.MaxBatchSize = int(batchSizes[i])
 		}
-		s.Kinds = append(s.Kinds, k)
+		kinds = append(kinds, kind)
 	}
+	return kinds
+}
+
+func translateClasses(env *simprotocol.Env) []dispatch.Class {
+	var classes []dispatch.Class
 	for i := range env.Count("services") {
-		p := fmt.Sprintf("services.%d.", i)
-		s.Classes = append(s.Classes, dispatch.Class{LatencyObjective: ms(p + "slo"), Deadline: ms(p + "giveUp"),
-			Effect:          dispatch.Effect(env.Word(p+"effect", "read_like", "idempotency_key", "non_idempotent")),
-			KeyScopedToZone: env.Word(p+"dedupScope", "all", "zone", "cell") != 0, IdempotencyWindow: ms(p + "dedupWindow"),
-			Ordered: env.Bool(p + "oneAtATime"), PriorityWeight: env.Float(p + "worth"), LateWeight: env.Float(p + "lateValue")})
+		prefix := fmt.Sprintf("services.%d.", i)
+		effect := prefix + "effect"
+		classes = append(classes, dispatch.Class{
+			LatencyObjective:  milliseconds(env, prefix+"slo"),
+			Deadline:          milliseconds(env, prefix+"giveUp"),
+			Effect:            dispatch.Effect(env.Word(effect, "read_like", "idempotency_key", "non_idempotent")),
+			KeyScopedToZone:   env.Word(prefix+"dedupScope", "all", "zone", "cell") != 0,
+			IdempotencyWindow: milliseconds(env, prefix+"dedupWindow"),
+			Ordered:           env.Bool(prefix + "oneAtATime"),
+			PriorityWeight:    env.Float(prefix + "worth"),
+			LateWeight:        env.Float(prefix + "lateValue"),
+		})
 	}
+	return classes
+}
+
+func translateTenants(env *simprotocol.Env) []dispatch.Tenant {
+	var tenants []dispatch.Tenant
 	for i := range env.Count("orgs") {
-		p := fmt.Sprintf("orgs.%d.", i)
-		s.Tenants = append(s.Tenants, dispatch.Tenant{Quota: env.Float(p + "share"), QuotaRate: env.Float(p + "allowancePerS")})
+		prefix := fmt.Sprintf("orgs.%d.", i)
+		tenants = append(tenants, dispatch.Tenant{
+			Quota:     env.Float(prefix + "share"),
+			QuotaRate: env.Float(prefix + "allowancePerS"),
+		})
 	}
-	return s
+	return tenants
 }
 
-// Flatten turns nested JSON into the simulator's path=value form: a list of plain values is joined by
-// commas, a list of objects states its length under .count and its items under .0, .1 and so forth.
+// Flatten turns nested JSON into the simulator's path=value form. A list of plain values is joined by commas; a list of
+// objects states its length under .count and its items under .0, .1 and so on.
 func Flatten(raw []byte) (*simprotocol.Env, error) {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
 	var root map[string]any
-	if err := d.Decode(&root); err != nil {
+	if err := decoder.Decode(&root); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	var lines []string
-	flatten("", root, &lines)
+	lines := appendFlattened(nil, "", root)
 	sort.Strings(lines)
 	return simprotocol.ParseEnv(strings.Join(lines, "\n"))
 }
 
-// plain replaces what separates lines and list items.
-var plain = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+// separatorReplacer replaces what separates lines and list items.
+var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-func flatten(path string, value any, lines *[]string) {
-	switch v := value.(type) {
+// appendFlattened appends the lines of a value at a path.
+func appendFlattened(lines []string, path string, value any) []string {
+	switch value := value.(type) {
 	case map[string]any:
-		for key, item := range v {
-			flatten(strings.TrimPrefix(path+"."+key, "."), item, lines)
+		for key, item := range value {
+			lines = appendFlattened(lines, strings.TrimPrefix(path+"."+key, "."), item)
 		}
+		return lines
 	case []any:
-		var words []string
-		for i, item := range v {
-			if _, nested := item.(map[string]any); nested {
-				flatten(fmt.Sprintf("%s.%d", path, i), item, lines)
-			} else {
-				words = append(words, plain.Replace(fmt.Sprint(item)))
-			}
-		}
-		if len(v) > 0 && words == nil {
-			*lines = append(*lines, fmt.Sprintf("%s.count=%d", path, len(v)))
-		} else {
-			*lines = append(*lines, path+"="+strings.Join(words, ","))
-		}
+		return appendFlattenedList(lines, path, value)
 	case nil:
+		return lines
 	default:
-		*lines = append(*lines, path+"="+plain.Replace(fmt.Sprint(v)))
+		return append(lines, path+"="+flattenPlain(value))
 	}
 }
+
+func appendFlattenedList(lines []string, path string, list []any) []string {
+	var plainItems []string
+	for i, item := range list {
+		if _, isObject := item.(map[string]any); isObject {
+			lines = appendFlattened(lines, fmt.Sprintf("%s.%d", path, i), item)
+		} else {
+			plainItems = append(plainItems, flattenPlain(item))
+		}
+	}
+	if len(list) > 0 && plainItems == nil {
+		return append(lines, fmt.Sprintf("%s.count=%d", path, len(list)))
+	}
+	return append(lines, path+"="+strings.Join(plainItems, ","))
+}
+
+func flattenPlain(value any) string { return separatorReplacer.Replace(fmt.Sprint(value)) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"math"
 	"reflect"
 	"strings"
 	"testing"
@@ -10,8 +11,8 @@
 	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
-// The configuration's JSON and the simulator's lines give the same settings.
-func TestFlattenMeansTheSameAsTheWire(t *testing.T) {
+// A configuration's JSON and the simulator's lines with the same values give equal settings.
+func TestConfigurationAndSimulatorGiveEqualSettings(t *testing.T) {
 	const lines = `balancers=2
 costs.handshake=0.06
 discovery=on_request
@@ -40,11 +41,22 @@
 services.0.giveUp=28000.0
 services.0.name=card-event
 zones=x,y_z`
-	const nested = `{"balancers":2,"blend":{"whole":0.5,"worstClass":0.2,"worstWindow":0.25},"costs":{"handshake":0.06},"discovery":"on_request",
-"familyInfo":{"callsOut":18,"fades":"halving","notes":"full: wait, 0 if none","perCall":[1,3],"routesApart":[false,true],"toll":[0.0]},
-"limits":{"cancel":true,"connIdle":15000.0,"maxRetryAfter":2000.5},"models":["processor","retailer"],
+	const nested = `{
+"balancers":2,
+"blend":{"whole":0.5,"worstClass":0.2,"worstWindow":0.25},
+"costs":{"handshake":0.06},
+"discovery":"on_request",
+"familyInfo":{
+  "callsOut":18,"fades":"halving","notes":"full: wait, 0 if none","perCall":[1,3],
+  "routesApart":[false,true],"toll":[0.0]
+},
+"limits":{"cancel":true,"connIdle":15000.0,"maxRetryAfter":2000.5},
+"models":["processor","retailer"],
 "orgs":[{"allowancePerS":14.0,"name":"a","share":0.38},{"allowancePerS":9.0,"name":"b","share":0.62}],
-"services":[{"effect":"idempotency_key","giveUp":28000.0,"name":"card-event"}],"zones":["x","y z"],"unknown":null}`
+"services":[{"effect":"idempotency_key","giveUp":28000.0,"name":"card-event"}],
+"zones":["x","y z"],
+"unknown":null
+}`
 	want, err := simprotocol.ParseEnv(lines)
 	if err != nil {
 		t.Fatal(err)
@@ -57,14 +69,71 @@
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	s := Translate(got)
-	if got.Err() != nil || s.MaxConcurrentCalls != 18 || s.MaxRetryAfter != 2000500*time.Microsecond || !s.LateWeightHalves || !s.Kinds[1].PerEndpoint ||
-		s.Kinds[1].MaxBatchSize != 3 || s.Classes[0].Effect != dispatch.IdempotentByKey || s.Tenants[1].QuotaRate != 9 || !s.PollsEndpointList ||
-		s.TotalWeight != 0.75 || s.WorstClassWeight != 0.2 {
-		t.Errorf("%v: %+v", got.Err(), s)
+	if got.Err() != nil {
+		t.Fatal(got.Err())
+	}
+	if s.MaxConcurrentCalls != 18 || s.MaxRetryAfter != 2000500*time.Microsecond || !s.LateWeightHalves ||
+		!s.PollsEndpointList || s.TotalWeight != 0.75 || s.WorstClassWeight != 0.2 {
+		t.Errorf("%+v", s)
+	}
+	if !s.Kinds[1].PerEndpoint || s.Kinds[1].MaxBatchSize != 3 {
+		t.Errorf("the kinds are %+v", s.Kinds)
+	}
+	if s.Classes[0].Effect != dispatch.IdempotentByKey || s.Tenants[1].QuotaRate != 9 {
+		t.Errorf("the classes are %+v, the tenants %+v", s.Classes, s.Tenants)
+	}
+}
+
+func TestTranslateReadsWords(t *testing.T) {
+	hasEffect := func(want dispatch.Effect) func(dispatch.Settings) bool {
+		return func(s dispatch.Settings) bool { return s.Classes[0].Effect == want }
+	}
+	for line, isTranslated := range map[string]func(dispatch.Settings) bool{
+		"weights=nominal":                  func(s dispatch.Settings) bool { return s.RatingIsRateLimit },
+		"weights=rough":                    func(s dispatch.Settings) bool { return s.RatingIsRateLimit },
+		"weights=live":                     func(s dispatch.Settings) bool { return !s.RatingIsRateLimit },
+		"weights=none":                     func(s dispatch.Settings) bool { return !s.RatingIsRateLimit },
+		"discovery=pushed":                 func(s dispatch.Settings) bool { return !s.PollsEndpointList },
+		"familyInfo.fades=linear":          func(s dispatch.Settings) bool { return !s.LateWeightHalves },
+		"services.0.dedupScope=all":        func(s dispatch.Settings) bool { return !s.Classes[0].KeyScopedToZone },
+		"services.0.dedupScope=zone":       func(s dispatch.Settings) bool { return s.Classes[0].KeyScopedToZone },
+		"services.0.dedupScope=cell":       func(s dispatch.Settings) bool { return s.Classes[0].KeyScopedToZone },
+		"services.0.effect=read_like":      hasEffect(dispatch.Idempotent),
+		"services.0.effect=non_idempotent": hasEffect(dispatch.NonIdempotent),
+		"models=a":                         func(s dispatch.Settings) bool { return s.Kinds[0].MaxBatchSize == 1 },
+	} {
+		t.Run(line, func(t *testing.T) {
+			env, err := simprotocol.ParseEnv("services.count=1\n" + line)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if s := Translate(env); env.Err() != nil || !isTranslated(s) {
+				t.Errorf("%+v, %v", s, env.Err())
+			}
+		})
+	}
+}
+
+func TestSpan(t *testing.T) {
+	for _, c := range []struct {
+		ms   float64
+		want time.Duration
+	}{
+		{ms: 0, want: 0},
+		{ms: 1.5, want: 1500 * time.Microsecond},
+		{ms: 0.0004, want: 0},
+		{ms: 0.0006, want: time.Microsecond},
+		{ms: -2, want: -2 * time.Millisecond},
+		{ms: 1e300, want: math.MaxInt64 / 2000 * time.Microsecond},
+		{ms: -1e300, want: -math.MaxInt64 / 2000 * time.Microsecond},
+	} {
+		if got := Span(c.ms); got != c.want {
+			t.Errorf("Span(%v) is %v, want %v", c.ms, got, c.want)
+		}
 	}
 }
 
-func TestFlattenReportsWhatItCannotRead(t *testing.T) {
+func TestUnreadableSettingsAreReported(t *testing.T) {
 	if _, err := Flatten([]byte(`{"step":`)); err == nil {
 		t.Error("half an object passes")
 	}
