--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,8 @@
-// Package clock tells the time that deadlines, windows and waits are stated in: a clock that steps of the wall clock do
-// not move, also across processes. The journal stores how to read its times; the event loop, the HTTP server and the
-// hand-over use it.
+// Package clock is the clock that deadlines, idempotency windows and waits are measured by: steps of the wall clock do
+// not move it, and a new process continues the clock of the one before.
+//
+// A Clock owns no more than its offset from the machine's monotonic clock. The journal stores that as an Epoch and has
+// the clock of the next process follow it; the event loop, the HTTP server and the hand-over read the time.
 package clock
 
 import (
@@ -16,23 +18,23 @@
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
 // Clock is Unix time as the wall clock had it when the state directory was first used, and advances with the machine's
-// monotonic clock from there. Only where the machine has been restarted in between is the wall clock read again. It is
-// safe for concurrent use.
+// monotonic clock from there. The wall clock is read again only after a restart of the machine. It is safe for
+// concurrent use.
 type Clock struct {
-	readAt time.Time     // when the monotonic clock was read
-	uptime time.Duration // what the monotonic clock said then, 0 if it cannot be read
-	bootID string        // identifies the machine's start, empty if it is unknown: then only the uptime is compared
+	readAt time.Time     // when uptime was read
+	uptime time.Duration // the machine's monotonic clock at readAt, 0 if it cannot be read
+	bootID string        // identifies the machine's start; empty if it is unknown: then only the uptime is compared
 	offset atomic.Int64  // nanoseconds from the monotonic clock to this one
 }
 
-// Epoch is how a clock's times are to be read by another process. It is stored in the journal.
+// Epoch is what another process needs to continue a clock. It is stored in the journal, so that its JSON never changes.
 type Epoch struct {
-	Boot   string        `json:"boot"`
+	Boot   string        `json:"boot"`   // identifies the machine's start
 	Offset time.Duration `json:"offset"` // from the machine's monotonic clock to the clock
 	Uptime time.Duration `json:"uptime"` // of the machine when this was written
 }
 
-// New starts a clock at the time of the wall clock.
+// New starts a clock at a time of the wall clock.
 func New(wall time.Time) *Clock {
 	c := &Clock{readAt: time.Now()}
 	var monotonic unix.Timespec
@@ -46,18 +48,18 @@
 	return c
 }
 
-// monotonic is the machine's monotonic clock.
+// monotonic reads the machine's monotonic clock.
 func (c *Clock) monotonic() time.Duration { return c.uptime + time.Since(c.readAt) }
 
-// Now is the time since the Unix epoch.
+// Now returns the time since the Unix epoch.
 func (c *Clock) Now() time.Duration { return time.Duration(c.offset.Load()) + c.monotonic() }
 
-// Epoch is what another process needs to continue this clock.
+// Epoch returns what another process needs to continue this clock.
 func (c *Clock) Epoch() *Epoch {
 	return &Epoch{Boot: c.bootID, Offset: time.Duration(c.offset.Load()), Uptime: c.monotonic()}
 }
 
-// Follow continues the clock of an earlier process, if the machine has not been restarted since.
+// Follow continues the clock of an earlier process, unless the machine has been restarted since.
 func (c *Clock) Follow(e Epoch) {
 	if c.uptime > 0 && e.Uptime > 0 && e.Boot == c.bootID && e.Uptime <= c.monotonic() {
 		c.offset.Store(int64(e.Offset))
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -1,43 +1,78 @@
 package clock
 
 import (
+	"encoding/json"
 	"testing"
 	"time"
 )
 
-// machine is a clock as a process on a machine has it that has been up for so long, its wall clock at a time.
-func machine(boot string, uptime time.Duration, wall time.Time) *Clock {
-	c := &Clock{readAt: time.Now(), uptime: uptime, bootID: boot}
+// onMachine returns the clock of a process that starts at a time of the wall clock on a machine with the given uptime.
+func onMachine(bootID string, uptime time.Duration, wall time.Time) *Clock {
+	c := &Clock{readAt: time.Now(), uptime: uptime, bootID: bootID}
 	c.offset.Store(wall.UnixNano() - int64(uptime))
 	return c
 }
 
-// A process goes on with the clock of the one before, unless the machine has been started anew in between.
-func TestAClockGoesOnAcrossProcesses(t *testing.T) {
+// A process continues the clock of the one before, unless the machine has been restarted in between.
+func TestClockContinuesAcrossProcesses(t *testing.T) {
 	t.Parallel()
-	began := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
+	const firstUptime = time.Hour // of the machine, at the start of the first process
+	firstStart := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 	for name, c := range map[string]struct {
-		bootBefore, boot string
-		uptime           time.Duration // of the second process, where the first had an hour
-		wall             time.Duration // that its wall clock shows after the first one's
-		want             time.Duration // that its clock shows after the first one's
+		firstBoot, secondBoot string
+		secondUptime          time.Duration // of the machine, at the start of the second process
+		wallElapsed           time.Duration // between the starts, by the wall clock
+		want                  time.Duration // between the starts, by the clock
 	}{
-		"no step":                     {"a", "a", time.Hour + time.Minute, time.Minute, time.Minute},
-		"a step forward":              {"a", "a", time.Hour + time.Minute, 2 * time.Hour, time.Minute},
-		"a step back":                 {"a", "a", time.Hour + time.Minute, -time.Hour, time.Minute},
-		"another start":               {"a", "b", time.Minute, 5 * time.Minute, 5 * time.Minute},
-		"another start, long ago":     {"a", "b", 3 * time.Hour, 5 * time.Minute, 5 * time.Minute},
-		"the starts cannot be told":   {"", "", time.Hour + time.Minute, -time.Hour, time.Minute},
-		"nor can they, and it is new": {"", "", time.Minute, 5 * time.Minute, 5 * time.Minute},
+		"no step": {
+			firstBoot: "a", secondBoot: "a", secondUptime: firstUptime + time.Minute,
+			wallElapsed: time.Minute, want: time.Minute,
+		},
+		"a step forward": {
+			firstBoot: "a", secondBoot: "a", secondUptime: firstUptime + time.Minute,
+			wallElapsed: 2 * time.Hour, want: time.Minute,
+		},
+		"a step back": {
+			firstBoot: "a", secondBoot: "a", secondUptime: firstUptime + time.Minute,
+			wallElapsed: -time.Hour, want: time.Minute,
+		},
+		"a restart of the machine": {
+			firstBoot: "a", secondBoot: "b", secondUptime: time.Minute,
+			wallElapsed: 5 * time.Minute, want: 5 * time.Minute,
+		},
+		"a restart of the machine, with a longer uptime since": {
+			firstBoot: "a", secondBoot: "b", secondUptime: 3 * time.Hour,
+			wallElapsed: 5 * time.Minute, want: 5 * time.Minute,
+		},
+		"no restart, without boot ids": {
+			firstBoot: "", secondBoot: "", secondUptime: firstUptime + time.Minute,
+			wallElapsed: -time.Hour, want: time.Minute,
+		},
+		"a restart of the machine, without boot ids": {
+			firstBoot: "", secondBoot: "", secondUptime: time.Minute,
+			wallElapsed: 5 * time.Minute, want: 5 * time.Minute,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			first := machine(c.bootBefore, time.Hour, began)
-			second := machine(c.boot, c.uptime, began.Add(c.wall))
+			first := onMachine(c.firstBoot, firstUptime, firstStart)
+			second := onMachine(c.secondBoot, c.secondUptime, firstStart.Add(c.wallElapsed))
 			second.Follow(*first.Epoch())
 			if got := second.Now() - first.Now(); got < c.want-time.Second || got > c.want+time.Second {
-				t.Errorf("it goes on %v later, want %v", got, c.want)
+				t.Errorf("the second clock is %v ahead, want %v", got, c.want)
 			}
 		})
 	}
 }
+
+// The JSON of an epoch is stored in the journal, which outlives a release.
+func TestEpochIsStoredAsReleased(t *testing.T) {
+	t.Parallel()
+	text, err := json.Marshal(Epoch{Boot: "b", Offset: 1, Uptime: 2})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"boot":"b","offset":1,"uptime":2}`; string(text) != want {
+		t.Errorf("%s, want %s", text, want)
+	}
+}
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,7 +1,7 @@
-// Package endpointlist holds the endpoint list as discovery tells it: its entries, their states and its updates.
+// Package endpointlist defines the endpoint list as discovery sends it: its entries, their states and its updates.
 //
-// Discovery decodes it, the journal stores its changes, and the event loop translates it for the dispatcher. The JSON
-// keys are those of the protocol.
+// It owns no state. Discovery decodes the list, the journal stores its changes, and the event loop translates it for
+// the dispatcher. The JSON keys are those of the protocol and of the journal's file, and never change.
 package endpointlist
 
 // The states of an endpoint. In any other state it accepts nothing new.
@@ -13,7 +13,7 @@
 // Endpoint is one entry of the list.
 type Endpoint struct {
 	ID     string  `json:"id"`
-	Addr   string  `json:"addr"`
+	Addr   string  `json:"addr"` // host and port
 	Zone   string  `json:"zone"`
 	Kind   string  `json:"kind"`
 	Cell   uint32  `json:"cell"` // the destination that it belongs to
@@ -21,19 +21,19 @@
 	Weight float64 `json:"weight"`
 }
 
-// EqualExceptWeight reports whether two entries of one endpoint differ in nothing that decides whether and how it may be
-// called. Weights may change with every answer, and come again with the next one.
+// EqualExceptWeight reports whether two entries of an endpoint agree in everything that decides whether and how it may
+// be called. Weights may change with every answer, and are sent again with the next one.
 func (e Endpoint) EqualExceptWeight(other Endpoint) bool {
 	e.Weight = other.Weight
 	return e == other
 }
 
-// IsDeleted reports whether the entry only says that its endpoint is gone.
+// IsDeleted reports whether the entry only says that its endpoint has been removed from the list.
 func (e Endpoint) IsDeleted() bool { return e.State == StateDeleted }
 
-// Update is an answer of discovery: the full list, or what has changed since an earlier version.
+// Update is an answer of discovery: the full list, or the entries that have changed since an earlier version.
 type Update struct {
 	Version   int64      `json:"version"`
-	Full      bool       `json:"full"`
+	Full      bool       `json:"full"` // endpoints without an entry have been removed
 	Endpoints []Endpoint `json:"servers"`
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -146,40 +146,40 @@
 	return r.lastHeartbeat
 }
 
-// line is one figure of a dump.
-type line struct {
+// figure is one line of a dump.
+type figure struct {
 	name  string
 	value int64
 }
 
-// Dump writes a line for each figure: the classes in the order in which they were named, the totals, then the reasons
-// in the order of their names.
+// Dump writes a line for each figure: the classes in the order in which they were registered, the totals, then the
+// reasons in the order of their names.
 func (r *Registry) Dump(w io.Writer) {
-	for _, l := range r.lines() {
+	for _, f := range r.figures() {
 		// The reply is written to memory, which takes all of it.
-		_, _ = fmt.Fprintf(w, "%s%s=%d\n", namePrefix, l.name, l.value)
+		_, _ = fmt.Fprintf(w, "%s%s=%d\n", namePrefix, f.name, f.value)
 	}
 }
 
-func (r *Registry) lines() []line {
+func (r *Registry) figures() []figure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var lines []line
+	var figures []figure
 	for _, c := range r.classes {
-		lines = append(lines,
-			line{"succeeded." + c.class, int64(c.succeeded)},
-			line{"declined." + c.class, int64(c.declined)},
-			line{"aborted." + c.class, int64(c.aborted)})
+		figures = append(figures,
+			figure{name: "succeeded." + c.class, value: int64(c.succeeded)},
+			figure{name: "declined." + c.class, value: int64(c.declined)},
+			figure{name: "aborted." + c.class, value: int64(c.aborted)})
 	}
-	lines = append(lines,
-		line{"forwards", int64(r.forwards)},
-		line{"outstanding", int64(r.gauges.Outstanding)},
-		line{"discovered", int64(r.gauges.Discovered)},
-		line{"ejected", int64(r.gauges.Ejected)},
-		line{"sighup_applied", int64(r.applied)},
-		line{"sighup_rejected", int64(r.rejected)})
+	figures = append(figures,
+		figure{name: "forwards", value: int64(r.forwards)},
+		figure{name: "outstanding", value: int64(r.gauges.Outstanding)},
+		figure{name: "discovered", value: int64(r.gauges.Discovered)},
+		figure{name: "ejected", value: int64(r.gauges.Ejected)},
+		figure{name: "sighup_applied", value: int64(r.applied)},
+		figure{name: "sighup_rejected", value: int64(r.rejected)})
 	for _, name := range slices.Sorted(maps.Keys(r.reasons)) {
-		lines = append(lines, line{name, int64(r.reasons[name])})
+		figures = append(figures, figure{name: name, value: int64(r.reasons[name])})
 	}
-	return lines
+	return figures
 }
--- a/internal/netconn/netconn.go
+++ b/internal/netconn/netconn.go
@@ -1,5 +1,6 @@
-// Package netconn looks at connections without reading from them. The pool of connections to endpoints, the discovery
-// client and the clients' listener use it.
+// Package netconn inspects connections without reading from them.
+//
+// It owns no state. The pool of connections to endpoints, the discovery client and the clients' listener use it.
 package netconn
 
 import (
@@ -21,7 +22,7 @@
 		return false
 	}
 	quiet := false
-	err = raw.Control(func(fd uintptr) { // Read would wait for whoever is reading
+	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for a concurrent reader.
 		var first [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errors.Is(err, syscall.EAGAIN)
--- /dev/null
+++ b/internal/netconn/netconn_test.go
@@ -0,0 +1,107 @@
+package netconn
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"testing"
+)
+
+// connect returns both ends of a TCP connection.
+func connect(t *testing.T) (local, remote net.Conn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	remote, err = net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = remote.Close() })
+	local, err = listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = local.Close() })
+	return local, remote
+}
+
+// awaitArrival waits until something has arrived on a connection, without reading it.
+func awaitArrival(t *testing.T, c net.Conn) {
+	t.Helper()
+	raw, err := c.(syscall.Conn).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = raw.Read(func(fd uintptr) (done bool) {
+		var first [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		return !errors.Is(err, syscall.EAGAIN)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestIsQuiet(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		prepare func(t *testing.T, local, remote net.Conn)
+		want    bool
+	}{
+		"nothing has arrived": {prepare: func(*testing.T, net.Conn, net.Conn) {}, want: true},
+		"data has arrived": {prepare: func(t *testing.T, local, remote net.Conn) {
+			if _, err := remote.Write([]byte("x")); err != nil {
+				t.Fatal(err)
+			}
+			awaitArrival(t, local)
+		}},
+		"the remote end was closed": {prepare: func(t *testing.T, local, remote net.Conn) {
+			if err := remote.Close(); err != nil {
+				t.Fatal(err)
+			}
+			awaitArrival(t, local)
+		}},
+		"the local end was closed": {prepare: func(t *testing.T, local, _ net.Conn) {
+			if err := local.Close(); err != nil {
+				t.Fatal(err)
+			}
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			local, remote := connect(t)
+			c.prepare(t, local, remote)
+			if got := IsQuiet(local); got != c.want {
+				t.Errorf("IsQuiet reports %v", got)
+			}
+		})
+	}
+}
+
+func TestIsQuietReadsNothing(t *testing.T) {
+	t.Parallel()
+	local, remote := connect(t)
+	if _, err := remote.Write([]byte("x")); err != nil {
+		t.Fatal(err)
+	}
+	awaitArrival(t, local)
+	if IsQuiet(local) {
+		t.Error("a connection with unread data is quiet")
+	}
+	var first [1]byte
+	if n, err := local.Read(first[:]); n != 1 || err != nil || first[0] != 'x' {
+		t.Errorf("read %d bytes, %q: %v", n, first, err)
+	}
+}
+
+func TestConnectionWithoutDescriptorIsQuiet(t *testing.T) {
+	t.Parallel()
+	local, remote := net.Pipe()
+	t.Cleanup(func() { _, _ = local.Close(), remote.Close() })
+	if !IsQuiet(local) {
+		t.Error("a pipe is not quiet")
+	}
+}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry repeats what the operating system refuses for a moment, and waits with a context.
+// Package retry repeats operations that the operating system refuses for a moment, and waits with a context.
 //
-// It keeps no state. The sender uses it for everything that it needs from its machine: the state directory, sockets, the
-// configuration.
+// It owns no state. The sender uses it for everything that it needs from its machine: the state directory, sockets and
+// the configuration; the discovery client waits with it.
 package retry
 
 import (
