--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -2,10 +2,10 @@
 // the process.
 //
 // It owns that file and its state in memory: the messages that have not ended or whose notice is pending, the ids of
-// messages that ended lately, the changes of the endpoint list, the outages, and how the clock continues that of the
+// messages that ended recently, the changes of the endpoint list, the outages, and how the clock continues that of the
 // process before. The event loop alone calls it, as nothing here is safe for concurrent use; the process that has the
 // lock on the state directory opens it. The methods named Append buffer a record, and Flush writes all of them with one
-// system call: the event loop flushes before it acts on what they say. Accept writes at once.
+// system call: the event loop flushes before it acts on what they state. Accept writes at once.
 //
 // # What survives
 //
--- a/internal/journal/endedids.go
+++ b/internal/journal/endedids.go
@@ -10,11 +10,11 @@
 	endedIDsLifetime = 5 * time.Second
 	// maxEndedIDs is how many ids a generation takes in at most.
 	maxEndedIDs = 4096
-	// endedIDsBudgetDivisor says after which part of the journal's budget a generation takes in no more: 1/32.
+	// A generation takes in no more ids after it takes 1/endedIDsBudgetDivisor of the journal's budget.
 	endedIDsBudgetDivisor = 32
 )
 
-// endedIDs remembers the ids of messages that ended lately, in two generations: ids are added to the current one, and
+// endedIDs remembers the ids of messages that ended recently, in two generations: ids are added to the current one, and
 // the previous one is forgotten as a whole when the current one is complete. A client whose connection is closed while
 // it writes a request submits it once more, under the same id, within the time that it waits for an answer.
 type endedIDs struct {
--- a/internal/journal/endedids_test.go
+++ b/internal/journal/endedids_test.go
@@ -44,21 +44,58 @@
 // file says of its first end.
 func TestReusedIDIsKnownByItsLastOutcome(t *testing.T) {
 	t.Parallel()
-	directory := t.TempDir()
-	j := openTest(t, directory, 1<<20)
-	for _, outcome := range []string{OutcomeDelivered, OutcomeAnswered} {
-		m := acceptRecord(t, j, Record{ID: "a", Class: "safe"})
-		j.AppendMessageEnded(m, outcome, 0)
-		if err := j.Compact(); err != nil {
-			t.Fatal(err)
-		}
-		if outcome == OutcomeDelivered { // The id is forgotten.
-			j.ended.current, j.ended.previous = idGeneration{}, idGeneration{}
+	for name, compacted := range map[string]bool{"after a compaction": true, "without a compaction": false} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			directory := t.TempDir()
+			j := openTest(t, directory, 1<<20)
+			for _, outcome := range []string{OutcomeDelivered, OutcomeAnswered} {
+				m := acceptRecord(t, j, Record{ID: "a", Class: "safe"})
+				j.AppendMessageEnded(m, outcome, 0)
+				if compacted || outcome == OutcomeDelivered {
+					if err := j.Compact(); err != nil {
+						t.Fatal(err)
+					}
+				}
+				if outcome == OutcomeDelivered { // The id is forgotten.
+					j.ended.current, j.ended.previous = idGeneration{}, idGeneration{}
+				}
+			}
+			closeTest(t, j)
+			if openTest(t, directory, 1<<20).Knows("a") {
+				t.Error("the id of a rejected message is known as one that has ended")
+			}
+		})
+	}
+}
+
+func TestEndedIDsAreForgottenByGeneration(t *testing.T) {
+	t.Parallel()
+	e := endedIDs{maxGenerationSize: 1 << 30}
+	idOf := func(i int) string { return strconv.Itoa(1e6 + i) }
+	add := func(from, to int) {
+		for i := from; i < to; i++ {
+			e.add(idOf(i), 1)
 		}
 	}
-	closeTest(t, j)
-	if openTest(t, directory, 1<<20).Knows("a") {
-		t.Error("the id of a rejected message is known as one that has ended")
+	size := e.size()
+	add(0, maxEndedIDs)
+	generationSize := e.size() - size
+	add(maxEndedIDs, 2*maxEndedIDs)
+	if !e.contains(idOf(0)) || !e.contains(idOf(maxEndedIDs)) || e.size() != 2*generationSize {
+		t.Errorf("two generations have %d bytes, one has %d", e.size(), generationSize)
+	}
+	add(2*maxEndedIDs, 2*maxEndedIDs+1)
+	if e.contains(idOf(0)) || !e.contains(idOf(maxEndedIDs)) || !e.contains(idOf(2*maxEndedIDs)) {
+		t.Error("the previous generation is not the last one that is complete")
+	}
+	if e.size() != generationSize+generationSize/maxEndedIDs {
+		t.Errorf("a generation and an id have %d bytes, a generation has %d", e.size(), generationSize)
+	}
+	sizeBefore := e.size()
+	e.add(idOf(2*maxEndedIDs), 2)
+	if e.size() != sizeBefore {
+		t.Error("an id that is added again is counted twice")
 	}
 }
 
--- a/internal/journal/endpointliststore.go
+++ b/internal/journal/endpointliststore.go
@@ -6,7 +6,7 @@
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 )
 
-// endpointListBudgetDivisor says which part of the journal's budget changes of the endpoint list may take: 1/16.
+// Changes of the endpoint list may take 1/endpointListBudgetDivisor of the journal's budget.
 const endpointListBudgetDivisor = 16
 
 // endpointListStore keeps what discovery has sent beyond the configuration's endpoint list, for the next process. One
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -20,8 +20,7 @@
 	clockReserve = 256
 	// recordReserve is how many bytes a record of the endpoint list or of outages adds to its items.
 	recordReserve = 128
-	// acceptReserveDivisor says which part of the budget accepting messages leaves free: 1/10. With less, every further
-	// record would take a compaction.
+	// Accept leaves 1/acceptReserveDivisor of the budget free: with less, every further record would take a compaction.
 	acceptReserveDivisor = 10
 )
 
@@ -98,7 +97,7 @@
 	j.appendToMessage(m, Record{Kind: KindAttemptStarted, AttemptIndex: len(m.Attempts), StartedAttempt: &attempt})
 }
 
-// AppendAttemptEnded records that an attempt ended while its message goes on, and whether it surely had no effect.
+// AppendAttemptEnded records that an attempt ended without ending its message, and whether it surely had no effect.
 func (j *Journal) AppendAttemptEnded(m *Message, attemptIndex int, neverRan bool) {
 	j.appendToMessage(m, Record{Kind: KindAttemptEnded, AttemptIndex: attemptIndex, NeverRan: neverRan})
 }
@@ -229,7 +228,7 @@
 // DamagedLines returns how many lines of the file were damaged when it was opened.
 func (j *Journal) DamagedLines() int { return j.damagedLines }
 
-// Knows reports whether a message was accepted and has not ended, or ended lately otherwise than by a rejection.
+// Knows reports whether a message was accepted and has not ended, or ended recently otherwise than by a rejection.
 func (j *Journal) Knows(id string) bool { return j.byID[id] != nil || j.ended.contains(id) }
 
 // Messages returns the messages that have not ended or whose notice is pending, in the order in which they were
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Old and new file together stay within the budget, however long it goes on. A message without space is rejected, and
-// one that ends makes space again.
+// Old and new file together stay within the budget, however many messages there have been. A message without space is
+// rejected, and one that ends makes space again.
 func TestFilesStayWithinTheBudget(t *testing.T) {
 	const budget, messages = 64 << 10, 3000
 	directory := t.TempDir()
@@ -33,6 +33,9 @@
 		case err != nil:
 			t.Fatal(err)
 		default:
+			if j.size+j.liveBytes() > budget-budget/acceptReserveDivisor {
+				t.Fatalf("message %d uses the space that is left free for further records", i)
+			}
 			accepted = append(accepted, m)
 			for n := range 6 {
 				j.AppendAttemptStarted(m, Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"})
--- a/internal/journal/message.go
+++ b/internal/journal/message.go
@@ -17,7 +17,7 @@
 	reservedBytes int64 // upper bound of its line in a compacted file
 }
 
-// newMessage makes a message of the record that says it was accepted, in a line of lineLength bytes.
+// newMessage makes a message of the record that it was accepted, as a line of lineLength bytes.
 func newMessage(r Record, lineLength int) *Message {
 	return &Message{
 		Record:              r,
@@ -27,7 +27,7 @@
 	}
 }
 
-// apply takes in what a later record says of the message.
+// apply updates the message by a later record.
 func (m *Message) apply(r *Record) {
 	switch r.Kind {
 	case KindAttemptStarted:
--- a/internal/journal/outagestore.go
+++ b/internal/journal/outagestore.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// outagesBudgetDivisor says which part of the journal's budget outages may take: 1/32.
+// Outages may take 1/outagesBudgetDivisor of the journal's budget.
 const outagesBudgetDivisor = 32
 
 // Outage is a dispatch.Outage as it is stored: it names its endpoint by id, as numbers of endpoints are only valid
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -16,7 +16,7 @@
 // The format of the file outlives a release: neither the kinds of records, nor the keys of their JSON, nor the words
 // and numbers stored under them ever change.
 
-// RecordKind says what a record states.
+// RecordKind is what a record states.
 type RecordKind string
 
 // The kinds of records, as they are stored.
@@ -47,7 +47,7 @@
 const maxEndpointLength = 24
 
 // Record is one line of the file. Which fields it has depends on its kind. Its times are those of the sender's clock,
-// and the first line of a file says how to read them; without that line they are Unix time.
+// and the first line of a file states how to read them; without that line they are Unix time.
 type Record struct {
 	Kind RecordKind `json:"op"`
 	ID   string     `json:"id"` // of the message
--- a/internal/journal/replay_test.go
+++ b/internal/journal/replay_test.go
@@ -155,3 +155,28 @@
 		}
 	}
 }
+
+// A damaged record adds an attempt only where it may be that of a started one.
+func TestDamagedRecordsOfOtherKindsAddNoAttempt(t *testing.T) {
+	t.Parallel()
+	for kind, wantAttempts := range map[RecordKind]int{
+		KindAttemptStarted: 1, KindMessageAccepted: 0, KindAttemptEnded: 0, KindMessageEnded: 0,
+		KindNoticeDelivered: 0, KindEndedID: 0,
+	} {
+		t.Run(string(kind), func(t *testing.T) {
+			t.Parallel()
+			directory := t.TempDir()
+			j := openTest(t, directory, 1<<20)
+			acceptTest(t, j, "a")
+			j.bufferRecord(&Record{Kind: kind, ID: "a", Outcome: "damaged"})
+			flushTest(t, j)
+			raw := readFile(t, j.path)
+			writeFile(t, j.path, bytes.Replace(raw, []byte(`"how":"damaged"`), []byte(`"how":"xxxxxxx"`), 1))
+			again := openTest(t, directory, 1<<20)
+			m := again.byID["a"]
+			if again.DamagedLines() != 1 || m == nil || len(m.Attempts) != wantAttempts {
+				t.Errorf("%d damaged lines, a is restored as %+v", again.DamagedLines(), m)
+			}
+		})
+	}
+}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -52,7 +52,7 @@
 	ReasonViolation ReasonKind = "violations" // an invariant was about to be broken
 	ReasonClosed    ReasonKind = "closed"     // a client's connection was closed
 	ReasonRejected  ReasonKind = "refused"    // a request was rejected
-	ReasonRetried   ReasonKind = "retried"    // an attempt ended and its message goes on
+	ReasonRetried   ReasonKind = "retried"    // an attempt ended without ending its message
 	ReasonAccept    ReasonKind = "accept"     // a client could not be accepted
 	ReasonDropped   ReasonKind = "dropped"    // a connection to an endpoint was closed with its call
 	ReasonDiscovery ReasonKind = "discovery"  // a call for the endpoint list did not go as it should
