--- a/internal/handover/translate.go
+++ b/internal/handover/translate.go
@@ -176,7 +176,7 @@
 
 func freezeRecord(r journal.Record) frozenRecord {
 	f := frozenRecord{
-		Op:       r.Op,
+		Op:       string(r.Kind),
 		ID:       r.ID,
 		Key:      r.Key,
 		Class:    r.Class,
@@ -206,7 +206,7 @@
 
 func (f frozenRecord) thaw() journal.Record {
 	r := journal.Record{
-		Op:          f.Op,
+		Kind:        journal.RecordKind(f.Op),
 		ID:          f.ID,
 		Key:         f.Key,
 		Class:       f.Class,
--- a/internal/sender/attempts.go
+++ b/internal/sender/attempts.go
@@ -55,14 +55,14 @@
 	case end.Outcome == dispatch.Served && m.Deadline-s.clock.Now() < deliveryMargin:
 		// By the client's clock it may have been delivered too late, and then the client needs to know its end. A
 		// notice of a message that was delivered in time does no harm.
-		s.recordEnd(m, journal.Record{Outcome: journal.OutcomeGivenUp})
+		s.recordEnd(m, journal.OutcomeGivenUp, 0)
 		s.notices.add(noticeOf(m.Message))
 		s.metrics.MessageSucceeded(m.Class)
 	case end.Outcome == dispatch.Served:
-		s.recordEnd(m, journal.Record{Outcome: journal.OutcomeDelivered})
+		s.recordEnd(m, journal.OutcomeDelivered, 0)
 		s.metrics.MessageSucceeded(m.Class)
 	case end.Final:
-		s.recordEnd(m, journal.Record{Outcome: journal.OutcomeAnswered})
+		s.recordEnd(m, journal.OutcomeAnswered, 0)
 	case end.Outcome == dispatch.NotStarted:
 		s.metrics.CountReason(metrics.ReasonRetried, end.Outcome.String())
 		m.removeUnstartedAttempt(m.priorAttempts + end.attempt)
@@ -71,14 +71,13 @@
 		neverRan := end.Outcome == dispatch.Rejected || end.Outcome == dispatch.ConnectFailed ||
 			end.Outcome == dispatch.NotSent
 		index := m.priorAttempts + end.attempt
-		s.journal.Append(m.Message, journal.Record{Op: "end", Attempt: index, NeverRan: neverRan})
+		s.journal.AppendAttemptEnded(m.Message, index, neverRan)
 	}
 }
 
 // recordEnd appends a message's end to the journal. The caller answers clients that still wait.
-func (s *Sender) recordEnd(m *message, rec journal.Record) {
-	rec.Op = "over"
-	s.trace("ended", m.ID, "outcome", rec.Outcome)
-	s.journal.Append(m.Message, rec)
+func (s *Sender) recordEnd(m *message, outcome string, retryAfter time.Duration) {
+	s.trace("ended", m.ID, "outcome", outcome)
+	s.journal.AppendMessageEnded(m.Message, outcome, retryAfter)
 	s.messages.markEnded(m)
 }
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -171,7 +171,7 @@
 		return permit
 	}
 	earlier := journal.Message{Record: journal.Record{Attempts: m.Attempts[:len(m.Attempts)-1]}}
-	firstRun, mayHaveRun := earlier.FirstRun()
+	firstRun, mayHaveRun := earlier.FirstPossibleRun()
 	permit.MayHaveRun = mayHaveRun
 	switch m.Rules.Effect {
 	case dispatch.NonIdempotent:
--- a/internal/sender/dispatch.go
+++ b/internal/sender/dispatch.go
@@ -56,15 +56,7 @@
 	if m == nil || e == nil {
 		return
 	}
-	s.journal.Append(m.Message, journal.Record{
-		Op:      "send",
-		Attempt: len(m.Attempts),
-		Sent: &journal.Attempt{
-			SentAt:   now,
-			Endpoint: e.ID[:min(len(e.ID), journal.MaxEndpointLength)],
-			Zone:     e.zone,
-		},
-	})
+	s.journal.AppendAttemptStarted(m.Message, journal.Attempt{SentAt: now, Endpoint: e.ID, Zone: e.zone})
 }
 
 // announce tells clients and discovery which messages have ended, and clients which are accepted. It is called after
--- a/internal/sender/messageend.go
+++ b/internal/sender/messageend.go
@@ -35,9 +35,9 @@
 	end := endedMessage{message: m, outcome: outcome, clients: m.clients, retryAfter: retryAfter}
 	m.clients = nil
 	if end.clients != nil {
-		s.recordEnd(m, journal.Record{Outcome: journal.OutcomeAnswered})
+		s.recordEnd(m, journal.OutcomeAnswered, 0)
 	} else {
-		s.recordEnd(m, journal.Record{Outcome: outcome, RetryAfterMS: retryAfter.Milliseconds()})
+		s.recordEnd(m, outcome, retryAfter)
 	}
 	s.messages.removeIfDone(m)
 	return append(ended, end)
@@ -51,7 +51,7 @@
 		s.metrics.CountReason(metrics.ReasonRejected, "not_written")
 		end.outcome, end.retryAfter = journal.OutcomeGivenUp, 0
 		if end.clients == nil {
-			s.journal.Append(end.Message, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+			s.journal.AppendMessageEnded(end.Message, journal.OutcomeGivenUp, 0)
 		}
 	}
 	if end.clients == nil {
--- a/internal/sender/notices.go
+++ b/internal/sender/notices.go
@@ -43,7 +43,7 @@
 		delivered[n.Message] = true
 		s.trace("notice delivered", n.Message, "outcome", n.Outcome)
 		if m := s.journal.Message(n.Message); m != nil && m.PendingOutcome != "" {
-			s.journal.Append(m, journal.Record{Op: "told"})
+			s.journal.AppendNoticeDelivered(m)
 		}
 	}
 	s.notices.remove(delivered)
--- a/internal/sender/notices_test.go
+++ b/internal/sender/notices_test.go
@@ -110,7 +110,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+		s.journal.AppendMessageEnded(m, journal.OutcomeGivenUp, 0)
 		s.notices.add(noticeOf(m))
 		s.notices.deliver()
 	}
@@ -146,7 +146,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.journal.Append(m, journal.Record{Op: "over", Outcome: journal.OutcomeGivenUp})
+		s.journal.AppendMessageEnded(m, journal.OutcomeGivenUp, 0)
 		s.notices.add(noticeOf(m))
 		if id == "c" {
 			s.notices.deliver()
--- a/internal/sender/restore.go
+++ b/internal/sender/restore.go
@@ -79,7 +79,7 @@
 
 // restoreMessage translates a message from the journal for the dispatcher.
 func (s *Sender) restoreMessage(stored *journal.Message) dispatch.Message {
-	firstRun, mayHaveRun := stored.FirstRun()
+	firstRun, mayHaveRun := stored.FirstPossibleRun()
 	return dispatch.Message{
 		ID:            s.messages.add(stored).number,
 		Class:         config.IndexOf(s.config.Classes, stored.Class, -1),
