--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -70,7 +70,7 @@
 	for end := time.Now().Add(st.Wait); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + c.addr + "/-/ready")
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return
 			}
@@ -81,22 +81,22 @@
 	}
 }
 
-// startBeside runs a sender on a socket that it inherits and waits until it says yes at the operators' address.
+// startBeside runs a sender on a socket that it inherits and waits until HEALTH says ok.
 func startBeside(t *testing.T, p *st.Platform, state, addr string, socket *os.File) *process {
 	t.Helper()
 	admin := freeAddr(t)
 	c := launch(t, p, state, addr, socket, "EDGE_PASSED_SOCKET=3", "EDGE_ADMIN_ADDR="+admin)
 	for end := time.Now().Add(st.Wait); ; time.Sleep(10 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", admin); err == nil {
-			io.WriteString(conn, "HEALTH\n")
+			_, _ = io.WriteString(conn, "HEALTH\n")
 			reply, _ := io.ReadAll(conn)
-			conn.Close()
+			_ = conn.Close()
 			if string(reply) == "ok\n" {
 				return c
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("the sender does not say yes")
+			t.Fatal("the sender does not become healthy")
 		}
 	}
 }
@@ -114,7 +114,14 @@
 }
 
 // launchProgram starts a process of a given program.
-func launchProgram(t *testing.T, program string, p *st.Platform, state, addr string, socket, log *os.File, env ...string) *process {
+func launchProgram(
+	t *testing.T,
+	program string,
+	p *st.Platform,
+	state, addr string,
+	socket, log *os.File,
+	env ...string,
+) *process {
 	t.Helper()
 	raw, err := json.Marshal(st.Config(p, state))
 	if err != nil {
@@ -125,7 +132,14 @@
 		t.Fatal(err)
 	}
 	c := &process{exec.Command(program), addr, config}
-	c.Env = append(os.Environ(), "SENDER_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0", "EDGE_CONFIG="+config, "EDGE_LISTEN="+addr, "EDGE_STATE="+state)
+	c.Env = append(
+		os.Environ(),
+		"SENDER_TEST_CHILD=1",
+		"GORACE=atexit_sleep_ms=0",
+		"EDGE_CONFIG="+config,
+		"EDGE_LISTEN="+addr,
+		"EDGE_STATE="+state,
+	)
 	c.Env = append(c.Env, env...)
 	if socket != nil {
 		c.ExtraFiles = []*os.File{socket}
@@ -134,13 +148,16 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Process.Kill(); c.Wait() })
+	t.Cleanup(func() {
+		_ = c.Process.Kill() // it may have ended
+		_ = c.Wait()
+	})
 	return c
 }
 
-// What was taken on outlasts a kill: a message whose call was out goes out again with its id, key and body
-// where its class allows a repeat, and ends by a notice where it does not. What was delivered stays so.
-func TestKillAndRestart(t *testing.T) {
+// Accepted messages outlive a kill: a message whose call was in flight is sent again with its id, key and body where
+// its class allows a repeat, and ends by a notice where it does not. What was delivered stays so.
+func TestMessagesOutliveAKill(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Silent)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr, silent.Addr)
@@ -156,8 +173,8 @@
 	st.HandIn(t, s.addr, "done-2", "unsafe", 0, 15*time.Second)
 	good.Next(t)
 	waitFor(t, filepath.Join(state, "messages.journal"), 2, `"how":"delivered"`)
-	s.Process.Kill()
-	s.Wait()
+	_ = s.Process.Kill()
+	_ = s.Wait()
 
 	again := st.NewEndpoint(t, st.Status(200))
 	p.Change(st.Target("s-1", again.Addr, 1, "SERVING"))
@@ -195,9 +212,9 @@
 	}
 }
 
-// After SIGTERM clients that come are still served, on connections that end with the answer; the process
-// leaves by itself in time, and what is not done is done by the next.
-func TestTerminate(t *testing.T) {
+// After SIGTERM new clients are still served, on connections that end with the response; the process ends by itself in
+// time, and what is not done is done by the next one.
+func TestRequestsAreServedDuringTheGracePeriod(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Silent)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr)
@@ -241,9 +258,9 @@
 }
 
 // A second process is started beside the first, and a third beside that; the platform holds the clients' socket.
-// Clients on a connection each find one at any moment, whether the process before leaves on SIGTERM or is killed,
-// and what it had out is sent again only once it is gone.
-func TestUpgradeByProcesses(t *testing.T) {
+// Clients that connect for each request are served at any moment, whether the predecessor ends on SIGTERM or is
+// killed, and what it had in flight is sent again only once it is gone.
+func TestUpgradesByProcessesLoseNothing(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Silent)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr)
@@ -279,7 +296,7 @@
 				between.Unlock()
 				return
 			}
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			between.Unlock()
 			if resp.StatusCode != http.StatusAccepted {
 				t.Errorf("message %d: %s", taken, resp.Status)
@@ -303,8 +320,8 @@
 	}
 	startBeside(t, p, state, addr, socket)
 	between.Lock()
-	two.Process.Kill()
-	two.Wait()
+	_ = two.Process.Kill()
+	_ = two.Wait()
 	between.Unlock()
 	if c := silent.Next(t); c.ID != "out" {
 		t.Errorf("sent again: %+v", c)
@@ -317,9 +334,9 @@
 	}
 }
 
-// SIGHUP moves the sender to the platform's new address, for the list and for notices. A file that cannot be
-// used is a line in the log and nothing more.
-func TestReload(t *testing.T) {
+// SIGHUP moves the sender to the platform's new address, for the endpoint list and for notices. An invalid file is a
+// line in the log and nothing more.
+func TestSIGHUPMovesThePlatform(t *testing.T) {
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
 	s := start(t, p, t.TempDir())
@@ -351,9 +368,9 @@
 	}
 }
 
-// While the sender leaves, a further SIGTERM changes nothing, and each SIGHUP is heeded as before: what it still has to tell
-// goes to the platform's new address.
-func TestSignalsWhileLeaving(t *testing.T) {
+// During the shutdown a further SIGTERM changes nothing, and each SIGHUP is obeyed as before: the notices that are
+// left go to the platform's new address.
+func TestSignalsDuringTheShutdown(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Silent)
 	platforms := []*st.Platform{st.NewPlatform(t, silent.Addr), st.NewPlatform(t, silent.Addr)}
 	admin := freeAddr(t)
@@ -363,9 +380,9 @@
 		for end := time.Now().Add(st.Wait); ; time.Sleep(5 * time.Millisecond) {
 			var reply []byte
 			if conn, err := net.Dial("tcp", admin); err == nil {
-				io.WriteString(conn, call+"\n")
+				_, _ = io.WriteString(conn, call+"\n")
 				reply, _ = io.ReadAll(conn)
-				conn.Close()
+				_ = conn.Close()
 			}
 			if strings.Contains(string(reply), want) {
 				return
@@ -400,7 +417,9 @@
 	}
 }
 
-func TestUnreadableConfigurationIsAPlainError(t *testing.T) {
+func TestInvalidConfigurationEndsTheProcessWithOneLine(t *testing.T) {
+	services := func(list string) string { return `{"services":[` + list + `]}` }
+	const class = `{"name":"a","effect":"read_like","slo":1,"giveUp":2}`
 	for settings, named := range map[string]string{
 		`{"step":"soon"}`:                "setting step",
 		`{"balancers":0}`:                "balancers: 0",
@@ -409,16 +428,18 @@
 		`{"balancers":80,"slotNo":-1}`:   "slotNo: -1",
 		`{"balancers":80,"slotNo":"n1"}`: "setting slotNo",
 		`{}`:                             "services is missing",
-		`{"services":[]}`:                "services is missing",
-		`{"services":[{"name":"a","effect":"read_like","slo":1,"giveUp":2},{"name":"a","effect":"read_like","slo":1,"giveUp":2}]}`: "stands twice",
-		`{"services":[{"effect":"read_like","slo":1,"giveUp":2}]}`:                                                                 "services.0.name",
-		`{"services":[{"name":"a","slo":1,"giveUp":2}]}`:                                                                           "services.0.effect is missing",
-		`{"services":[{"name":"a","effect":"often","slo":1,"giveUp":2}]}`:                                                          "services.0.effect",
-		`{"services":[{"name":"a","effect":"non_idempotent","slo":1}]}`:                                                            "services.0.giveUp is missing",
-		`{"services":[{"name":"a","effect":"non_idempotent","giveUp":2}]}`:                                                         "services.0.slo is missing",
-		`{"services":[{"name":"a","effect":"non_idempotent","slo":1,"giveUp":-2}]}`:                                                "must be positive",
-		`{"services":[{"name":"a","effect":"idempotency_key","dedupScope":"all","slo":1,"giveUp":2}]}`:                             "services.0.dedupWindow is missing",
-		`{"services":[{"name":"a","effect":"idempotency_key","dedupWindow":5,"slo":1,"giveUp":2}]}`:                                "services.0.dedupScope is missing",
+		services(""):                     "services is missing",
+		services(class + "," + class):    "stands twice",
+		services(`{"effect":"read_like","slo":1,"giveUp":2}`):                  "services.0.name",
+		services(`{"name":"a","slo":1,"giveUp":2}`):                            "services.0.effect is missing",
+		services(`{"name":"a","effect":"often","slo":1,"giveUp":2}`):           "services.0.effect",
+		services(`{"name":"a","effect":"non_idempotent","slo":1}`):             "services.0.giveUp is missing",
+		services(`{"name":"a","effect":"non_idempotent","giveUp":2}`):          "services.0.slo is missing",
+		services(`{"name":"a","effect":"non_idempotent","slo":1,"giveUp":-2}`): "must be positive",
+		services(`{"name":"a","effect":"idempotency_key","dedupScope":"all",` +
+			`"slo":1,"giveUp":2}`): "services.0.dedupWindow is missing",
+		services(`{"name":"a","effect":"idempotency_key","dedupWindow":5,` +
+			`"slo":1,"giveUp":2}`): "services.0.dedupScope is missing",
 	} {
 		text := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settings + `}`
 		file := filepath.Join(t.TempDir(), "config.json")
@@ -434,8 +455,8 @@
 	}
 }
 
-// A log that nobody takes stops no sender: neither one whose reader has gone nor one whose reader stands still.
-func TestALogThatNobodyTakes(t *testing.T) {
+// A log that nobody reads stops no sender: neither where its reader is gone nor where it stands still.
+func TestBlockedLogStopsNothing(t *testing.T) {
 	for name, gone := range map[string]bool{"its reader has gone": true, "its reader stands still": false} {
 		t.Run(name, func(t *testing.T) {
 			good := st.NewEndpoint(t, st.Status(200))
@@ -448,9 +469,9 @@
 			defer w.Close()
 			c := launchLogging(t, p, t.TempDir(), freeAddr(t), nil, w, "EDGE_LOG_LEVEL=debug")
 			c.waitReady(t)
-			w.Close()
+			_ = w.Close()
 			if gone {
-				r.Close()
+				_ = r.Close()
 			}
 			client := &http.Client{Timeout: 2 * time.Second}
 			for n := range 300 { // some 600 bytes of log each
@@ -458,7 +479,7 @@
 				if err != nil {
 					t.Fatalf("message %d: %v", n, err)
 				}
-				resp.Body.Close()
+				_ = resp.Body.Close()
 				if resp.StatusCode != http.StatusAccepted {
 					t.Fatalf("message %d: %s", n, resp.Status)
 				}
--- a/cmd/sender/release_test.go
+++ b/cmd/sender/release_test.go
@@ -15,7 +15,8 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// releaseCommit is the release in service. It hands over to this program in an upgrade, and takes over from it in a roll-back.
+// releaseCommit is the release in service. It hands over to this program in an upgrade, and takes over from it in a
+// roll-back.
 const releaseCommit = "5d1fee9"
 
 // buildRelease builds the program of the release from the history and returns its path.
@@ -47,7 +48,7 @@
 		return ""
 	}
 	defer conn.Close()
-	io.WriteString(conn, call+"\n")
+	_, _ = io.WriteString(conn, call+"\n")
 	reply, _ := io.ReadAll(conn)
 	return string(reply)
 }
@@ -72,9 +73,9 @@
 	}
 }
 
-// The release hands over to this program, and that to the release again. A call that is in flight at the time ends once and where
-// it is counted, a message that waits is delivered by the successor, and a request that still comes on a connection to the
-// predecessor is answered there.
+// The release hands over to this program, and that to the release again. A call that is in flight at the time ends
+// once and where it is counted, a message that waits is delivered by the successor, and a request that still comes on
+// a connection to the predecessor is answered there.
 func TestReleaseHandsOverAndTakesOverAgain(t *testing.T) {
 	release := buildRelease(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,7 +99,17 @@
 
 	start := func(program string) (*process, string) {
 		admin := freeAddr(t)
-		c := launchProgram(t, program, p, state, addr, socket, os.Stderr, "EDGE_PASSED_SOCKET=3", "EDGE_ADMIN_ADDR="+admin)
+		c := launchProgram(
+			t,
+			program,
+			p,
+			state,
+			addr,
+			socket,
+			os.Stderr,
+			"EDGE_PASSED_SOCKET=3",
+			"EDGE_ADMIN_ADDR="+admin,
+		)
 		waitReply(t, admin, "HEALTH", "ok\n")
 		return c, admin
 	}
@@ -112,8 +123,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
+			_, _ = io.Copy(io.Discard, resp.Body)
+			_ = resp.Body.Close()
 			if resp.StatusCode != http.StatusAccepted {
 				t.Fatalf("%s is answered %s", id, resp.Status)
 			}
@@ -133,7 +144,15 @@
 			t.Errorf("the quick endpoint got %+v", c)
 		}
 		opened <- struct{}{}
-		waitReply(t, afterAdmin, "DUMP", "outstanding=1\n", "succeeded.unsafe=2\n", "aborted.unsafe=0\n", "forwards=1\n")
+		waitReply(
+			t,
+			afterAdmin,
+			"DUMP",
+			"outstanding=1\n",
+			"succeeded.unsafe=2\n",
+			"aborted.unsafe=0\n",
+			"forwards=1\n",
+		)
 		p.Change(st.Target("late-"+name, quick.Addr, unlisted, "SERVING"))
 		if c := quick.Next(t); c.ID != name+" waiting" || c.Body != "body of "+name+" waiting" {
 			t.Errorf("the quick endpoint got %+v", c)
--- a/internal/endpoint/batch_test.go
+++ b/internal/endpoint/batch_test.go
@@ -31,8 +31,10 @@
 		answer func(st.Call, net.Conn) bool
 		want   []dispatch.AttemptResult
 	}{
-		"each its own": {st.Text(200, `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
-			each(dispatch.Served, dispatch.Rejected, dispatch.Errored)},
+		"each its own": {
+			st.Text(200, `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
+			each(dispatch.Served, dispatch.Rejected, dispatch.Errored),
+		},
 		"with a wait": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"later"},{"id":"c","state":"later"}]`,
 			"X-RateLimit-Wait-Ms: 250"), wait(each(dispatch.Served, dispatch.Rejected, dispatch.Rejected))},
 		"spent": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"exhausted"},{"id":"c","state":"ok"}]`),
@@ -41,8 +43,11 @@
 			st.Text(200, `[{"id":"a","state":"ok"},{"id":"c","state":"ok"}]`),
 			each(dispatch.Served, dispatch.Errored, dispatch.Served),
 		},
-		"told twice": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"},{"id":"b","state":"later"},{"id":"c","state":"ok"}]`),
-			each(dispatch.Errored, dispatch.Rejected, dispatch.Served)},
+		"named twice": {
+			st.Text(200, `[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"},`+
+				`{"id":"b","state":"later"},{"id":"c","state":"ok"}]`),
+			each(dispatch.Errored, dispatch.Rejected, dispatch.Served),
+		},
 		"unknown state": {
 			st.Text(200, `[{"id":"a","state":"fine"}]`),
 			each(dispatch.Errored, dispatch.Errored, dispatch.Errored),
--- a/internal/endpoint/call_test.go
+++ b/internal/endpoint/call_test.go
@@ -89,7 +89,8 @@
 			return true
 		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		"two lengths": {func(_ st.Call, c net.Conn) bool {
-			_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\n"+
+				"Content-Length: 0\r\nContent-Length: 5\r\n\r\n")
 			return true
 		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		"interim answers without end": {func(_ st.Call, c net.Conn) bool {
@@ -202,8 +203,8 @@
 	}
 }
 
-// A response that begins after the time told in its call is a timeout, though it is still read: the other side has given
-// the call up. A status line of 200 in time is true, however long the rest takes.
+// A response that begins after the time told in its call is a timeout, though it is still read: the other side has
+// given the call up. A status line of 200 in time is true, however long the rest takes.
 func TestLateResponseIsATimeout(t *testing.T) {
 	t.Parallel()
 	const told = 300 * time.Millisecond
--- a/internal/endpoint/exchange.go
+++ b/internal/endpoint/exchange.go
@@ -118,7 +118,7 @@
 	req.batch.use(c, true)
 	p.metrics.MessagesForwarded(len(req.permits))
 	c.expectResponse()
-	response, err := readHead(c.reader)
+	response, err := readHead(c.reader) //nolint:bodyclose // the callers read its body with readBody
 	if err == nil {
 		return exchange{response: response, conn: c}
 	}
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close(); peer.Close() })
+	t.Cleanup(func() { _ = c.Close(); _ = peer.Close() })
 	return &clientConn{Conn: c, release: func() {}, cutsOff: new(atomic.Bool)}
 }
 
--- a/internal/ingress/listener_test.go
+++ b/internal/ingress/listener_test.go
@@ -32,7 +32,9 @@
 func TestQueueIsEmptiedWhileAcceptFails(t *testing.T) {
 	t.Parallel()
 	const crowd, within = 300, time.Second
-	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENFILE, syscall.ENOBUFS} {
+	for _, errno := range []syscall.Errno{
+		syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENFILE, syscall.ENOBUFS,
+	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			d := newLimitListener(&everySecondFails{errno: errno}, crowd)
@@ -65,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = theirs.Close(); ours.Close() })
+	t.Cleanup(func() { _ = theirs.Close(); _ = ours.Close() })
 	return &clientConn{Conn: ours, cutsOff: new(atomic.Bool), release: func() {}}, theirs
 }
 
