--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -10,131 +10,140 @@
 )
 
 const (
-	rateSpan    = 10 * time.Second       // span over which the served rate is seen
-	pauseFirst  = 100 * time.Millisecond // first pause after a refusal with no wait told; doubles
-	pauseMost   = time.Second            // and its end: about the span over which limits are counted
-	probeFirst  = 300 * time.Millisecond // least spacing of calls in an outage
-	arrivalSpan = time.Minute            // span over which the messages for a destination are counted
-	retryPause  = 150 * time.Millisecond // pause of one message after a failed attempt; doubles
-	paceStep    = 0.1                    // growth of the pace, in our even parts of the limit, by call served
-	paceCut     = 0.7                    // the pace after a refusal
-	evenKept    = 0.9                    // of our even part: the pace left by a refusal among served calls
-	plenty      = 0.3                    // share of the allowance left from which the pace may grow
-	passedOver  = 2 * time.Second        // how long a message passed over is thought to wait
-	anyWorth    = 0.1                    // weight of the worth itself beside its loss by waiting
-	worstBy     = 10                     // classes served alike to 1/worstBy share the worst's weight
-	holdFull    = 0.95                   // share of the room for messages from which some are refused
-	askAgain    = time.Second            // pause before a failed request for the list is repeated
-	shareSpan   = 3 * time.Second        // span over which a tenant's rate is seen
+	servedRateSpan = 10 * time.Second       // span over which the served rate is seen
+	backoffInitial = 100 * time.Millisecond // first pause after a refusal with no wait told; doubles
+	// and its end: about the span over which limits are counted
+	backoffMax    = time.Second
+	probeInterval = 300 * time.Millisecond // least spacing of calls in an outage
+	// span over which the messages for a destination are counted
+	arrivalSpan  = time.Minute
+	retryBackoff = 150 * time.Millisecond // pause of one message after a failed attempt; doubles
+	// growth of the pace, in our even parts of the limit, by call served
+	paceIncrease = 0.1
+	paceDecrease = 0.7 // the pace after a refusal
+	// of our even part: the pace left by a refusal among served calls
+	isolatedRejectionFloor = 0.9
+	// share of the allowance left from which the pace may grow
+	growthQuota     = 0.3
+	passedOverDelay = 2 * time.Second // how long a message passed over is thought to wait
+	baseWeightShare = 0.1             // weight of the worth itself beside its loss by waiting
+	// classes served alike to 1/worstBy share the worst's weight
+	worstClassSharpness = 10
+	// share of the room for messages from which some are refused
+	shedThreshold     = 0.95
+	listRetryInterval = time.Second     // pause before a failed request for the list is repeated
+	tenantRateSpan    = 3 * time.Second // span over which a tenant's rate is seen
 	// holdUp is how long a sender may be held up between reading its clock and writing (the
 	// operators' terms). A repeat has to arrive within its key's window all the same.
-	holdUp      = 150 * time.Millisecond
-	shareBeyond = 1.5 // a tenant's rate over its share from which it is beyond it
-	never       = time.Duration(math.MaxInt64)
+	processPauseAllowance = 150 * time.Millisecond
+	overQuotaFactor       = 1.5 // a tenant's rate over its share from which it is beyond it
+	never                 = time.Duration(math.MaxInt64)
 )
 
 // Step takes in all events of a batch, then decides once. The actions are to be carried out in order.
 // Time never goes back; a batch dated before the last is taken as of the last.
 func (b *Dispatcher) Step(now time.Duration, events []Event) []Action {
 	now = max(now, b.now)
-	b.now, b.wake, b.acts, b.fresh = now, never, nil, 0
-	if b.started == -never {
-		b.started = now
+	b.now, b.nextWake, b.actions, b.newInBatch = now, never, nil, 0
+	if b.startedAt == -never {
+		b.startedAt = now
 	}
-	if b.alarm <= now {
-		b.alarm = never
+	if b.timerAt <= now {
+		b.timerAt = never
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case Message:
 			b.admit(e)
 		case AttemptResult:
-			b.ended(e)
+			b.handleResult(e)
 		case StorageStatus:
-			b.halted = e.Failing
+			b.storageFailing = e.Failing
 		case EndpointListStale:
 			b.listStale = e.Stale
 		case OutagesRestored:
-			b.recallOutages(e.Outages)
+			b.restoreOutages(e.Outages)
 		case RetryAfterReceived:
 			if at := b.endpoints[e.Endpoint]; at != nil {
-				b.heedWait(b.dests[at.Destination], at.route, e.RetryAfter)
+				b.applyRetryAfter(b.destinations[at.Destination], at.route, e.RetryAfter)
 			}
 		case TimerFired: // the clock may be coarser than ours: one that comes a little early is the one set
-			if b.alarm <= now+b.s.StepInterval {
-				b.alarm = never
+			if b.timerAt <= now+b.settings.StepInterval {
+				b.timerAt = never
 			}
 		case MessageCancelled:
-			if m := b.byID[e.Message]; m != nil {
-				b.close(m)
+			if m := b.messages[e.Message]; m != nil {
+				b.closeMessage(m)
 			}
 		case SettingsChanged:
-			b.retune(e.Settings)
+			b.updateSettings(e.Settings)
 		case EndpointListUpdate:
 			if !e.Failed {
-				b.news(e)
-			} else if b.s.PollsEndpointList {
-				b.askAt = b.now + askAgain
+				b.updateEndpointList(e)
+			} else if b.settings.PollsEndpointList {
+				b.watchListAt = b.now + listRetryInterval
 			}
 		}
 	}
-	if b.askAt <= now {
-		b.askAt = never
-		b.acts = append(b.acts, WatchEndpointList{})
+	if b.watchListAt <= now {
+		b.watchListAt = never
+		b.actions = append(b.actions, WatchEndpointList{})
 	}
-	b.wakeAt(b.askAt)
-	b.expire()
-	b.makeRoom()
+	b.wakeAt(b.watchListAt)
+	b.failHopeless()
+	b.shedLoad()
 	b.sendAll()
-	b.closeIdle()
-	b.noteOutages()
-	if b.wake < b.alarm {
-		b.alarm = max(b.wake, now+b.s.StepInterval)
-		b.acts = append(b.acts, SetTimer{b.alarm})
+	b.closeIdleConnections()
+	b.persistOutages()
+	if b.nextWake < b.timerAt {
+		b.timerAt = max(b.nextWake, now+b.settings.StepInterval)
+		b.actions = append(b.actions, SetTimer{b.timerAt})
 	}
-	return b.acts
+	return b.actions
 }
 
 // mayRepeat: no attempt may have run, or a repeat sent now surely does no harm.
 func (b *Dispatcher) mayRepeat(m *message, at time.Duration) bool {
-	if !m.mayRun || m.class.Effect == Idempotent {
+	if !m.mayHaveRun || m.class.Effect == Idempotent {
 		return true
 	}
-	arrival := at + holdUp + b.s.StepInterval + m.route().quickest
-	return m.class.Effect == IdempotentByKey && arrival < m.firstRun+m.class.IdempotencyWindow
+	arrival := at + processPauseAllowance + b.settings.StepInterval + m.likelyRoute().minLatency
+	return m.class.Effect == IdempotentByKey && arrival < m.firstRunAt+m.class.IdempotencyWindow
 }
 
 // lastBegin is the latest time at which a call of m to r may begin: it takes as long as the quickest one
 // served there, and has to be over at m's deadline, or a repeat while m's key is remembered.
-func (b *Dispatcher) lastBegin(m *message, r *route) time.Duration {
-	last := m.Deadline - max(r.quickest, b.s.StepInterval)
-	if m.mayRun && m.class.Effect == IdempotentByKey {
-		last = min(last, m.firstRun+m.class.IdempotencyWindow-holdUp-r.quickest-b.s.StepInterval)
+func (b *Dispatcher) latestStart(m *message, r *route) time.Duration {
+	last := m.Deadline - max(r.minLatency, b.settings.StepInterval)
+	if m.mayHaveRun && m.class.Effect == IdempotentByKey {
+		last = min(last,
+			m.firstRunAt+m.class.IdempotencyWindow-processPauseAllowance-r.minLatency-b.settings.StepInterval)
 	}
 	return last
 }
 
 // expire fails what cannot be served any more, in time: too little time left for the quickest call
 // served there, no attempt left, or a repeat that would not be lawful.
-func (b *Dispatcher) expire() {
-	for _, m := range append([]*message(nil), b.held...) {
-		if m.out > 0 {
+func (b *Dispatcher) failHopeless() {
+	for _, m := range append([]*message(nil), b.pending...) {
+		if m.inFlight > 0 {
 			continue
 		}
-		last := b.lastBegin(m, m.route())
-		spent := m.most > 0 && m.tries() >= m.most
+		last := b.latestStart(m, m.likelyRoute())
+		spent := m.maxAttempts > 0 && m.attemptCount() >= m.maxAttempts
 		if b.now >= last || spent || !b.mayRepeat(m, b.now) {
-			b.acts = append(b.acts, Fail{m.ID})
-			b.close(m)
+			b.actions = append(b.actions, Fail{m.ID})
+			b.closeMessage(m)
 			continue
 		}
 		b.wakeAt(last)
 	}
-	for len(b.resting) > 0 && (len(b.resting[0].queue) > 0 || b.resting[0].restUntil <= b.now) {
-		if t := b.resting[0]; len(t.queue) == 0 {
-			delete(b.turns, t.key)
+	for len(b.settlingKeyQueues) > 0 && (len(b.settlingKeyQueues[0].messages) > 0 ||
+		b.settlingKeyQueues[0].settleUntil <= b.now) {
+		if t := b.settlingKeyQueues[0]; len(t.messages) == 0 {
+			delete(b.keyQueues, t.key)
 		}
-		b.resting = b.resting[1:]
+		b.settlingKeyQueues = b.settlingKeyQueues[1:]
 	}
 }
 
@@ -142,16 +151,16 @@
 // with the longest queue, of a tenant beyond its share first: its client can come back, and others would
 // be turned away unseen. One goes for each that has come: what was held before has been promised, also
 // where the room has become less since.
-func (b *Dispatcher) makeRoom() {
-	most := holdFull * float64(b.s.MaxPendingMessages)
-	for ; b.fresh > 0 && most > 0 && float64(len(b.held)) > most; b.fresh-- {
+func (b *Dispatcher) shedLoad() {
+	most := shedThreshold * float64(b.settings.MaxPendingMessages)
+	for ; b.newInBatch > 0 && most > 0 && float64(len(b.pending)) > most; b.newInBatch-- {
 		var victim *message
 		longest := 0.0
-		for _, d := range b.order {
+		for _, d := range b.destinationOrder {
 			for _, m := range d.waiting {
-				w := b.tenantWorth(m.Tenant)
-				wait := float64(len(d.waiting)) / (0.1 + m.route().rateServed()) / (w * w)
-				if !m.mayRun && wait >= longest {
+				w := b.quotaFactor(m.Tenant)
+				wait := float64(len(d.waiting)) / (0.1 + m.likelyRoute().servedRate()) / (w * w)
+				if !m.mayHaveRun && wait >= longest {
 					victim, longest = m, wait
 				}
 			}
@@ -160,10 +169,10 @@
 			return
 		}
 		hold := time.Duration(0)
-		if b.s.SendsRetryAfter {
-			hold = b.s.MaxRetryAfter
+		if b.settings.SendsRetryAfter {
+			hold = b.settings.MaxRetryAfter
 		}
-		b.acts = append(b.acts, Reject{victim.ID, hold})
-		b.close(victim)
+		b.actions = append(b.actions, Reject{victim.ID, hold})
+		b.closeMessage(victim)
 	}
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -4,6 +4,7 @@
 	"math"
 	"math/rand"
 	"os"
+	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -28,20 +29,20 @@
 // rig drives one Dispatcher by hand and keeps what it did.
 type rig struct {
 	*testing.T
-	b       *Dispatcher
-	now     time.Duration
-	next    MessageID
-	sends   []Send
-	sentAt  map[MessageID]time.Duration
-	tries   map[MessageID]int
-	failed  map[MessageID]bool
-	refused map[MessageID]bool
-	cancels int
+	dispatcher *Dispatcher
+	now        time.Duration
+	next       MessageID
+	sends      []Send
+	sentAt     map[MessageID]time.Duration
+	tries      map[MessageID]int
+	failed     map[MessageID]bool
+	rejected   map[MessageID]bool
+	cancels    int
 }
 
 func newRig(t *testing.T, s Settings) *rig {
-	r := &rig{T: t, b: New(s, 7), now: time.Hour, sentAt: map[MessageID]time.Duration{}, tries: map[MessageID]int{},
-		failed: map[MessageID]bool{}, refused: map[MessageID]bool{}}
+	r := &rig{T: t, dispatcher: New(s, 7), now: time.Hour, sentAt: map[MessageID]time.Duration{}, tries: map[MessageID]int{},
+		failed: map[MessageID]bool{}, rejected: map[MessageID]bool{}}
 	r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Destination: 1, Ready: true},
 		{ID: 3, Destination: 2, Kind: 1, Ready: true}, {ID: 4, Destination: 2, Kind: 1, Ready: true}}})
 	return r
@@ -49,7 +50,7 @@
 
 func (r *rig) step(events ...Event) []Send {
 	var sends []Send
-	for _, a := range r.b.Step(r.now, events) {
+	for _, a := range r.dispatcher.Step(r.now, events) {
 		switch a := a.(type) {
 		case Send:
 			sends = append(sends, a)
@@ -58,7 +59,7 @@
 		case Fail:
 			r.failed[a.Message] = true
 		case Reject:
-			r.refused[a.Message] = true
+			r.rejected[a.Message] = true
 		case Cancel:
 			r.cancels++
 		}
@@ -97,14 +98,14 @@
 		var times, weights []float64
 		late, w := 0.0, 1.0
 		for range 60 + rnd.Intn(200) {
-			w *= ageing
+			w *= agingFactor
 			if rnd.Intn(12) == 0 {
-				o.sample(0, exploreW, true)
-				late += w * exploreW
+				o.addSample(0, explorationWeight, true)
+				late += w * explorationWeight
 				continue
 			}
 			d := time.Duration(math.Exp(rnd.NormFloat64()-1) * float64(time.Second))
-			o.sample(d, 1, false)
+			o.addSample(d, 1, false)
 			times, weights = append(times, d.Seconds()), append(weights, w)
 		}
 		// Ê at each bound from the plain list of samples.
@@ -131,19 +132,19 @@
 			return sum/n/f + (1-f)/f*bound, n, below
 		}
 		least := math.Inf(1)
-		for k := range buckets {
+		for k := range bucketCount {
 			e, _, _ := ehat(k)
 			least = min(least, e)
 		}
 		longest, floor := 0.0, 0.0
-		for k := range buckets {
+		for k := range bucketCount {
 			e, n, below := ehat(k)
 			if n > below { // a bucket with samples
-				if e <= least*tauTie {
+				if e <= least*nearOptimumFactor {
 					longest = float64(k+1) * 0.06
 				}
-				if below < answered*(all-late) {
-					floor = float64(k+1) * 0.06 * spare
+				if below < answeredShare*(all-late) {
+					floor = float64(k+1) * 0.06 * answeredMargin
 				}
 			}
 		}
@@ -156,16 +157,16 @@
 
 func TestOracleFirstTimeoutAndDoubling(t *testing.T) {
 	var o timeoutEstimator
-	if o.tau() != tauFirst {
+	if o.tau() != tauInitial {
 		t.Fatalf("before any sample τ = %v", o.tau())
 	}
-	o.expired(time.Second, 5*time.Second)
-	o.expired(time.Second, 5*time.Second) // was out at the doubling
-	if o.tau() != 2*tauFirst {
+	o.expire(time.Second, 5*time.Second)
+	o.expire(time.Second, 5*time.Second) // was out at the doubling
+	if o.tau() != 2*tauInitial {
 		t.Fatalf("τ after an expiry = %v", o.tau())
 	}
 	for range 10 {
-		o.expired(time.Hour, time.Hour)
+		o.expire(time.Hour, time.Hour)
 	}
 	if o.tau() != tauMax {
 		t.Fatalf("τ is not held to its span: %v", o.tau())
@@ -177,7 +178,7 @@
 	r := newRig(t, settings())
 	r.serve(3, 0, 50*ms)
 	sends := r.step(r.message(0, 0, 0))
-	if len(sends) != 1 || sends[0].Timeout < tauFirst {
+	if len(sends) != 1 || sends[0].Timeout < tauInitial {
 		t.Fatalf("after 3 quick calls: %+v", sends)
 	}
 }
@@ -191,7 +192,7 @@
 	s = r.step(TimerFired{})
 	r.now += 100 * ms
 	r.step(r.end(s[0], Served))
-	if n := r.b.dests[0].shared.seen; n != 0 {
+	if n := r.dispatcher.destinations[0].shared.samples; n != 0 {
 		t.Fatalf("%d samples from a repeat", n)
 	}
 }
@@ -216,19 +217,19 @@
 			ends = append(ends, r.end(x, Served))
 		}
 		s = r.step(ends...)
-		if n := r.b.dests[0].shared.calls; float64(n) >= capShare*10 {
+		if n := r.dispatcher.destinations[0].shared.inFlight; float64(n) >= destinationCallShare*10 {
 			t.Fatalf("%d of 10 slots at one destination", n)
 		}
 	}
-	route := r.b.dests[0].shared
+	route := r.dispatcher.destinations[0].shared
 	before := route.window
-	r.b.halve(route, r.now)
-	r.b.halve(route, r.now-time.Second) // was out at the cut
+	r.dispatcher.halveWindow(route, r.now)
+	r.dispatcher.halveWindow(route, r.now-time.Second) // was out at the cut
 	if route.window != math.Max(1, before/2) {
 		t.Fatalf("window %v after one cut of %v", route.window, before)
 	}
-	route.window, route.fails = 9, 0.9
-	if c := r.b.cap(route); float64(c) > capShare*10/2 {
+	route.window, route.failureRate = 9, 0.9
+	if c := r.dispatcher.concurrencyLimit(route); float64(c) > destinationCallShare*10/2 {
 		t.Fatalf("a failing destination keeps %d slots", c)
 	}
 }
@@ -242,18 +243,18 @@
 		t.Fatalf("an unsafe message waits its time left: %+v", sends)
 	}
 	deadline := r.now + 20*time.Second
-	r.now = r.b.alarm
+	r.now = r.dispatcher.timerAt
 	for !r.failed[a.ID] && r.now < deadline {
 		r.step(TimerFired{})
-		r.now = max(r.b.alarm, r.now+ms)
+		r.now = max(r.dispatcher.timerAt, r.now+ms)
 	}
 	if !r.failed[a.ID] {
 		t.Fatal("a message with no endpoint was not failed in time")
 	}
 	r.now = deadline
 	r.step(r.end(sends[0], TimedOut))
-	if !r.failed[b.ID] || len(r.b.byID) != 0 || len(r.b.held) != 0 {
-		t.Fatalf("failed %v, still known %d", r.failed, len(r.b.byID))
+	if !r.failed[b.ID] || len(r.dispatcher.messages) != 0 || len(r.dispatcher.pending) != 0 {
+		t.Fatalf("failed %v, still known %d", r.failed, len(r.dispatcher.messages))
 	}
 }
 
@@ -264,15 +265,15 @@
 	a := r.message(0, 9, 0)
 	r.step(a)
 	for i := 0; i < 100 && !r.failed[a.ID]; i++ {
-		set := r.b.alarm
+		set := r.dispatcher.timerAt
 		r.now = set - 64*time.Nanosecond
-		acts := r.b.Step(r.now, []Event{TimerFired{}})
+		acts := r.dispatcher.Step(r.now, []Event{TimerFired{}})
 		for _, x := range acts {
 			if f, ok := x.(Fail); ok {
 				r.failed[f.Message] = true
 			}
 		}
-		if !r.failed[a.ID] && r.b.alarm <= set {
+		if !r.failed[a.ID] && r.dispatcher.timerAt <= set {
 			t.Fatal("no alarm was set again")
 		}
 	}
@@ -310,8 +311,8 @@
 		if again := r.tries[m.ID] > 1; again != c.again {
 			t.Errorf("%s: repeated %v", c.name, again)
 		}
-		if !c.again && !r.failed[m.ID] || r.refused[m.ID] {
-			t.Errorf("%s: failed %v, refused %v", c.name, r.failed[m.ID], r.refused[m.ID])
+		if !c.again && !r.failed[m.ID] || r.rejected[m.ID] {
+			t.Errorf("%s: failed %v, refused %v", c.name, r.failed[m.ID], r.rejected[m.ID])
 		}
 	}
 }
@@ -335,8 +336,8 @@
 	s := settings()
 	r := newRig(t, s)
 	r.serve(100, 0, 30*ms) // 20 a second, far more than later allowed
-	route := r.b.dests[0].shared
-	usual := route.rateServed()
+	route := r.dispatcher.destinations[0].shared
+	usual := route.servedRate()
 	up := false
 	var at []time.Duration
 	var open []Send
@@ -353,7 +354,7 @@
 			}
 			events = append(events, r.end(x, o))
 		}
-		if len(r.b.held) < 60 {
+		if len(r.dispatcher.pending) < 60 {
 			events = append(events, r.message(0, 0, 0))
 		}
 		open = r.step(append(events, TimerFired{})...)
@@ -389,7 +390,7 @@
 	if len(s) < 2 || s[0].Endpoint != s[1].Endpoint {
 		t.Fatalf("two messages to one route share no call: %+v", s)
 	}
-	if c := r.b.calls; c != 1 {
+	if c := r.dispatcher.callsInFlight; c != 1 {
 		t.Fatalf("a shared call holds %d slots", c)
 	}
 	e1, e2 := r.end(s[0], Rejected), r.end(s[1], Rejected)
@@ -449,17 +450,17 @@
 	for range 4 {
 		events = append(events, r.message(2, 0, 0), r.message(2, 1, 0))
 	}
-	for i := 0; i < 100 && r.b.calls < 4; i++ {
+	for i := 0; i < 100 && r.dispatcher.callsInFlight < 4; i++ {
 		r.step(events...)
 		events = nil
 		r.now += 50 * ms
 	}
-	if r.b.calls != 4 {
-		t.Fatalf("%d slots in use", r.b.calls)
+	if r.dispatcher.callsInFlight != 4 {
+		t.Fatalf("%d slots in use", r.dispatcher.callsInFlight)
 	}
 	m := r.message(0, 2, 0)
 	r.step(m)
-	r.now += 2 * tauFirst
+	r.now += 2 * tauInitial
 	r.step(TimerFired{})
 	if r.cancels != 1 {
 		t.Fatalf("%d calls taken back for one message", r.cancels)
@@ -473,8 +474,8 @@
 	for range 12 {
 		r.step(r.message(2, 9, 0))
 	}
-	if len(r.refused) == 0 || len(r.b.held) > 10 {
-		t.Fatalf("%d refused, %d held", len(r.refused), len(r.b.held))
+	if len(r.rejected) == 0 || len(r.dispatcher.pending) > 10 {
+		t.Fatalf("%d refused, %d held", len(r.rejected), len(r.dispatcher.pending))
 	}
 }
 
@@ -508,13 +509,13 @@
 		events = append(events, m)
 	}
 	r.step(events...)
-	if len(r.refused) > 0 {
-		t.Errorf("%d are handed back", len(r.refused))
+	if len(r.rejected) > 0 {
+		t.Errorf("%d are handed back", len(r.rejected))
 	}
 	r.step(r.message(2, 9, 0))
 	r.step(TimerFired{})
-	if len(r.refused) != 1 {
-		t.Errorf("%d are handed back for one that came", len(r.refused))
+	if len(r.rejected) != 1 {
+		t.Errorf("%d are handed back for one that came", len(r.rejected))
 	}
 }
 
@@ -533,7 +534,7 @@
 	if asks(0) != 1 || asks(time.Second) != 0 {
 		t.Fatal("the list is watched once from the start")
 	}
-	if asks(2*time.Second, EndpointListUpdate{Failed: true}) != 0 || asks(2*time.Second+askAgain) != 1 {
+	if asks(2*time.Second, EndpointListUpdate{Failed: true}) != 0 || asks(2*time.Second+listRetryInterval) != 1 {
 		t.Fatal("a failed watch is asked for again")
 	}
 }
@@ -597,11 +598,17 @@
 	}
 }
 
-// The files that decide stay small and their lines readable.
+// The package's files stay small and their lines readable.
 func TestLineLimits(t *testing.T) {
 	const mostLines, mostCharacters = 400, 110
-	for _, file := range []string{"dispatcher.go", "estimator.go", "fleet.go", "health.go", "outage.go", "priority.go", "results.go",
-		"selection.go"} {
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
@@ -625,7 +632,7 @@
 func TestUnusedWindowFades(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(3, 0, 20*ms)
-	route := r.b.dests[0].shared
+	route := r.dispatcher.destinations[0].shared
 	route.window = 7
 	r.serve(40, 0, 20*ms)
 	if route.window > 3 {
@@ -650,8 +657,8 @@
 			}
 		}
 	}
-	if r.b.calls != 4 {
-		t.Fatalf("%d slots in use", r.b.calls)
+	if r.dispatcher.callsInFlight != 4 {
+		t.Fatalf("%d slots in use", r.dispatcher.callsInFlight)
 	}
 	m := r.message(0, 2, 0)
 	r.step(m)
@@ -681,7 +688,7 @@
 			ends = append(ends, r.end(x, o))
 		}
 		r.step(ends...)
-		if r.b.dests[0].shared.state == unavailable {
+		if r.dispatcher.destinations[0].shared.state == unavailable {
 			outs++
 		}
 	}
@@ -696,7 +703,7 @@
 	set.RatingIsRateLimit = true
 	r := newRig(t, set)
 	r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}})
-	route := r.b.dests[0].shared
+	route := r.dispatcher.destinations[0].shared
 	before := route.pace
 	for range 20 {
 		sends := r.step(r.message(0, 0, 0))
@@ -772,7 +779,7 @@
 	shut.RetryAfter = 5 * time.Second
 	r.step(shut)
 	opens := r.now + shut.RetryAfter
-	route := r.b.dests[0].shared
+	route := r.dispatcher.destinations[0].shared
 	if route.state != unavailable {
 		t.Fatal("a destination shut for long is no outage")
 	}
@@ -804,8 +811,8 @@
 	for class, again := range map[int]bool{0: true, 1: true, 2: false} {
 		r := newRig(t, settings())
 		r.serve(20, 0, 30*ms)
-		route := r.b.dests[0].shared
-		fails, bad := route.fails, route.bad
+		route := r.dispatcher.destinations[0].shared
+		fails, bad := route.failureRate, route.consecutiveFailures
 		s := r.step(r.message(class, 0, 0))
 		r.now += ms
 		e := r.end(s[0], ConnectionBroken)
@@ -813,7 +820,7 @@
 		if sends := r.step(e); (len(sends) == 1) != again || r.failed[s[0].Message] == again {
 			t.Errorf("class %d: sent %v, failed %v", class, sends, r.failed[s[0].Message])
 		}
-		if route.fails != fails || route.bad != bad {
+		if route.failureRate != fails || route.consecutiveFailures != bad {
 			t.Errorf("class %d: counted as a failure", class)
 		}
 		// One that broke after the time of a call was the destination's.
@@ -821,7 +828,7 @@
 		r.now += 100 * ms
 		e = r.end(s[0], ConnectionBroken)
 		e.ConnectionIdle = 100 * ms
-		if sends := r.step(e); len(sends) != 0 || route.fails <= fails {
+		if sends := r.step(e); len(sends) != 0 || route.failureRate <= fails {
 			t.Errorf("a late break is no failure: %v", sends)
 		}
 	}
@@ -833,16 +840,16 @@
 	r.serve(30, 0, 20*ms)
 	r.serve(30, 1, 20*ms)
 	a, b := r.message(0, 0, 0), r.message(0, 1, 0)
-	ma := &message{Message: a, class: &r.b.s.Classes[0]}
-	mb := &message{Message: b, class: &r.b.s.Classes[0]}
-	ra, rb := r.b.dests[0].shared, r.b.dests[1].shared
-	ra.fails, rb.fails, ra.recent, rb.recent = 0.1, 0.1, 0.02, 0.02
-	ra.lost, ra.sentAt = 2, r.now
-	if r.b.index(ma, ra) >= r.b.index(mb, rb) {
+	ma := &message{Message: a, class: &r.dispatcher.settings.Classes[0]}
+	mb := &message{Message: b, class: &r.dispatcher.settings.Classes[0]}
+	ra, rb := r.dispatcher.destinations[0].shared, r.dispatcher.destinations[1].shared
+	ra.failureRate, rb.failureRate, ra.latency, rb.latency = 0.1, 0.1, 0.02, 0.02
+	ra.consecutiveLosses, ra.lastSentAt = 2, r.now
+	if r.dispatcher.priority(ma, ra) >= r.dispatcher.priority(mb, rb) {
 		t.Fatal("a destination that lost its last calls goes first")
 	}
-	ra.sentAt = r.now - 20*time.Second
-	if r.b.index(ma, ra) < 0.9*r.b.index(mb, rb) {
+	ra.lastSentAt = r.now - 20*time.Second
+	if r.dispatcher.priority(ma, ra) < 0.9*r.dispatcher.priority(mb, rb) {
 		t.Fatal("a destination that lost calls long ago is starved")
 	}
 }
@@ -865,13 +872,13 @@
 		r.now += 10 * ms
 	}
 	others := 0
-	for id := range r.refused {
+	for id := range r.rejected {
 		if owner[id] > 0 {
 			others++
 		}
 	}
-	if len(r.refused) < 100 || others > len(r.refused)/10 {
-		t.Fatalf("%d of %d refused are of the other tenants", others, len(r.refused))
+	if len(r.rejected) < 100 || others > len(r.rejected)/10 {
+		t.Fatalf("%d of %d refused are of the other tenants", others, len(r.rejected))
 	}
 }
 
@@ -887,8 +894,8 @@
 					events = append(events, EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}})
 				}
 				events = append(events, Message{ID: MessageID(i), Class: i % 3, Deadline: now + 20*time.Second})
-				for _, m := range b.byID {
-					if n := len(m.attempts); n > 0 && m.out > 0 && i%2 == k%2 {
+				for _, m := range b.messages {
+					if n := len(m.attempts); n > 0 && m.inFlight > 0 && i%2 == k%2 {
 						events = append(events, AttemptResult{Message: m.ID, Attempt: n - 1, Outcome: Served,
 							Elapsed: 50 * ms, Final: true})
 						break
@@ -909,14 +916,14 @@
 func TestStepContract(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(10, 0, 20*ms)
-	late := r.b.now
+	late := r.dispatcher.now
 	r.now -= time.Hour
 	m := r.message(0, 0, 0)
 	m.Deadline = late + 10*time.Second
-	if s := r.step(m); len(s) != 1 || s[0].Timeout > 10*time.Second || r.b.now != late {
-		t.Fatalf("a batch dated back: %+v, now %v after %v", s, r.b.now, late)
+	if s := r.step(m); len(s) != 1 || s[0].Timeout > 10*time.Second || r.dispatcher.now != late {
+		t.Fatalf("a batch dated back: %+v, now %v after %v", s, r.dispatcher.now, late)
 	}
-	acts := r.b.Step(late, []Event{r.message(0, 1, 0), r.message(0, 2, 0)})
+	acts := r.dispatcher.Step(late, []Event{r.message(0, 1, 0), r.message(0, 2, 0)})
 	for i, a := range acts {
 		if _, ok := a.(SetTimer); ok && i != len(acts)-1 {
 			t.Fatalf("the alarm is not last: %+v", acts)
@@ -936,14 +943,14 @@
 	if sends := r.step(m); len(sends) > 0 {
 		t.Errorf("sent in its pause: %v", sends)
 	}
-	if rests := r.b.BackoffUntil()[m.ID]; rests != m.NotBefore {
+	if rests := r.dispatcher.BackoffUntil()[m.ID]; rests != m.NotBefore {
 		t.Errorf("it rests until %v, not %v", rests, m.NotBefore)
 	}
 	r.now += 400 * ms
 	if sends := r.step(TimerFired{}); len(sends) != 1 {
 		t.Errorf("after its pause: %v", sends)
 	}
-	if rests := r.b.BackoffUntil(); len(rests) > 0 {
+	if rests := r.dispatcher.BackoffUntil(); len(rests) > 0 {
 		t.Errorf("resting: %v", rests)
 	}
 }
--- a/internal/dispatch/estimator.go
+++ b/internal/dispatch/estimator.go
@@ -10,84 +10,87 @@
 )
 
 const (
-	buckets   = 1000             // H: buckets of the latency histogram (paper, table I)
-	tauMax    = 60 * time.Second // the histogram's span (paper, table I)
-	tauFirst  = 4 * time.Second  // time-out before any sample (paper, table I)
-	restartC  = 0.0              // c, s: cost of a restart (paper, table I)
-	exploreIn = 20               // one first attempt in so many runs to its time left
-	exploreW  = 20               // samples: weight of such a run, as it stands for so many
-	ageing    = 1.005            // all samples weigh so much less with each new one: about 200 count
-	tauTie    = 1.1              // bounds within this factor of the least Ê are as good: take the longest
-	answered  = 0.99             // share of the answered calls that a time-out must leave, with
-	spare     = 2                // so many times their time, as the next may be slower than any seen
-	fewTimes  = 20               // samples before a time-out may be under tauFirst
+	bucketCount         = 1000             // H: buckets of the latency histogram (paper, table I)
+	tauMax              = 60 * time.Second // the histogram's span (paper, table I)
+	tauInitial          = 4 * time.Second  // time-out before any sample (paper, table I)
+	restartCost         = 0.0              // c, s: cost of a restart (paper, table I)
+	explorationInterval = 20               // one first attempt in so many runs to its time left
+	explorationWeight   = 20               // samples: weight of such a run, as it stands for so many
+	// all samples weigh so much less with each new one: about 200 count
+	agingFactor = 1.005
+	// bounds within this factor of the least Ê are as good: take the longest
+	nearOptimumFactor = 1.1
+	answeredShare     = 0.99 // share of the answered calls that a time-out must leave, with
+	// so many times their time, as the next may be slower than any seen
+	answeredMargin = 2
+	minSamples     = 20 // samples before a time-out may be under tauFirst
 )
 
 // sample books a first attempt's time, or with late one that was never answered.
-func (o *timeoutEstimator) sample(d time.Duration, weight float64, late bool) {
-	for k := range o.bucket {
-		o.bucket[k].count /= ageing
-		o.bucket[k].sum /= ageing
+func (o *timeoutEstimator) addSample(d time.Duration, weight float64, late bool) {
+	for k := range o.buckets {
+		o.buckets[k].weight /= agingFactor
+		o.buckets[k].sum /= agingFactor
 	}
-	o.past /= ageing
+	o.unansweredWeight /= agingFactor
 	if late || d >= tauMax {
-		o.past += weight
+		o.unansweredWeight += weight
 	} else {
-		k := int(d * buckets / tauMax)
-		for len(o.bucket) <= k {
-			o.bucket = append(o.bucket, bucket{})
+		k := int(d * bucketCount / tauMax)
+		for len(o.buckets) <= k {
+			o.buckets = append(o.buckets, histogramBucket{})
 		}
-		o.seen++
-		o.bucket[k].count += weight
-		o.bucket[k].sum += weight * d.Seconds()
-		if o.quickest == 0 || d < o.quickest {
-			o.quickest = d
+		o.samples++
+		o.buckets[k].weight += weight
+		o.buckets[k].sum += weight * d.Seconds()
+		if o.minLatency == 0 || d < o.minLatency {
+			o.minLatency = d
 		}
 	}
-	o.dirty = true
+	o.needsUpdate = true
 }
 
 // expected is Ê of restarting at bound tau, for the weight and the mean of samples up to it.
-func expected(upTo, all, mean, tau float64) float64 {
+func expectedTime(upTo, all, mean, tau float64) float64 {
 	f := upTo / all
-	return mean/f + (1-f)/f*(tau+restartC)
+	return mean/f + (1-f)/f*(tau+restartCost)
 }
 
 // optimum is the argmin of Ê. Where the curve is flat its least point is chance and may lie short,
 // so of the bounds that are as good the longest is taken: it restarts less. Nor does it cut calls that
 // come back: a repeat takes as long again, and the first may still run.
 func (o *timeoutEstimator) optimum() time.Duration {
-	if !o.dirty {
-		return o.best
+	if !o.needsUpdate {
+		return o.optimalTau
 	}
-	o.dirty = false
-	all := o.past
-	for _, k := range o.bucket {
-		all += k.count
+	o.needsUpdate = false
+	all := o.unansweredWeight
+	for _, k := range o.buckets {
+		all += k.weight
 	}
-	least, longest := math.Inf(1), tauFirst
-	came, floor := all-o.past, time.Duration(0)
+	least, longest := math.Inf(1), tauInitial
+	came, floor := all-o.unansweredWeight, time.Duration(0)
 	for pass := range 2 { // first the least Ê, then the longest bound that is as good
 		n, t := 0.0, 0.0
-		for k, at := range o.bucket {
-			if at.count == 0 {
+		for k, at := range o.buckets {
+			if at.weight == 0 {
 				continue
 			}
-			n += at.count
+			n += at.weight
 			t += at.sum
-			bound := tauMax * time.Duration(k+1) / buckets
-			e := expected(n, all, t/n, bound.Seconds())
+			bound := tauMax * time.Duration(k+1) / bucketCount
+			e := expectedTime(n, all, t/n, bound.Seconds())
 			if pass == 0 {
 				least = min(least, e)
 			} else {
-				if e <= least*tauTie {
+				if e <= least*nearOptimumFactor {
 					longest = bound
 				}
-				if n-at.count < came/2 {
+				if n-at.weight < came/2 {
 					o.median = bound
 				}
-				if n-at.count < answered*came {
-					floor = bound * spare
+				if n-at.weight < answeredShare*came {
+					floor = bound * answeredMargin
 				}
 			}
 		}
@@ -95,54 +98,54 @@
 			o.mean = t / n
 		}
 	}
-	if o.seen < fewTimes {
-		floor = max(floor, tauFirst)
+	if o.samples < minSamples {
+		floor = max(floor, tauInitial)
 	}
-	o.best = min(max(longest, floor), tauMax)
-	return o.best
+	o.optimalTau = min(max(longest, floor), tauMax)
+	return o.optimalTau
 }
 
 // tau is the time-out now.
 func (o *timeoutEstimator) tau() time.Duration {
-	if o.doubled > 0 {
-		return o.doubled
+	if o.doubledTau > 0 {
+		return o.doubledTau
 	}
-	if o.best == 0 && !o.dirty {
-		return tauFirst
+	if o.optimalTau == 0 && !o.needsUpdate {
+		return tauInitial
 	}
 	return o.optimum()
 }
 
 // expired doubles the time-out, once for all calls that were out at the last doubling.
-func (o *timeoutEstimator) expired(sent, now time.Duration) {
-	if o.doubled == 0 || sent >= o.doubledAt {
-		o.doubled, o.doubledAt = min(2*o.tau(), tauMax), now
+func (o *timeoutEstimator) expire(sent, now time.Duration) {
+	if o.doubledTau == 0 || sent >= o.doubledAt {
+		o.doubledTau, o.doubledAt = min(2*o.tau(), tauMax), now
 	}
 }
 
 // patience is how old an unanswered call may be before it counts as silence. Calls that came back from
 // a hang lengthen the time-out; silence is judged as if they had not.
-func (r *route) patience() time.Duration { return min(r.optimumOrFirst(), tauFirst) }
+func (r *route) silenceTimeout() time.Duration { return min(r.optimumOrInitial(), tauInitial) }
 
 // haste is the patience for taking slots back: some times the usual latency, which for a route with few
 // samples is that of all routes, if a call sent later was served there already. It doubles with each
 // call taken back there until one is served: what turns slow then gets the time to show it.
-func (b *Dispatcher) haste(c *call) time.Duration {
+func (b *Dispatcher) overdueAfter(c *call) time.Duration {
 	r := c.route
-	b.all.optimum()
-	usual := b.all.median
-	if r.seen >= fewTimes {
+	b.overallEstimator.optimum()
+	usual := b.overallEstimator.median
+	if r.samples >= minSamples {
 		usual = r.median
-	} else if b.all.seen < fewTimes || r.servedSent <= c.sent {
-		return r.patience()
+	} else if b.overallEstimator.samples < minSamples || r.lastServedSentAt <= c.sentAt {
+		return r.silenceTimeout()
 	}
-	usual = max(silentBy*usual, time.Duration(slowBy*r.recent*float64(time.Second)), probeFirst)
-	return min(r.patience(), usual<<min(r.takenBack, 4))
+	usual = max(overdueFactor*usual, time.Duration(slowFactor*r.latency*float64(time.Second)), probeInterval)
+	return min(r.silenceTimeout(), usual<<min(r.cancelledCalls, 4))
 }
 
-func (r *route) optimumOrFirst() time.Duration {
-	if r.best == 0 && !r.dirty {
-		return tauFirst
+func (r *route) optimumOrInitial() time.Duration {
+	if r.optimalTau == 0 && !r.needsUpdate {
+		return tauInitial
 	}
 	return r.optimum()
 }
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -22,7 +22,7 @@
 func fleetRig(t *testing.T, n int) *rig {
 	s, list := many(n)
 	r := newRig(t, s)
-	r.b = New(s, 7)
+	r.dispatcher = New(s, 7)
 	r.step(list)
 	return r
 }
@@ -107,11 +107,11 @@
 
 // A sender of many sees few calls: two failures are an outage there, eight where senders are few.
 func TestFailuresThatCallAnOutage(t *testing.T) {
-	for senders, want := range map[int]int{3: inRow, 50: leastInRow, 300: leastInRow} {
+	for senders, want := range map[int]int{3: maxFailureThreshold, 50: minFailureThreshold, 300: minFailureThreshold} {
 		r := fleetRig(t, senders)
 		r.serve(10, 3, 30*ms)
 		r.now += time.Minute
-		if n := r.b.enough(r.b.dests[0].shared); n != want {
+		if n := r.dispatcher.failureThreshold(r.dispatcher.destinations[0].shared); n != want {
 			t.Errorf("%d senders: %d failures call an outage, want %d", senders, n, want)
 		}
 	}
@@ -123,9 +123,9 @@
 	next := map[time.Duration]int{}
 	for seed := range uint64(20) {
 		r := newRig(t, s)
-		r.b = New(s, seed)
+		r.dispatcher = New(s, seed)
 		r.step(list, r.message(0, 0, 0))
-		r.b.goOut(r.b.dests[0].shared)
+		r.dispatcher.openCircuit(r.dispatcher.destinations[0].shared)
 		at := time.Duration(0)
 		for range 2000 {
 			r.now += 10 * ms
@@ -168,7 +168,7 @@
 	r := fleetRig(t, 7)
 	closes := func(d time.Duration) (n int) {
 		for end := r.now + d; r.now < end; r.now += 100 * ms {
-			for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
+			for _, a := range r.dispatcher.Step(r.now, []Event{TimerFired{}}) {
 				if _, ok := a.(CloseIdle); ok {
 					n++
 				}
@@ -203,7 +203,7 @@
 	}
 	r.now += 30 * ms
 	r.step(r.end(s[0], Served))
-	kept, _ := r.b.keepFor(r.b.endpoints[1])
+	kept, _ := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1])
 	if kept > 1100*ms {
 		t.Fatalf("connections are kept for %v though one idle for 2 s was dropped", kept)
 	}
@@ -238,7 +238,7 @@
 			t.Fatalf("%s: sent %+v", name, sends)
 		}
 		var got []AbortUnsent
-		for _, a := range r.b.Step(r.now, []Event{news(r, sends[0])}) {
+		for _, a := range r.dispatcher.Step(r.now, []Event{news(r, sends[0])}) {
 			if w, ok := a.(AbortUnsent); ok {
 				got = append(got, w)
 			}
@@ -262,7 +262,7 @@
 	r.step(r.end(first, ConnectionBroken))
 	r.now += time.Second
 	again := r.step(TimerFired{})[0]
-	if want := 4*time.Second - holdUp - 200*ms - 5*ms; again.StartWithin != want {
+	if want := 4*time.Second - processPauseAllowance - 200*ms - 5*ms; again.StartWithin != want {
 		t.Errorf("a keyed repeat begins within %v, want %v", again.StartWithin, want)
 	}
 }
@@ -301,9 +301,9 @@
 			r.step(r.end(x, TimedOut))
 		}
 		r.step(TimerFired{})
-		over := name == "report out of range" || r.failed[1] || r.refused[1]
-		if !over || len(r.b.held) != 0 {
-			t.Errorf("%s: failed %v, refused %v, %d held", name, r.failed[1], r.refused[1], len(r.b.held))
+		over := name == "report out of range" || r.failed[1] || r.rejected[1]
+		if !over || len(r.dispatcher.pending) != 0 {
+			t.Errorf("%s: failed %v, refused %v, %d held", name, r.failed[1], r.rejected[1], len(r.dispatcher.pending))
 		}
 	}
 }
@@ -334,14 +334,14 @@
 		for range 30 {
 			r.now += time.Second
 			r.step(TimerFired{})
-			for id := range r.b.byID {
-				if m := r.b.byID[id]; r.now >= m.Deadline && m.out > 0 {
+			for id := range r.dispatcher.messages {
+				if m := r.dispatcher.messages[id]; r.now >= m.Deadline && m.inFlight > 0 {
 					r.step(AttemptResult{Message: id, Attempt: len(m.attempts) - 1, Outcome: TimedOut})
 				}
 			}
 		}
-		if len(r.b.held) != 0 {
-			t.Errorf("%s: %d messages without an answer", name, len(r.b.held))
+		if len(r.dispatcher.pending) != 0 {
+			t.Errorf("%s: %d messages without an answer", name, len(r.dispatcher.pending))
 		}
 	}
 }
@@ -356,7 +356,7 @@
 		r.serve(1, 0, 50*ms)
 		idle := r.now - 20*ms
 		closed := func() bool {
-			for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
+			for _, a := range r.dispatcher.Step(r.now, []Event{TimerFired{}}) {
 				if _, ok := a.(CloseIdle); ok {
 					return true
 				}
@@ -402,7 +402,7 @@
 		r.serve(1, 0, 30*ms)
 		closed := false
 		for end := r.now + 5*time.Second; r.now < end; r.now += 100 * ms {
-			for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
+			for _, a := range r.dispatcher.Step(r.now, []Event{TimerFired{}}) {
 				if _, ok := a.(CloseIdle); ok {
 					closed = true
 				}
@@ -423,7 +423,7 @@
 		s := settings()
 		s.Senders, s.RatingIsRateLimit, s.OverloadWindow = senders, true, 3*time.Second
 		r := newRig(t, s)
-		r.b = New(s, seed+1)
+		r.dispatcher = New(s, seed+1)
 		r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
 		first := r.step(r.message(0, 0, 0), r.message(0, 0, 0), r.message(0, 0, 0))
 		r.now += 50 * ms
@@ -487,7 +487,7 @@
 		s := settings()
 		s.Senders, s.RatingIsRateLimit, s.OverloadWindow = senders, true, 3*time.Second
 		r := newRig(t, s)
-		r.b = New(s, seed+1)
+		r.dispatcher = New(s, seed+1)
 		r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
 		first := r.step(r.message(0, 0, 0), r.message(0, 0, 0))
 		e := r.end(first[0], Rejected)
@@ -511,15 +511,15 @@
 // to learn from those that connections may be kept, as a new one is dear; a connect that fails undoes it.
 func TestOneOfManyLearnsToKeepConnections(t *testing.T) {
 	r := fleetRig(t, 80)
-	begin, _ := r.b.keepFor(r.b.endpoints[1])
+	begin, _ := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1])
 	r.serve(100, 0, 30*ms)
-	if kept, _ := r.b.keepFor(r.b.endpoints[1]); kept < begin*3/2 {
+	if kept, _ := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1]); kept < begin*3/2 {
 		t.Errorf("kept for %v after 100 served calls, %v before", kept, begin)
 	}
 	s := r.step(r.message(0, 0, 0))
 	r.now += 30 * ms
 	r.step(r.end(s[0], ConnectFailed))
-	if kept, _ := r.b.keepFor(r.b.endpoints[2]); kept > begin {
+	if kept, _ := r.dispatcher.idleTimeout(r.dispatcher.endpoints[2]); kept > begin {
 		t.Errorf("kept for %v elsewhere after a connect that failed", kept)
 	}
 }
@@ -592,7 +592,7 @@
 	rigs := make([]*rig, senders)
 	for i := range rigs {
 		rigs[i] = newRig(t, s)
-		rigs[i].b = New(s, uint64(i+1))
+		rigs[i].dispatcher = New(s, uint64(i+1))
 		rigs[i].step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
 	}
 	start, left, served, refused := rigs[0].now, depth, 0, 0
--- a/internal/dispatch/outage.go
+++ b/internal/dispatch/outage.go
@@ -19,55 +19,46 @@
 	RateBefore  float64       // our calls a second before it
 }
 
-// NoteOutages says how routes have changed: those that are in an outage now, cold, or well again.
-type PersistOutages struct{ Outages []Outage }
-
-// KnownOutages tells a Dispatcher what an earlier one noted last. The list must have been told before,
-// and no message.
-type OutagesRestored struct{ Outages []Outage }
-
-func (PersistOutages) action() {}
-func (OutagesRestored) event() {}
-
 // enter puts a route into another state, which is to be noted at the end of the batch.
-func (b *Dispatcher) enter(r *route, to state) {
-	r.state, r.since = to, b.now
-	for _, known := range b.changed {
+func (b *Dispatcher) setState(r *route, to circuitState) {
+	r.state, r.stateSince = to, b.now
+	for _, known := range b.changedRoutes {
 		if known == r {
 			return
 		}
 	}
-	b.changed = append(b.changed, r)
+	b.changedRoutes = append(b.changedRoutes, r)
 }
 
 // noteOutages tells which routes have changed in this batch.
-func (b *Dispatcher) noteOutages() {
-	if len(b.changed) == 0 {
+func (b *Dispatcher) persistOutages() {
+	if len(b.changedRoutes) == 0 {
 		return
 	}
 	var note PersistOutages
-	for _, r := range b.changed {
-		o := Outage{Destination: r.destination, Endpoint: r.endpoint, PerEndpoint: r.apart,
+	for _, r := range b.changedRoutes {
+		o := Outage{Destination: r.destination, Endpoint: r.endpoint, PerEndpoint: r.perEndpoint,
 			Resolved: r.state == healthy}
 		if !o.Resolved {
-			o.WarmingUp, o.Since, o.StartedAt, o.RateBefore = r.state == warmingUp, r.since, r.outAt, r.before
+			o.WarmingUp, o.Since, o.StartedAt, o.RateBefore = r.state == warmingUp, r.stateSince,
+				r.outageStartedAt, r.rateBefore
 		}
 		note.Outages = append(note.Outages, o)
 	}
-	b.changed = b.changed[:0]
-	b.acts = append(b.acts, note)
+	b.changedRoutes = b.changedRoutes[:0]
+	b.actions = append(b.actions, note)
 }
 
 // routeOf is the route that an outage is of, nil if it is not known.
-func (b *Dispatcher) routeOf(o Outage) *route {
+func (b *Dispatcher) routeOfOutage(o Outage) *route {
 	if !o.PerEndpoint {
-		if d := b.dests[o.Destination]; d != nil {
+		if d := b.destinations[o.Destination]; d != nil {
 			return d.shared
 		}
 		return nil
 	}
 	e := b.endpoints[o.Endpoint]
-	if e == nil || !e.route.apart {
+	if e == nil || !e.route.perEndpoint {
 		return nil
 	}
 	return e.route
@@ -75,17 +66,17 @@
 
 // recallOutages begins with the states that an earlier Dispatcher noted. A route that became cold long ago is
 // warm by now.
-func (b *Dispatcher) recallOutages(list []Outage) {
+func (b *Dispatcher) restoreOutages(list []Outage) {
 	for _, o := range list {
-		r := b.routeOf(o)
-		if r == nil || o.Resolved || o.WarmingUp && b.now-o.Since > b.s.SlowStartDuration {
+		r := b.routeOfOutage(o)
+		if r == nil || o.Resolved || o.WarmingUp && b.now-o.Since > b.settings.SlowStartDuration {
 			continue
 		}
-		r.state, r.since = unavailable, min(b.now, o.Since)
-		r.outAt, r.before = min(b.now, o.StartedAt), max(0, o.RateBefore)
+		r.state, r.stateSince = unavailable, min(b.now, o.Since)
+		r.outageStartedAt, r.rateBefore = min(b.now, o.StartedAt), max(0, o.RateBefore)
 		if o.WarmingUp {
 			r.state = warmingUp
 		}
-		r.window, r.tokens, r.filled = 1, b.spread(), b.now
+		r.window, r.tokens, r.refilledAt = 1, b.jitter(), b.now
 	}
 }
--- /dev/null
+++ b/internal/dispatch/settings.go
@@ -0,0 +1,78 @@
+package dispatch
+
+import "time"
+
+// Settings configures a sender at its start and whenever they change. Zero values mean "not stated".
+type Settings struct {
+	Senders               int           // senders in this deployment
+	Number                int           // this sender's index among them, from 0
+	Zone                  int           // zone that this sender runs in
+	MaxConcurrentCalls    int           // upper bound of calls in flight
+	MaxPendingMessages    int           // upper bound of pending messages, sent or not
+	MaxAttempts           int           // upper bound of attempts for one message
+	CanCancelAttempts     bool          // an attempt in flight may be cancelled
+	SendsRetryAfter       bool          // a rejection tells the client when to try again
+	MaxRetryAfter         time.Duration // the longest such delay that a client respects
+	IdleConnectionTimeout time.Duration // an endpoint closes a connection that is idle for so long
+	PollsEndpointList     bool          // the endpoint list comes only when it is requested
+	StepInterval          time.Duration // least time between two batches
+	OrderedKeySettleTime  time.Duration // pause of an ordered key after an attempt that may still run
+	// a recovering destination collapses above this multiple of its capacity
+	CollapseLoadFactor float64
+	SlowStartCapacity  float64       // share of its capacity that a recovered destination has at first
+	OverloadWindow     time.Duration // window over which that load is counted
+	SlowStartDuration  time.Duration // time from its recovery to its full capacity
+	TotalWeight        float64       // weight of the total goodput in the objective
+	WorstClassWeight   float64       // weight of the worst-served class's goodput in the objective
+	OverQuotaWeight    float64       // weight of a message beyond its tenant's quota, as a fraction
+	CrossZoneCost      float64       // cost of an attempt that leaves the sender's zone
+	// late weight halves per latency objective; otherwise it falls linearly
+	LateWeightHalves  bool
+	RatingIsRateLimit bool      // Endpoint.Rating is the destination's rate limit in calls a second
+	ZoneFees          []float64 // by zone: cost of a message to an endpoint with a route of its own
+	Kinds             []Kind    // kinds of destination
+	Classes           []Class   // classes of message
+	Tenants           []Tenant  // tenants; may be empty
+}
+
+// Kind is a kind of destination.
+type Kind struct {
+	PerEndpoint  bool // each endpoint is a route of its own, with its own limits and outages
+	MaxBatchSize int  // messages that may share one call
+}
+
+// Effect says what a repeated delivery of a message does. Its values are stored and must not change.
+type Effect uint8
+
+// The effects: an Idempotent message may be repeated, one that is IdempotentByKey while the receiver
+// remembers its key, and a NonIdempotent one never.
+const (
+	Idempotent Effect = iota
+	IdempotentByKey
+	NonIdempotent
+)
+
+// Class is a class of message.
+type Class struct {
+	LatencyObjective time.Duration // a message served until then has its full weight
+	Deadline         time.Duration // from its submission; a message not served until then is failed
+	Effect           Effect
+	KeyScopedToZone  bool // a key is remembered by the endpoints of one zone only
+	// a key is remembered for so long after the first attempt that may have run
+	IdempotencyWindow time.Duration
+	Ordered           bool // messages with the same key are sent one after another
+	PriorityWeight    float64
+	LateWeight        float64 // share of the weight that is left at the deadline
+}
+
+// Tenant is one of those who share the service.
+type Tenant struct {
+	Quota     float64 // share of the service
+	QuotaRate float64 // messages a second within its quota, over all senders
+}
+
+// Rules bind a message from its admission on, whatever the settings say later.
+type Rules struct {
+	Class
+	MaxAttempts int
+}
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -1,7 +1,8 @@
 package dispatch
 
-// What a Dispatcher gives to the one that follows it in another process of the same sender. Nothing is decided here:
-// it is copied out and in again. All of it has plain exported fields, so that it can travel in any encoding.
+// What a Dispatcher gives to the one that follows it in another process of the same sender. Nothing is
+// decided here: it is copied out and in again. All of it has plain exported fields, so that it can travel
+// in any encoding.
 
 import (
 	"slices"
@@ -29,10 +30,10 @@
 
 // OracleMemory is a latency histogram and the time-out drawn from it.
 type EstimatorSnapshot struct {
-	Count, Sum                                 []float64
-	Seen                                       int
-	Past, Mean                                 float64
-	Best, Median, Quickest, Doubled, DoubledAt time.Duration
+	BucketWeights, BucketSums                             []float64
+	Samples                                               int
+	UnansweredWeight, Mean                                float64
+	OptimalTau, Median, MinLatency, DoubledTau, DoubledAt time.Duration
 }
 
 // RouteMemory is what is known of a destination, or of the route to one endpoint where routes are apart.
@@ -41,60 +42,72 @@
 	Endpoint    EndpointID
 	PerEndpoint bool
 
-	Estimator                                   EstimatorSnapshot
-	Tried, Done                                 DecayingCount
-	Window, Fails, Recent, Served, Before       float64
-	Limit, Pace, Tokens                         float64
-	HalvedAt, ClosedUntil, Pause, Reopens       time.Duration
-	LastServed, SentAt, ServedSent, FirstServed time.Duration
-	OutAt, Since, ProbedAt, Filled              time.Duration
-	Bad, Lost                                   int
-	State                                       uint8
+	Estimator                                                 EstimatorSnapshot
+	SentCalls, ServedCalls                                    DecayingCount
+	Window, FailureRate, Latency, RecentServed, RateBefore    float64
+	Limit, Pace, Tokens                                       float64
+	HalvedAt, BackoffUntil, BackoffStep, ReopensAt            time.Duration
+	LastServedAt, LastSentAt, LastServedSentAt, FirstServedAt time.Duration
+	OutageStartedAt, StateSince, LastProbeAt, RefilledAt      time.Duration
+	ConsecutiveFailures, ConsecutiveLosses                    int
+	State                                                     uint8
 }
 
 // EndpointMemory is what is known of one endpoint.
 type EndpointSnapshot struct {
-	Endpoint      EndpointID
-	Recent, Fails float64
-	Crowded       time.Duration
+	Endpoint             EndpointID
+	Latency, FailureRate float64
+	IdleTimeoutCut       time.Duration
 }
 
-func (o *timeoutEstimator) remember() EstimatorSnapshot {
-	m := EstimatorSnapshot{Seen: o.seen, Past: o.past, Mean: o.mean, Best: o.optimum(), Median: o.median,
-		Quickest: o.quickest, Doubled: o.doubled, DoubledAt: o.doubledAt}
-	for _, k := range o.bucket {
-		m.Count, m.Sum = append(m.Count, k.count), append(m.Sum, k.sum)
+func (o *timeoutEstimator) snapshot() EstimatorSnapshot {
+	m := EstimatorSnapshot{Samples: o.samples, UnansweredWeight: o.unansweredWeight, Mean: o.mean,
+		OptimalTau: o.optimum(), Median: o.median,
+		MinLatency: o.minLatency, DoubledTau: o.doubledTau, DoubledAt: o.doubledAt}
+	for _, k := range o.buckets {
+		m.BucketWeights, m.BucketSums = append(m.BucketWeights, k.weight), append(m.BucketSums, k.sum)
 	}
 	return m
 }
 
-func (m EstimatorSnapshot) recall() timeoutEstimator {
-	o := timeoutEstimator{seen: m.Seen, past: m.Past, mean: m.Mean, best: m.Best, median: m.Median, quickest: m.Quickest,
-		doubled: m.Doubled, doubledAt: m.DoubledAt}
-	for k := range min(len(m.Count), len(m.Sum), buckets) {
-		o.bucket = append(o.bucket, bucket{m.Count[k], m.Sum[k]})
+func (m EstimatorSnapshot) restore() timeoutEstimator {
+	o := timeoutEstimator{samples: m.Samples, unansweredWeight: m.UnansweredWeight, mean: m.Mean,
+		optimalTau: m.OptimalTau, median: m.Median, minLatency: m.MinLatency,
+		doubledTau: m.DoubledTau, doubledAt: m.DoubledAt}
+	for k := range min(len(m.BucketWeights), len(m.BucketSums), bucketCount) {
+		o.buckets = append(o.buckets, histogramBucket{m.BucketWeights[k], m.BucketSums[k]})
 	}
 	return o
 }
 
 // Remember copies out what another Dispatcher needs to go on where this one stops. It changes nothing.
 func (b *Dispatcher) Snapshot() Snapshot {
-	m := Snapshot{StartedAt: b.started, Arrivals: DecayingCount{b.came.n, b.came.when}, Overall: b.all.remember(), IdleTimeouts: slices.Clone(b.keep),
-		Random: b.random}
-	for _, c := range b.classes {
-		m.Classes = append(m.Classes, [2]DecayingCount{{c.ended.n, c.ended.when}, {c.served.n, c.served.when}})
+	m := Snapshot{StartedAt: b.startedAt, Arrivals: DecayingCount{b.arrivals.value,
+		b.arrivals.updatedAt}, Overall: b.overallEstimator.snapshot(),
+		IdleTimeouts: slices.Clone(b.idleTimeouts),
+		Random:       b.randomState}
+	for _, c := range b.classGoodputs {
+		m.Classes = append(m.Classes, [2]DecayingCount{{c.ended.value, c.ended.updatedAt},
+			{c.served.value, c.served.updatedAt}})
 	}
-	for _, t := range b.tenants {
-		m.Tenants = append(m.Tenants, [2]float64{t.recent, t.usual})
+	for _, t := range b.tenantRates {
+		m.Tenants = append(m.Tenants, [2]float64{t.recent, t.longTerm})
 	}
 	route := func(r *route) RouteSnapshot {
-		return RouteSnapshot{Estimator: r.timeoutEstimator.remember(), Tried: DecayingCount{r.tried.n, r.tried.when}, Done: DecayingCount{r.done.n, r.done.when},
-			Window: r.window, Fails: r.fails, Recent: r.recent, Served: r.served, Before: r.before, Limit: r.limit, Pace: r.pace,
-			Tokens: r.tokens, HalvedAt: r.halvedAt, ClosedUntil: r.closedUntil, Pause: r.pause, Reopens: r.reopens,
-			LastServed: r.lastServed, SentAt: r.sentAt, ServedSent: r.servedSent, FirstServed: r.firstServed, OutAt: r.outAt,
-			Since: r.since, ProbedAt: r.probedAt, Filled: r.filled, Bad: r.bad, Lost: r.lost, State: uint8(r.state)}
+		return RouteSnapshot{Estimator: r.timeoutEstimator.snapshot(),
+			SentCalls:   DecayingCount{r.sentCalls.value, r.sentCalls.updatedAt},
+			ServedCalls: DecayingCount{r.servedCalls.value, r.servedCalls.updatedAt},
+			Window:      r.window, FailureRate: r.failureRate, Latency: r.latency,
+			RecentServed: r.recentServed, RateBefore: r.rateBefore, Limit: r.limit, Pace: r.pace,
+			Tokens: r.tokens, HalvedAt: r.halvedAt, BackoffUntil: r.backoffUntil,
+			BackoffStep: r.backoffStep, ReopensAt: r.reopensAt,
+			LastServedAt: r.lastServedAt, LastSentAt: r.lastSentAt, LastServedSentAt: r.lastServedSentAt,
+			FirstServedAt: r.firstServedAt, OutageStartedAt: r.outageStartedAt,
+			StateSince: r.stateSince, LastProbeAt: r.lastProbeAt, RefilledAt: r.refilledAt,
+			ConsecutiveFailures: r.consecutiveFailures, ConsecutiveLosses: r.consecutiveLosses,
+			State: uint8(r.state)}
 	}
-	for id, d := range b.dests {
+	for id, d := range b.destinations {
 		if d.shared != nil {
 			r := route(d.shared)
 			r.Destination = id
@@ -102,8 +115,8 @@
 		}
 	}
 	for id, e := range b.endpoints {
-		m.Endpoints = append(m.Endpoints, EndpointSnapshot{id, e.recent, e.fails, e.crowded})
-		if d := b.dests[e.Destination]; e.route != d.shared {
+		m.Endpoints = append(m.Endpoints, EndpointSnapshot{id, e.latency, e.failureRate, e.idleTimeoutCut})
+		if d := b.destinations[e.Destination]; e.route != d.shared {
 			r := route(e.route)
 			r.Endpoint, r.PerEndpoint = id, true
 			m.Routes = append(m.Routes, r)
@@ -115,8 +128,8 @@
 // Resting is until when messages rest after a failed attempt.
 func (b *Dispatcher) BackoffUntil() map[MessageID]time.Duration {
 	rests := map[MessageID]time.Duration{}
-	for _, m := range b.held {
-		if m.notBefore > b.now && m.out == 0 {
+	for _, m := range b.pending {
+		if m.notBefore > b.now && m.inFlight == 0 {
 			rests[m.ID] = m.notBefore
 		}
 	}
@@ -125,24 +138,25 @@
 
 // Recall takes in what an earlier Dispatcher remembered. The list must have been told before, and no message.
 func (b *Dispatcher) Restore(m Snapshot) {
-	b.started, b.random = m.StartedAt, m.Random
-	b.came = decayingCounter{m.Arrivals.Value, m.Arrivals.UpdatedAt}
-	b.all, b.keep = m.Overall.recall(), slices.Clone(m.IdleTimeouts)
-	for i := range min(len(m.Classes), len(b.classes)) {
+	b.startedAt, b.randomState = m.StartedAt, m.Random
+	b.arrivals = decayingCounter{m.Arrivals.Value, m.Arrivals.UpdatedAt}
+	b.overallEstimator, b.idleTimeouts = m.Overall.restore(), slices.Clone(m.IdleTimeouts)
+	for i := range min(len(m.Classes), len(b.classGoodputs)) {
 		ended, served := m.Classes[i][0], m.Classes[i][1]
-		b.classes[i] = classCount{decayingCounter{ended.Value, ended.UpdatedAt}, decayingCounter{served.Value, served.UpdatedAt}}
+		b.classGoodputs[i] = classGoodput{decayingCounter{ended.Value, ended.UpdatedAt},
+			decayingCounter{served.Value, served.UpdatedAt}}
 	}
-	for i := range min(len(m.Tenants), len(b.tenants)) {
-		b.tenants[i] = tenant{m.Tenants[i][0], m.Tenants[i][1]}
+	for i := range min(len(m.Tenants), len(b.tenantRates)) {
+		b.tenantRates[i] = tenantRate{m.Tenants[i][0], m.Tenants[i][1]}
 	}
-	b.tenantsAt = b.now
+	b.tenantRatesDecayedAt = b.now
 	for _, k := range m.Routes {
 		var r *route
 		if k.PerEndpoint {
-			if e := b.endpoints[k.Endpoint]; e != nil && e.route != b.dests[e.Destination].shared {
+			if e := b.endpoints[k.Endpoint]; e != nil && e.route != b.destinations[e.Destination].shared {
 				r = e.route
 			}
-		} else if d := b.dests[k.Destination]; d != nil {
+		} else if d := b.destinations[k.Destination]; d != nil {
 			r = d.shared
 		}
 		if r == nil {
@@ -152,44 +166,53 @@
 			k.Pace *= r.limit / k.Limit
 			k.Limit = r.limit
 		}
-		r.timeoutEstimator = k.Estimator.recall()
-		r.tried, r.done = decayingCounter{k.Tried.Value, k.Tried.UpdatedAt}, decayingCounter{k.Done.Value, k.Done.UpdatedAt}
-		r.window, r.fails, r.recent, r.served, r.before = max(1, k.Window), k.Fails, k.Recent, k.Served, k.Before
-		r.limit, r.pace, r.tokens, r.filled = k.Limit, k.Pace, k.Tokens, k.Filled
-		r.halvedAt, r.closedUntil, r.pause, r.reopens = k.HalvedAt, k.ClosedUntil, k.Pause, k.Reopens
-		r.lastServed, r.sentAt, r.servedSent, r.firstServed = k.LastServed, k.SentAt, k.ServedSent, k.FirstServed
-		r.outAt, r.since, r.probedAt, r.bad, r.lost = k.OutAt, k.Since, k.ProbedAt, k.Bad, k.Lost
-		r.state = min(state(k.State), warmingUp)
+		r.timeoutEstimator = k.Estimator.restore()
+		r.sentCalls, r.servedCalls = decayingCounter{k.SentCalls.Value, k.SentCalls.UpdatedAt},
+			decayingCounter{k.ServedCalls.Value, k.ServedCalls.UpdatedAt}
+		r.window, r.failureRate, r.latency, r.recentServed, r.rateBefore = max(1, k.Window),
+			k.FailureRate, k.Latency, k.RecentServed, k.RateBefore
+		r.limit, r.pace, r.tokens, r.refilledAt = k.Limit, k.Pace, k.Tokens, k.RefilledAt
+		r.halvedAt, r.backoffUntil, r.backoffStep, r.reopensAt = k.HalvedAt, k.BackoffUntil,
+			k.BackoffStep, k.ReopensAt
+		r.lastServedAt, r.lastSentAt, r.lastServedSentAt, r.firstServedAt = k.LastServedAt,
+			k.LastSentAt, k.LastServedSentAt, k.FirstServedAt
+		r.outageStartedAt, r.stateSince, r.lastProbeAt, r.consecutiveFailures, r.consecutiveLosses =
+			k.OutageStartedAt, k.StateSince, k.LastProbeAt, k.ConsecutiveFailures, k.ConsecutiveLosses
+		r.state = min(circuitState(k.State), warmingUp)
 	}
 	for _, k := range m.Endpoints {
 		if e := b.endpoints[k.Endpoint]; e != nil {
-			e.recent, e.fails, e.crowded = k.Recent, k.Fails, k.Crowded
+			e.latency, e.failureRate, e.idleTimeoutCut = k.Latency, k.FailureRate, k.IdleTimeoutCut
 		}
 	}
 }
 
 // adopt books an attempt that another process of this sender has out, as if it had been sent from here.
-func (b *Dispatcher) adopt(m *message, o *InFlightAttempt) {
+func (b *Dispatcher) inheritCall(m *message, o *InFlightAttempt) {
 	e := b.endpoints[o.Endpoint]
 	r := e.route
-	c := b.adopted[o.Call]
+	c := b.inheritedCalls[o.Call]
 	if c == nil {
-		c = &call{route: r, at: e, sent: o.SentAt, probe: r.state == unavailable && o.SentAt >= r.since}
-		if b.adopted == nil {
-			b.adopted = map[uint64]*call{}
+		c = &call{route: r, endpoint: e, sentAt: o.SentAt, isProbe: r.state == unavailable &&
+			o.SentAt >= r.stateSince}
+		if b.inheritedCalls == nil {
+			b.inheritedCalls = map[uint64]*call{}
 		}
-		b.adopted[o.Call] = c
-		b.calls++
-		r.calls++
-		e.calls++
-		if c.probe {
-			r.probes++
+		b.inheritedCalls[o.Call] = c
+		b.callsInFlight++
+		r.inFlight++
+		e.inFlight++
+		if c.isProbe {
+			r.probesInFlight++
 		}
 		r.unanswered = append(r.unanswered, c)
-		slices.SortStableFunc(r.unanswered, func(x, y *call) int { return int(min(1, max(-1, x.sent-y.sent))) })
+		slices.SortStableFunc(r.unanswered, func(x, y *call) int {
+			return int(min(1, max(-1,
+				x.sentAt-y.sentAt)))
+		})
 	}
-	m.attempts = append(m.attempts, attempt{call: c, timeout: o.Timeout, uncut: true})
-	m.out++
-	c.left++
+	m.attempts = append(m.attempts, attempt{call: c, timeout: o.Timeout, untilDeadline: true})
+	m.inFlight++
+	c.unresolved++
 	c.messages = append(c.messages, m)
 }
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -11,7 +11,7 @@
 func follow(t *testing.T, r *rig, s Settings) *rig {
 	t.Helper()
 	var wire bytes.Buffer
-	if err := gob.NewEncoder(&wire).Encode(r.b.Snapshot()); err != nil {
+	if err := gob.NewEncoder(&wire).Encode(r.dispatcher.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	var m Snapshot
@@ -21,7 +21,7 @@
 	n := newRig(t, s)
 	n.now, n.next = r.now, r.next
 	n.step()
-	n.b.Restore(m)
+	n.dispatcher.Restore(m)
 	return n
 }
 
@@ -53,10 +53,10 @@
 		r.now += 300 * ms
 	}
 	n := follow(t, r, settings())
-	if had, has := r.b.EjectedEndpoints(), n.b.EjectedEndpoints(); had != 1 || has != 1 {
+	if had, has := r.dispatcher.EjectedEndpoints(), n.dispatcher.EjectedEndpoints(); had != 1 || has != 1 {
 		t.Errorf("avoided %d before, %d after", had, has)
 	}
-	if had, has := r.b.routes[0].optimum(), n.b.dests[0].shared.optimum(); had != has || had == 0 {
+	if had, has := r.dispatcher.routes[0].optimum(), n.dispatcher.destinations[0].shared.optimum(); had != has || had == 0 {
 		t.Errorf("the time-out is %v, was %v", has, had)
 	}
 }
@@ -86,7 +86,7 @@
 	if sends := n.step(TimerFired{}); len(sends) != 1 || sends[0].Message != 1 {
 		t.Errorf("the one that never ran is not sent again: %v", sends)
 	}
-	if n.b.calls != 2 {
-		t.Errorf("%d slots in use", n.b.calls)
+	if n.dispatcher.callsInFlight != 2 {
+		t.Errorf("%d slots in use", n.dispatcher.callsInFlight)
 	}
 }
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -277,7 +277,7 @@
 	var events []Event
 	for id := MessageID(1); id <= w.next; id++ {
 		m, held := w.pending[id]
-		if !held || before.byID[id] == nil || before.byID[id].over {
+		if !held || before.messages[id] == nil || before.messages[id].closed {
 			delete(w.pending, id)
 			continue
 		}
--- a/internal/sender/frozenmemory.go
+++ b/internal/sender/frozenmemory.go
@@ -13,13 +13,13 @@
 }
 
 func freezeOracle(o dispatch.EstimatorSnapshot) frozenOracle {
-	return frozenOracle{Count: o.Count, Sum: o.Sum, Seen: o.Seen, Past: o.Past, Mean: o.Mean, Best: o.Best, Median: o.Median,
-		Quickest: o.Quickest, Doubled: o.Doubled, DoubledAt: o.DoubledAt}
+	return frozenOracle{Count: o.BucketWeights, Sum: o.BucketSums, Seen: o.Samples, Past: o.UnansweredWeight, Mean: o.Mean, Best: o.OptimalTau, Median: o.Median,
+		Quickest: o.MinLatency, Doubled: o.DoubledTau, DoubledAt: o.DoubledAt}
 }
 
 func (f frozenOracle) thaw() dispatch.EstimatorSnapshot {
-	return dispatch.EstimatorSnapshot{Count: f.Count, Sum: f.Sum, Seen: f.Seen, Past: f.Past, Mean: f.Mean, Best: f.Best, Median: f.Median,
-		Quickest: f.Quickest, Doubled: f.Doubled, DoubledAt: f.DoubledAt}
+	return dispatch.EstimatorSnapshot{BucketWeights: f.Count, BucketSums: f.Sum, Samples: f.Seen, UnansweredWeight: f.Past, Mean: f.Mean, OptimalTau: f.Best, Median: f.Median,
+		MinLatency: f.Quickest, DoubledTau: f.Doubled, DoubledAt: f.DoubledAt}
 }
 
 func freezeMemory(m dispatch.Snapshot) frozenMemory {
@@ -32,7 +32,7 @@
 		f.Routes = append(f.Routes, freezeRoute(r))
 	}
 	for _, e := range m.Endpoints {
-		f.Ends = append(f.Ends, frozenEndpoint{Endpoint: uint32(e.Endpoint), Recent: e.Recent, Fails: e.Fails, Crowded: e.Crowded})
+		f.Ends = append(f.Ends, frozenEndpoint{Endpoint: uint32(e.Endpoint), Recent: e.Latency, Fails: e.FailureRate, Crowded: e.IdleTimeoutCut})
 	}
 	return f
 }
@@ -46,30 +46,30 @@
 		m.Routes = append(m.Routes, r.thaw())
 	}
 	for _, e := range f.Ends {
-		m.Endpoints = append(m.Endpoints, dispatch.EndpointSnapshot{Endpoint: dispatch.EndpointID(e.Endpoint), Recent: e.Recent, Fails: e.Fails,
-			Crowded: e.Crowded})
+		m.Endpoints = append(m.Endpoints, dispatch.EndpointSnapshot{Endpoint: dispatch.EndpointID(e.Endpoint), Latency: e.Recent, FailureRate: e.Fails,
+			IdleTimeoutCut: e.Crowded})
 	}
 	return m
 }
 
 func freezeRoute(r dispatch.RouteSnapshot) frozenRoute {
 	return frozenRoute{Destination: uint32(r.Destination), Endpoint: uint32(r.Endpoint), Apart: r.PerEndpoint,
-		Oracle: freezeOracle(r.Estimator), Tried: freezeFading(r.Tried), Done: freezeFading(r.Done),
-		Window: r.Window, Fails: r.Fails, Recent: r.Recent, Served: r.Served, Before: r.Before,
+		Oracle: freezeOracle(r.Estimator), Tried: freezeFading(r.SentCalls), Done: freezeFading(r.ServedCalls),
+		Window: r.Window, Fails: r.FailureRate, Recent: r.Latency, Served: r.RecentServed, Before: r.RateBefore,
 		Limit: r.Limit, Pace: r.Pace, Tokens: r.Tokens,
-		HalvedAt: r.HalvedAt, ClosedUntil: r.ClosedUntil, Pause: r.Pause, Reopens: r.Reopens,
-		LastServed: r.LastServed, SentAt: r.SentAt, ServedSent: r.ServedSent, FirstServed: r.FirstServed,
-		OutAt: r.OutAt, Since: r.Since, ProbedAt: r.ProbedAt, Filled: r.Filled,
-		Bad: r.Bad, Lost: r.Lost, State: r.State}
+		HalvedAt: r.HalvedAt, ClosedUntil: r.BackoffUntil, Pause: r.BackoffStep, Reopens: r.ReopensAt,
+		LastServed: r.LastServedAt, SentAt: r.LastSentAt, ServedSent: r.LastServedSentAt, FirstServed: r.FirstServedAt,
+		OutAt: r.OutageStartedAt, Since: r.StateSince, ProbedAt: r.LastProbeAt, Filled: r.RefilledAt,
+		Bad: r.ConsecutiveFailures, Lost: r.ConsecutiveLosses, State: r.State}
 }
 
 func (f frozenRoute) thaw() dispatch.RouteSnapshot {
 	return dispatch.RouteSnapshot{Destination: dispatch.DestinationID(f.Destination), Endpoint: dispatch.EndpointID(f.Endpoint), PerEndpoint: f.Apart,
-		Estimator: f.Oracle.thaw(), Tried: f.Tried.thaw(), Done: f.Done.thaw(),
-		Window: f.Window, Fails: f.Fails, Recent: f.Recent, Served: f.Served, Before: f.Before,
+		Estimator: f.Oracle.thaw(), SentCalls: f.Tried.thaw(), ServedCalls: f.Done.thaw(),
+		Window: f.Window, FailureRate: f.Fails, Latency: f.Recent, RecentServed: f.Served, RateBefore: f.Before,
 		Limit: f.Limit, Pace: f.Pace, Tokens: f.Tokens,
-		HalvedAt: f.HalvedAt, ClosedUntil: f.ClosedUntil, Pause: f.Pause, Reopens: f.Reopens,
-		LastServed: f.LastServed, SentAt: f.SentAt, ServedSent: f.ServedSent, FirstServed: f.FirstServed,
-		OutAt: f.OutAt, Since: f.Since, ProbedAt: f.ProbedAt, Filled: f.Filled,
-		Bad: f.Bad, Lost: f.Lost, State: f.State}
+		HalvedAt: f.HalvedAt, BackoffUntil: f.ClosedUntil, BackoffStep: f.Pause, ReopensAt: f.Reopens,
+		LastServedAt: f.LastServed, LastSentAt: f.SentAt, LastServedSentAt: f.ServedSent, FirstServedAt: f.FirstServed,
+		OutageStartedAt: f.OutAt, StateSince: f.Since, LastProbeAt: f.ProbedAt, RefilledAt: f.Filled,
+		ConsecutiveFailures: f.Bad, ConsecutiveLosses: f.Lost, State: f.State}
 }
