--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -1,82 +1,140 @@
 package dispatch
 
-func (b *Dispatcher) admit(msg Message) {
-	rules := msg.Rules
+import "time"
+
+const (
+	// shedThreshold is the share of MaxPendingMessages from which messages are rejected.
+	shedThreshold = 0.95
+	// minServedRate is added to a route's served rate (calls a second) in the estimate of a queue's wait.
+	minServedRate = 0.1
+	// processPauseAllowance is how long the process may be paused between reading its clock and writing (the
+	// operators' terms). A repeat has to arrive within its key's window all the same.
+	processPauseAllowance = 150 * time.Millisecond
+)
+
+// admit takes a message on.
+func (d *Dispatcher) admit(submitted Message) {
+	rules := submitted.Rules
 	if rules == nil {
-		if msg.Class < 0 || msg.Class >= len(b.settings.Classes) {
-			b.actions = append(b.actions, Fail{msg.ID}) // nothing is known of what it may do
+		if submitted.Class < 0 || submitted.Class >= len(d.settings.Classes) {
+			d.act(Fail{Message: submitted.ID}) // it is not known whether it may be repeated
 			return
 		}
-		rules = &Rules{b.settings.Classes[msg.Class], b.settings.MaxAttempts}
+		rules = &Rules{Class: d.settings.Classes[submitted.Class], MaxAttempts: d.settings.MaxAttempts}
+	}
+	m := &message{
+		Message:      submitted,
+		class:        &rules.Class,
+		maxAttempts:  rules.MaxAttempts,
+		destination:  d.destinationByID(submitted.Destination),
+		mayHaveRun:   submitted.MayHaveRun,
+		firstRunAt:   submitted.FirstRunAt,
+		firstRunZone: submitted.FirstRunZone,
+		notBefore:    submitted.NotBefore,
 	}
-	m := &message{Message: msg, class: &rules.Class, maxAttempts: rules.MaxAttempts,
-		destination: b.destinationByID(msg.Destination),
-		mayHaveRun:  msg.MayHaveRun, firstRunAt: msg.FirstRunAt, firstRunZone: msg.FirstRunZone,
-		notBefore: msg.NotBefore}
-	b.messages[m.ID] = m
-	b.pending = append(b.pending, m)
-	if msg.InFlight != nil && b.endpoints[msg.InFlight.Endpoint] != nil {
-		b.inheritCall(m, msg.InFlight)
+	d.messages[m.ID] = m
+	d.pending = append(d.pending, m)
+	if submitted.InFlight != nil && d.endpoints[submitted.InFlight.Endpoint] != nil {
+		d.inheritAttempt(m, submitted.InFlight)
 	} else {
 		m.destination.waiting = append(m.destination.waiting, m)
 	}
-	b.arrivals.add(1, b.now, arrivalSpan)
-	if !msg.Resumed {
-		b.newInBatch++
-	}
-	if m.class.Ordered && m.Key != 0 {
-		if m.keyQueue = b.keyQueues[m.Key]; m.keyQueue == nil {
-			m.keyQueue = &keyQueue{key: m.Key}
-			b.keyQueues[m.Key] = m.keyQueue
-		}
-		m.keyQueue.messages = append(m.keyQueue.messages, m)
-		if m.mayHaveRun { // an attempt from before a restart may be running yet
-			m.keyQueue.settleUntil = max(m.keyQueue.settleUntil, b.now+b.settings.OrderedKeySettleTime)
-		}
-	}
-	if m.Tenant >= 0 && m.Tenant < len(b.tenantRates) {
-		b.decayTenantRates()
-		b.tenantRates[m.Tenant].recent += 1 / tenantRateSpan.Seconds()
-		b.tenantRates[m.Tenant].longTerm += 1 / (10 * tenantRateSpan.Seconds())
+	d.arrivals.add(1, d.now, arrivalSpan)
+	if !submitted.Resumed {
+		d.newInBatch++
 	}
+	d.joinKeyQueue(m)
+	d.countTenantMessage(m.Tenant)
 }
 
-// close ends a message for us; its attempts may still be out.
-func (b *Dispatcher) closeMessage(m *message) {
+// closeMessage ends a message; its attempts may still be in flight.
+func (d *Dispatcher) closeMessage(m *message) {
 	if !m.closed {
 		m.closed = true
-		b.recordClassGoodput(m)
-		b.pending = remove(b.pending, m)
+		d.recordClassGoodput(m)
+		d.pending = remove(d.pending, m)
 		m.destination.waiting = remove(m.destination.waiting, m)
 	}
 	if m.inFlight == 0 {
-		delete(b.messages, m.ID)
-		if t := m.keyQueue; t != nil {
-			t.messages = remove(t.messages, m)
-			b.settlingKeyQueues = append(b.settlingKeyQueues, t)
+		delete(d.messages, m.ID)
+		d.leaveKeyQueue(m)
+	}
+}
+
+// failHopeless fails, in time, what cannot be served any more: the time left is too short for the quickest
+// call served there, no attempt is left, or a repeat would not be allowed.
+func (d *Dispatcher) failHopeless() {
+	for _, m := range append([]*message(nil), d.pending...) {
+		if m.inFlight > 0 {
+			continue
 		}
+		latestStart := d.latestStart(m, m.likelyRoute())
+		exhausted := m.maxAttempts > 0 && m.attemptCount() >= m.maxAttempts
+		if d.now >= latestStart || exhausted || !d.mayRepeat(m) {
+			d.act(Fail{Message: m.ID})
+			d.closeMessage(m)
+			continue
+		}
+		d.wakeAt(latestStart)
 	}
+	d.dropKeyQueues()
 }
 
-// countClass books what became of m with its class.
-func (b *Dispatcher) recordClassGoodput(m *message) {
-	if m.Class < 0 || m.Class >= len(b.classGoodputs) { // of settings that are no longer in force
-		return
+// shedLoad rejects messages while there are nearly MaxPendingMessages: their clients can come back, and
+// others would be turned away unseen. At most one goes for each that has come in this batch: those pending
+// before were accepted, also if the bound has become lower since.
+func (d *Dispatcher) shedLoad() {
+	threshold := shedThreshold * float64(d.settings.MaxPendingMessages)
+	for ; d.newInBatch > 0 && threshold > 0 && float64(len(d.pending)) > threshold; d.newInBatch-- {
+		victim := d.shedVictim()
+		if victim == nil {
+			return
+		}
+		retryAfter := time.Duration(0)
+		if d.settings.SendsRetryAfter {
+			retryAfter = d.settings.MaxRetryAfter
+		}
+		d.act(Reject{Message: victim.ID, RetryAfter: retryAfter})
+		d.closeMessage(victim)
 	}
-	c := &b.classGoodputs[m.Class]
-	c.ended.add(m.class.PriorityWeight, b.now, arrivalSpan)
-	if m.served {
-		c.served.add(b.weightAt(m, b.now), b.now, arrivalSpan)
+}
+
+// shedVictim is the newest message of the destination with the longest wait, of a tenant beyond its quota
+// first. It is nil if every message may have run.
+func (d *Dispatcher) shedVictim() *message {
+	var victim *message
+	longest := 0.0
+	for _, dest := range d.destinationOrder {
+		for _, m := range dest.waiting {
+			quota := d.quotaFactor(m.Tenant)
+			servedRate := m.likelyRoute().traffic.servedRate()
+			wait := float64(len(dest.waiting)) / (minServedRate + servedRate) / (quota * quota)
+			if !m.mayHaveRun && wait >= longest {
+				victim, longest = m, wait
+			}
+		}
 	}
+	return victim
 }
 
-// tries counts the attempts made, those before a restart too.
-func (m *message) attemptCount() int { return m.PriorAttempts + len(m.attempts) }
+// mayRepeat reports whether no attempt may have run, or a repeat sent now does no harm.
+func (d *Dispatcher) mayRepeat(m *message) bool {
+	if !m.mayHaveRun || m.class.Effect == Idempotent {
+		return true
+	}
+	minLatency := m.likelyRoute().estimator.minLatency
+	arrival := d.now + processPauseAllowance + d.settings.StepInterval + minLatency
+	return m.class.Effect == IdempotentByKey && arrival < m.firstRunAt+m.class.IdempotencyWindow
+}
 
-// neverRan looks again for the first attempt that may have run.
-func (b *Dispatcher) recordNeverRan(m *message) {
-	last := len(m.attempts) - 1
-	if m.firstRunAt == m.attempts[last].sentAt {
-		m.mayHaveRun = false
+// latestStart is the latest time at which a call of m to r may start: it takes as long as the quickest one
+// served there, and has to be over at m's deadline; a repeat has to be over while m's key is remembered.
+func (d *Dispatcher) latestStart(m *message, r *route) time.Duration {
+	minLatency := r.estimator.minLatency
+	latest := m.Deadline - max(minLatency, d.settings.StepInterval)
+	if m.mayHaveRun && m.class.Effect == IdempotentByKey {
+		windowEnd := m.firstRunAt + m.class.IdempotencyWindow
+		latest = min(latest, windowEnd-processPauseAllowance-minLatency-d.settings.StepInterval)
 	}
+	return latest
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -100,12 +100,12 @@
 		for range 60 + rnd.Intn(200) {
 			w *= agingFactor
 			if rnd.Intn(12) == 0 {
-				o.addSample(0, explorationWeight, true)
+				o.addUnanswered(explorationWeight)
 				late += w * explorationWeight
 				continue
 			}
 			d := time.Duration(math.Exp(rnd.NormFloat64()-1) * float64(time.Second))
-			o.addSample(d, 1, false)
+			o.addSample(d, 1)
 			times, weights = append(times, d.Seconds()), append(weights, w)
 		}
 		// Ê at each bound from the plain list of samples.
@@ -192,7 +192,7 @@
 	s = r.step(TimerFired{})
 	r.now += 100 * ms
 	r.step(r.end(s[0], Served))
-	if n := r.dispatcher.destinations[0].shared.samples; n != 0 {
+	if n := r.dispatcher.destinations[0].shared.estimator.samples; n != 0 {
 		t.Fatalf("%d samples from a repeat", n)
 	}
 }
@@ -217,18 +217,18 @@
 			ends = append(ends, r.end(x, Served))
 		}
 		s = r.step(ends...)
-		if n := r.dispatcher.destinations[0].shared.inFlight; float64(n) >= destinationCallShare*10 {
+		if n := r.dispatcher.destinations[0].shared.window.inFlight; float64(n) >= destinationCallShare*10 {
 			t.Fatalf("%d of 10 slots at one destination", n)
 		}
 	}
 	route := r.dispatcher.destinations[0].shared
-	before := route.window
-	r.dispatcher.halveWindow(route, r.now)
-	r.dispatcher.halveWindow(route, r.now-time.Second) // was out at the cut
-	if route.window != math.Max(1, before/2) {
-		t.Fatalf("window %v after one cut of %v", route.window, before)
+	before := route.window.size
+	route.window.halve(r.now, r.dispatcher.now)
+	route.window.halve(r.now-time.Second, r.dispatcher.now) // was out at the cut
+	if route.window.size != math.Max(1, before/2) {
+		t.Fatalf("window %v after one cut of %v", route.window.size, before)
 	}
-	route.window, route.failureRate = 9, 0.9
+	route.window.size, route.breaker.failureRate = 9, 0.9
 	if c := r.dispatcher.concurrencyLimit(route); float64(c) > destinationCallShare*10/2 {
 		t.Fatalf("a failing destination keeps %d slots", c)
 	}
@@ -337,7 +337,7 @@
 	r := newRig(t, s)
 	r.serve(100, 0, 30*ms) // 20 a second, far more than later allowed
 	route := r.dispatcher.destinations[0].shared
-	usual := route.servedRate()
+	usual := route.traffic.servedRate()
 	up := false
 	var at []time.Duration
 	var open []Send
@@ -367,8 +367,8 @@
 			}
 		}
 	}
-	if route.state == healthy || len(at) < 5 {
-		t.Fatalf("state %v, %d calls after the return", route.state, len(at))
+	if route.breaker.state == healthy || len(at) < 5 {
+		t.Fatalf("state %v, %d calls after the return", route.breaker.state, len(at))
 	}
 	for i := range at {
 		n, j := 0, i
@@ -633,10 +633,10 @@
 	r := newRig(t, settings())
 	r.serve(3, 0, 20*ms)
 	route := r.dispatcher.destinations[0].shared
-	route.window = 7
+	route.window.size = 7
 	r.serve(40, 0, 20*ms)
-	if route.window > 3 {
-		t.Fatalf("window %v for one call at a time", route.window)
+	if route.window.size > 3 {
+		t.Fatalf("window %v for one call at a time", route.window.size)
 	}
 }
 
@@ -688,7 +688,7 @@
 			ends = append(ends, r.end(x, o))
 		}
 		r.step(ends...)
-		if r.dispatcher.destinations[0].shared.state == unavailable {
+		if r.dispatcher.destinations[0].shared.breaker.state == unavailable {
 			outs++
 		}
 	}
@@ -704,7 +704,7 @@
 	r := newRig(t, set)
 	r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}})
 	route := r.dispatcher.destinations[0].shared
-	before := route.pace
+	before := route.limiter.pace
 	for range 20 {
 		sends := r.step(r.message(0, 0, 0))
 		r.now += 300 * ms
@@ -714,8 +714,8 @@
 			r.step(e)
 		}
 	}
-	if route.pace <= before || route.pace > 10 {
-		t.Fatalf("pace %v, %v before", route.pace, before)
+	if route.limiter.pace <= before || route.limiter.pace > 10 {
+		t.Fatalf("pace %v, %v before", route.limiter.pace, before)
 	}
 }
 
@@ -780,7 +780,7 @@
 	r.step(shut)
 	opens := r.now + shut.RetryAfter
 	route := r.dispatcher.destinations[0].shared
-	if route.state != unavailable {
+	if route.breaker.state != unavailable {
 		t.Fatal("a destination shut for long is no outage")
 	}
 	for range 10 {
@@ -793,15 +793,15 @@
 			t.Fatalf("sent %v before the wait was over", opens-r.now)
 		}
 	}
-	if len(sends) != 11 || route.state != warmingUp {
-		t.Fatalf("%d sent at the opening, state %v", len(sends), route.state)
+	if len(sends) != 11 || route.breaker.state != warmingUp {
+		t.Fatalf("%d sent at the opening, state %v", len(sends), route.breaker.state)
 	}
 	// One that fails all the same is an outage again after some, not at the first.
 	for _, x := range sends {
 		r.step(r.end(x, Errored))
 	}
-	if route.state != warmingUp {
-		t.Errorf("state %v after one failure", route.state)
+	if route.breaker.state != warmingUp {
+		t.Errorf("state %v after one failure", route.breaker.state)
 	}
 }
 
@@ -812,7 +812,7 @@
 		r := newRig(t, settings())
 		r.serve(20, 0, 30*ms)
 		route := r.dispatcher.destinations[0].shared
-		fails, bad := route.failureRate, route.consecutiveFailures
+		fails, bad := route.breaker.failureRate, route.breaker.consecutiveFailures
 		s := r.step(r.message(class, 0, 0))
 		r.now += ms
 		e := r.end(s[0], ConnectionBroken)
@@ -820,7 +820,7 @@
 		if sends := r.step(e); (len(sends) == 1) != again || r.failed[s[0].Message] == again {
 			t.Errorf("class %d: sent %v, failed %v", class, sends, r.failed[s[0].Message])
 		}
-		if route.failureRate != fails || route.consecutiveFailures != bad {
+		if route.breaker.failureRate != fails || route.breaker.consecutiveFailures != bad {
 			t.Errorf("class %d: counted as a failure", class)
 		}
 		// One that broke after the time of a call was the destination's.
@@ -828,7 +828,7 @@
 		r.now += 100 * ms
 		e = r.end(s[0], ConnectionBroken)
 		e.ConnectionIdle = 100 * ms
-		if sends := r.step(e); len(sends) != 0 || route.failureRate <= fails {
+		if sends := r.step(e); len(sends) != 0 || route.breaker.failureRate <= fails {
 			t.Errorf("a late break is no failure: %v", sends)
 		}
 	}
@@ -843,12 +843,12 @@
 	ma := &message{Message: a, class: &r.dispatcher.settings.Classes[0]}
 	mb := &message{Message: b, class: &r.dispatcher.settings.Classes[0]}
 	ra, rb := r.dispatcher.destinations[0].shared, r.dispatcher.destinations[1].shared
-	ra.failureRate, rb.failureRate, ra.latency, rb.latency = 0.1, 0.1, 0.02, 0.02
-	ra.consecutiveLosses, ra.lastSentAt = 2, r.now
+	ra.breaker.failureRate, rb.breaker.failureRate, ra.traffic.latency, rb.traffic.latency = 0.1, 0.1, 0.02, 0.02
+	ra.traffic.consecutiveLosses, ra.traffic.lastSentAt = 2, r.now
 	if r.dispatcher.priority(ma, ra) >= r.dispatcher.priority(mb, rb) {
 		t.Fatal("a destination that lost its last calls goes first")
 	}
-	ra.lastSentAt = r.now - 20*time.Second
+	ra.traffic.lastSentAt = r.now - 20*time.Second
 	if r.dispatcher.priority(ma, ra) < 0.9*r.dispatcher.priority(mb, rb) {
 		t.Fatal("a destination that lost calls long ago is starved")
 	}
--- a/internal/dispatch/estimator.go
+++ b/internal/dispatch/estimator.go
@@ -1,151 +1,180 @@
 package dispatch
 
-// The time-out of calls: the restart oracle of the paper, section III.D, for one destination or route,
-// and how long a call may go unanswered before that counts. The design page tells what is the paper's
-// and what is ours.
-
 import (
 	"math"
 	"time"
 )
 
+// The terms of the paper: table I.
+const (
+	bucketCount = 1000             // H: buckets of the latency histogram
+	tauMax      = 60 * time.Second // the histogram's span
+	tauInitial  = 4 * time.Second  // τ before any sample
+	restartCost = 0.0              // c, s
+)
+
+// Our own terms (design).
 const (
-	bucketCount         = 1000             // H: buckets of the latency histogram (paper, table I)
-	tauMax              = 60 * time.Second // the histogram's span (paper, table I)
-	tauInitial          = 4 * time.Second  // time-out before any sample (paper, table I)
-	restartCost         = 0.0              // c, s: cost of a restart (paper, table I)
-	explorationInterval = 20               // one first attempt in so many runs to its time left
-	explorationWeight   = 20               // samples: weight of such a run, as it stands for so many
-	// all samples weigh so much less with each new one: about 200 count
+	// agingFactor is how much less all samples weigh with each new one: about 200 count.
 	agingFactor = 1.005
-	// bounds within this factor of the least Ê are as good: take the longest
+	// nearOptimumFactor: bounds with an Ê within this factor of the least are as good; the longest is taken.
 	nearOptimumFactor = 1.1
-	answeredShare     = 0.99 // share of the answered calls that a time-out must leave, with
-	// so many times their time, as the next may be slower than any seen
+	// answeredShare is the share of the answered calls that τ must not cut short, with
+	answeredShare = 0.99
+	// answeredMargin times their latency, as the next call may be slower than any seen.
 	answeredMargin = 2
-	minSamples     = 20 // samples before a time-out may be under tauFirst
+	// minSamples is the number of samples before τ may be less than tauInitial.
+	minSamples = 20
 )
 
-// sample books a first attempt's time, or with late one that was never answered.
-func (o *timeoutEstimator) addSample(d time.Duration, weight float64, late bool) {
-	for k := range o.buckets {
-		o.buckets[k].weight /= agingFactor
-		o.buckets[k].sum /= agingFactor
+// timeoutEstimator chooses the timeout of calls, τ: the QEST restart oracle of the paper, section III.D,
+// for one route. The design page says what is the paper's and what is ours.
+type timeoutEstimator struct {
+	buckets          []histogramBucket // up to the last in use
+	samples          int               // number taken
+	unansweredWeight float64           // weight of the calls unanswered past tauMax
+	minLatency       time.Duration     // of all samples
+
+	needsUpdate bool          // samples have come since the figures below were computed
+	optimalTau  time.Duration // by Ê, 0 if not computed yet
+	median      time.Duration // of the samples
+	mean        float64       // of all samples, s
+
+	doubledTau time.Duration // τ since an expiry, 0 if none since the last sample
+	doubledAt  time.Duration
+}
+
+// histogramBucket holds the weight of the samples of one bucket, and the weighted sum of their latencies (s).
+type histogramBucket struct{ weight, sum float64 }
+
+// bucketBound is the upper bound of a bucket.
+func bucketBound(bucket int) time.Duration { return tauMax * time.Duration(bucket+1) / bucketCount }
+
+// addSample takes in the latency of a first attempt that was served.
+func (q *timeoutEstimator) addSample(latency time.Duration, weight float64) {
+	if latency >= tauMax {
+		q.addUnanswered(weight)
+		return
 	}
-	o.unansweredWeight /= agingFactor
-	if late || d >= tauMax {
-		o.unansweredWeight += weight
-	} else {
-		k := int(d * bucketCount / tauMax)
-		for len(o.buckets) <= k {
-			o.buckets = append(o.buckets, histogramBucket{})
-		}
-		o.samples++
-		o.buckets[k].weight += weight
-		o.buckets[k].sum += weight * d.Seconds()
-		if o.minLatency == 0 || d < o.minLatency {
-			o.minLatency = d
-		}
+	q.age()
+	bucket := int(latency * bucketCount / tauMax)
+	for len(q.buckets) <= bucket {
+		q.buckets = append(q.buckets, histogramBucket{})
+	}
+	q.samples++
+	q.buckets[bucket].weight += weight
+	q.buckets[bucket].sum += weight * latency.Seconds()
+	if q.minLatency == 0 || latency < q.minLatency {
+		q.minLatency = latency
 	}
-	o.needsUpdate = true
 }
 
-// expected is Ê of restarting at bound tau, for the weight and the mean of samples up to it.
-func expectedTime(upTo, all, mean, tau float64) float64 {
-	f := upTo / all
-	return mean/f + (1-f)/f*(tau+restartCost)
+// addUnanswered takes in a first attempt that was not answered within its time left.
+func (q *timeoutEstimator) addUnanswered(weight float64) {
+	q.age()
+	q.unansweredWeight += weight
 }
 
-// optimum is the argmin of Ê. Where the curve is flat its least point is chance and may lie short,
-// so of the bounds that are as good the longest is taken: it restarts less. Nor does it cut calls that
-// come back: a repeat takes as long again, and the first may still run.
-func (o *timeoutEstimator) optimum() time.Duration {
-	if !o.needsUpdate {
-		return o.optimalTau
+// age lowers the weight of all samples, as a new one comes.
+func (q *timeoutEstimator) age() {
+	for i := range q.buckets {
+		q.buckets[i].weight /= agingFactor
+		q.buckets[i].sum /= agingFactor
 	}
-	o.needsUpdate = false
-	all := o.unansweredWeight
-	for _, k := range o.buckets {
-		all += k.weight
+	q.unansweredWeight /= agingFactor
+	q.needsUpdate = true
+}
+
+// expectedTime is Ê of restarting at τ: M̂/F̂ + (1-F̂)/F̂·(τ+c), for the weight and the mean of the
+// samples up to τ and the weight of all.
+func expectedTime(upToTau, total, mean, tau float64) float64 {
+	f := upToTau / total
+	return mean/f + (1-f)/f*(tau+restartCost)
+}
+
+// optimum is the τ that minimises Ê. Where the curve is flat its least point is chance and may be too
+// short, so of the bounds that are as good the longest is taken: it restarts less. Nor does it cut calls
+// that are answered: a repeat takes as long again, and the first attempt may still run.
+func (q *timeoutEstimator) optimum() time.Duration {
+	if !q.needsUpdate {
+		return q.optimalTau
 	}
-	least, longest := math.Inf(1), tauInitial
-	came, floor := all-o.unansweredWeight, time.Duration(0)
-	for pass := range 2 { // first the least Ê, then the longest bound that is as good
-		n, t := 0.0, 0.0
-		for k, at := range o.buckets {
-			if at.weight == 0 {
-				continue
-			}
-			n += at.weight
-			t += at.sum
-			bound := tauMax * time.Duration(k+1) / bucketCount
-			e := expectedTime(n, all, t/n, bound.Seconds())
-			if pass == 0 {
-				least = min(least, e)
-			} else {
-				if e <= least*nearOptimumFactor {
-					longest = bound
-				}
-				if n-at.weight < came/2 {
-					o.median = bound
-				}
-				if n-at.weight < answeredShare*came {
-					floor = bound * answeredMargin
-				}
-			}
-		}
-		if n > 0 {
-			o.mean = t / n
-		}
+	q.needsUpdate = false
+	total := q.unansweredWeight
+	for _, bucket := range q.buckets {
+		total += bucket.weight
 	}
-	if o.samples < minSamples {
+	longest, floor := q.longestOptimum(total, q.leastExpectedTime(total))
+	if q.samples < minSamples {
 		floor = max(floor, tauInitial)
 	}
-	o.optimalTau = min(max(longest, floor), tauMax)
-	return o.optimalTau
+	q.optimalTau = min(max(longest, floor), tauMax)
+	return q.optimalTau
 }
 
-// tau is the time-out now.
-func (o *timeoutEstimator) tau() time.Duration {
-	if o.doubledTau > 0 {
-		return o.doubledTau
+// leastExpectedTime is the least Ê of all bounds.
+func (q *timeoutEstimator) leastExpectedTime(total float64) float64 {
+	least := math.Inf(1)
+	weight, sum := 0.0, 0.0
+	for i, bucket := range q.buckets {
+		if bucket.weight == 0 {
+			continue
+		}
+		weight += bucket.weight
+		sum += bucket.sum
+		least = min(least, expectedTime(weight, total, sum/weight, bucketBound(i).Seconds()))
 	}
-	if o.optimalTau == 0 && !o.needsUpdate {
-		return tauInitial
+	return least
+}
+
+// longestOptimum is the longest bound whose Ê is near the least, and the bound below which answered calls
+// would be cut. It brings the median and the mean up to date.
+func (q *timeoutEstimator) longestOptimum(total, least float64) (longest, floor time.Duration) {
+	longest = tauInitial
+	answered := total - q.unansweredWeight
+	weight, sum := 0.0, 0.0
+	for i, bucket := range q.buckets {
+		if bucket.weight == 0 {
+			continue
+		}
+		weight += bucket.weight
+		sum += bucket.sum
+		bound := bucketBound(i)
+		if expectedTime(weight, total, sum/weight, bound.Seconds()) <= least*nearOptimumFactor {
+			longest = bound
+		}
+		if weight-bucket.weight < answered/2 {
+			q.median = bound
+		}
+		if weight-bucket.weight < answeredShare*answered {
+			floor = bound * answeredMargin
+		}
+	}
+	if weight > 0 {
+		q.mean = sum / weight
 	}
-	return o.optimum()
+	return longest, floor
 }
 
-// expired doubles the time-out, once for all calls that were out at the last doubling.
-func (o *timeoutEstimator) expire(sent, now time.Duration) {
-	if o.doubledTau == 0 || sent >= o.doubledAt {
-		o.doubledTau, o.doubledAt = min(2*o.tau(), tauMax), now
+// optimumOrInitial is the optimum, or the initial τ before any sample.
+func (q *timeoutEstimator) optimumOrInitial() time.Duration {
+	if q.optimalTau == 0 && !q.needsUpdate {
+		return tauInitial
 	}
+	return q.optimum()
 }
 
-// patience is how old an unanswered call may be before it counts as silence. Calls that came back from
-// a hang lengthen the time-out; silence is judged as if they had not.
-func (r *route) silenceTimeout() time.Duration { return min(r.optimumOrInitial(), tauInitial) }
-
-// haste is the patience for taking slots back: some times the usual latency, which for a route with few
-// samples is that of all routes, if a call sent later was served there already. It doubles with each
-// call taken back there until one is served: what turns slow then gets the time to show it.
-func (b *Dispatcher) overdueAfter(c *call) time.Duration {
-	r := c.route
-	b.overallEstimator.optimum()
-	usual := b.overallEstimator.median
-	if r.samples >= minSamples {
-		usual = r.median
-	} else if b.overallEstimator.samples < minSamples || r.lastServedSentAt <= c.sentAt {
-		return r.silenceTimeout()
+// tau is the timeout now.
+func (q *timeoutEstimator) tau() time.Duration {
+	if q.doubledTau > 0 {
+		return q.doubledTau
 	}
-	usual = max(overdueFactor*usual, time.Duration(slowFactor*r.latency*float64(time.Second)), probeInterval)
-	return min(r.silenceTimeout(), usual<<min(r.cancelledCalls, 4))
+	return q.optimumOrInitial()
 }
 
-func (r *route) optimumOrInitial() time.Duration {
-	if r.optimalTau == 0 && !r.needsUpdate {
-		return tauInitial
+// expire doubles τ, once for all calls that were in flight at the last doubling.
+func (q *timeoutEstimator) expire(sentAt, now time.Duration) {
+	if q.doubledTau == 0 || sentAt >= q.doubledAt {
+		q.doubledTau, q.doubledAt = min(2*q.tau(), tauMax), now
 	}
-	return r.optimum()
 }
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -203,7 +203,7 @@
 	}
 	r.now += 30 * ms
 	r.step(r.end(s[0], Served))
-	kept, _ := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1])
+	kept := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1])
 	if kept > 1100*ms {
 		t.Fatalf("connections are kept for %v though one idle for 2 s was dropped", kept)
 	}
@@ -511,15 +511,15 @@
 // to learn from those that connections may be kept, as a new one is dear; a connect that fails undoes it.
 func TestOneOfManyLearnsToKeepConnections(t *testing.T) {
 	r := fleetRig(t, 80)
-	begin, _ := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1])
+	begin := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1])
 	r.serve(100, 0, 30*ms)
-	if kept, _ := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1]); kept < begin*3/2 {
+	if kept := r.dispatcher.idleTimeout(r.dispatcher.endpoints[1]); kept < begin*3/2 {
 		t.Errorf("kept for %v after 100 served calls, %v before", kept, begin)
 	}
 	s := r.step(r.message(0, 0, 0))
 	r.now += 30 * ms
 	r.step(r.end(s[0], ConnectFailed))
-	if kept, _ := r.dispatcher.idleTimeout(r.dispatcher.endpoints[2]); kept > begin {
+	if kept := r.dispatcher.idleTimeout(r.dispatcher.endpoints[2]); kept > begin {
 		t.Errorf("kept for %v elsewhere after a connect that failed", kept)
 	}
 }
--- a/internal/dispatch/outage.go
+++ b/internal/dispatch/outage.go
@@ -1,82 +1,87 @@
 package dispatch
 
-// Outages outlive a process. A destination that returns from an outage is cold, and bears little from
-// those who saw it fail: a sender that is restarted in between holds many messages for it, and would
-// otherwise send them all at once. So each change of a route's state is told, and the next process begins
-// with the states as last told.
-
 import "time"
 
-// Outage is what is to be known of a route that is in an outage or cold after one.
+// Outages outlive a process. A destination that recovers from an outage bears little from those that saw
+// it fail: a sender that is restarted in between has many messages for it, and would otherwise send them
+// all at once. So each change of a circuit's state is persisted, and the next process begins with the
+// states last persisted.
+
+// Outage is the state of a route that is in an outage or in the slow start after one.
 type Outage struct {
 	Destination DestinationID
-	Endpoint    EndpointID    // where routes are apart
-	PerEndpoint bool          // routes are apart
-	Resolved    bool          // it is well again; nothing else is set then but whose it is
-	WarmingUp   bool          // it has answered again
-	Since       time.Duration // of the state, by the clock
-	StartedAt   time.Duration // of the outage
+	Endpoint    EndpointID    // only with PerEndpoint
+	PerEndpoint bool          // the endpoint is a route of its own
+	Resolved    bool          // the route is healthy again; the fields below are not set
+	WarmingUp   bool          // it is in its slow start
+	Since       time.Duration // clock time at which that state began
+	StartedAt   time.Duration // clock time at which the outage began
 	RateBefore  float64       // our calls a second before it
 }
 
-// enter puts a route into another state, which is to be noted at the end of the batch.
-func (b *Dispatcher) setState(r *route, to circuitState) {
-	r.state, r.stateSince = to, b.now
-	for _, known := range b.changedRoutes {
-		if known == r {
-			return
-		}
+// persistOutages asks to record the routes whose circuit has changed state in this batch.
+func (d *Dispatcher) persistOutages() {
+	if len(d.changedRoutes) == 0 {
+		return
 	}
-	b.changedRoutes = append(b.changedRoutes, r)
+	var outages []Outage
+	for _, r := range d.changedRoutes {
+		outages = append(outages, r.outage())
+	}
+	d.changedRoutes = d.changedRoutes[:0]
+	d.act(PersistOutages{Outages: outages})
 }
 
-// noteOutages tells which routes have changed in this batch.
-func (b *Dispatcher) persistOutages() {
-	if len(b.changedRoutes) == 0 {
-		return
+// outage is the state of r to be persisted.
+func (r *route) outage() Outage {
+	outage := Outage{
+		Destination: r.destination,
+		Endpoint:    r.endpoint,
+		PerEndpoint: r.perEndpoint,
+		Resolved:    r.breaker.state == healthy,
 	}
-	var note PersistOutages
-	for _, r := range b.changedRoutes {
-		o := Outage{Destination: r.destination, Endpoint: r.endpoint, PerEndpoint: r.perEndpoint,
-			Resolved: r.state == healthy}
-		if !o.Resolved {
-			o.WarmingUp, o.Since, o.StartedAt, o.RateBefore = r.state == warmingUp, r.stateSince,
-				r.outageStartedAt, r.rateBefore
-		}
-		note.Outages = append(note.Outages, o)
+	if !outage.Resolved {
+		outage.WarmingUp = r.breaker.state == warmingUp
+		outage.Since = r.breaker.since
+		outage.StartedAt = r.breaker.outageStartedAt
+		outage.RateBefore = r.breaker.rateBefore
 	}
-	b.changedRoutes = b.changedRoutes[:0]
-	b.actions = append(b.actions, note)
+	return outage
 }
 
-// routeOf is the route that an outage is of, nil if it is not known.
-func (b *Dispatcher) routeOfOutage(o Outage) *route {
-	if !o.PerEndpoint {
-		if d := b.destinations[o.Destination]; d != nil {
-			return d.shared
+// routeOfOutage is the route that an outage is of, nil if it is not known.
+func (d *Dispatcher) routeOfOutage(outage Outage) *route {
+	if !outage.PerEndpoint {
+		if dest := d.destinations[outage.Destination]; dest != nil {
+			return dest.shared
 		}
 		return nil
 	}
-	e := b.endpoints[o.Endpoint]
+	e := d.endpoints[outage.Endpoint]
 	if e == nil || !e.route.perEndpoint {
 		return nil
 	}
 	return e.route
 }
 
-// recallOutages begins with the states that an earlier Dispatcher noted. A route that became cold long ago is
-// warm by now.
-func (b *Dispatcher) restoreOutages(list []Outage) {
-	for _, o := range list {
-		r := b.routeOfOutage(o)
-		if r == nil || o.Resolved || o.WarmingUp && b.now-o.Since > b.settings.SlowStartDuration {
+// restoreOutages begins with the states that an earlier Dispatcher persisted. A route whose slow start
+// began long ago has recovered by now.
+func (d *Dispatcher) restoreOutages(outages []Outage) {
+	for _, outage := range outages {
+		r := d.routeOfOutage(outage)
+		hasRecovered := outage.Resolved || outage.WarmingUp &&
+			d.now-outage.Since > d.settings.SlowStartDuration
+		if r == nil || hasRecovered {
 			continue
 		}
-		r.state, r.stateSince = unavailable, min(b.now, o.Since)
-		r.outageStartedAt, r.rateBefore = min(b.now, o.StartedAt), max(0, o.RateBefore)
-		if o.WarmingUp {
-			r.state = warmingUp
+		r.breaker.state = unavailable
+		if outage.WarmingUp {
+			r.breaker.state = warmingUp
 		}
-		r.window, r.tokens, r.refilledAt = 1, b.jitter(), b.now
+		r.breaker.since = min(d.now, outage.Since)
+		r.breaker.outageStartedAt = min(d.now, outage.StartedAt)
+		r.breaker.rateBefore = max(0, outage.RateBefore)
+		r.window.size = 1
+		r.limiter.set(d.jitter(), d.now)
 	}
 }
--- a/internal/dispatch/priority.go
+++ b/internal/dispatch/priority.go
@@ -1,77 +1,89 @@
 package dispatch
 
-// What a message is worth, and which one goes first for a scarce slot.
-
 import (
 	"math"
-	"sort"
 	"time"
 )
 
-// worth is what m is worth if served at the time.
-func (b *Dispatcher) weightAt(m *message, at time.Duration) float64 {
+const (
+	// minExpectedLatency (s) is the least time that a call is expected to hold its slot.
+	minExpectedLatency = 0.05
+	// passedOverDelay is how long a message that is passed over is expected to wait.
+	passedOverDelay = 2 * time.Second
+	// baseWeightShare is the share of a message's weight that counts beside its loss by waiting.
+	baseWeightShare = 0.1
+	// worstClassSharpness: classes whose goodput differs by less than its inverse share the worst class's
+	// weight.
+	worstClassSharpness = 10
+	// minClassWeight keeps a class without weight from dividing by zero.
+	minClassWeight = 1e-9
+)
+
+// classGoodput is the weight of a class's messages that have ended, over arrivalSpan, and what of it was
+// served.
+type classGoodput struct{ ended, served decayingCounter }
+
+// priority orders messages for a scarce slot: the weight that a message loses if it is passed over, and a
+// little of its weight, for the slot time that its call is likely to take. Calls lost since one was served
+// count against it.
+func (d *Dispatcher) priority(m *message, r *route) float64 {
+	seconds := max(r.traffic.latency, r.estimator.mean, minExpectedLatency)
+	servedAt := d.now + time.Duration(seconds*float64(time.Second))
+	weight := d.weightAt(m, servedAt)
+	sinceLastSent := (d.now - r.traffic.lastSentAt).Seconds()
+	losses := float64(r.traffic.consecutiveLosses) * math.Exp(-sinceLastSent/passedOverDelay.Seconds())
+	loss := weight - d.weightAt(m, servedAt+passedOverDelay) + baseWeightShare*weight
+	return loss * d.fairnessFactor(m) * (1 - r.breaker.failureRate) / (seconds * (1 + losses))
+}
+
+// weightAt is the weight of m if it is served at a time: its class's priority weight until the latency
+// objective, less after it, and nothing from the deadline on.
+func (d *Dispatcher) weightAt(m *message, at time.Duration) float64 {
 	c := m.class
 	late := at - (m.Deadline - c.Deadline) - c.LatencyObjective
-	w := c.PriorityWeight * b.quotaFactor(m.Tenant)
+	weight := c.PriorityWeight * d.quotaFactor(m.Tenant)
 	switch {
 	case at >= m.Deadline:
 		return 0
 	case late <= 0:
-		return w
-	case b.settings.LateWeightHalves:
-		return w * max(c.LateWeight, math.Exp2(-late.Seconds()/c.LatencyObjective.Seconds()))
+		return weight
+	case d.settings.LateWeightHalves:
+		return weight * max(c.LateWeight, math.Exp2(-late.Seconds()/c.LatencyObjective.Seconds()))
 	}
-	return w * (1 - (1-c.LateWeight)*late.Seconds()/(c.Deadline-c.LatencyObjective).Seconds())
+	return weight * (1 - (1-c.LateWeight)*late.Seconds()/(c.Deadline-c.LatencyObjective).Seconds())
 }
 
-// tenantWorth is the worth of a tenant's messages as a fraction: beyond its share, the mean of those
-// within and those beyond. Our part of the share is judged by what tenants usually send us.
-func (b *Dispatcher) quotaFactor(i int) float64 {
-	if i < 0 || i >= len(b.tenantRates) || b.settings.Senders == 0 {
+// fairnessFactor is how much more than its weight a message counts. The settings weigh the worst-served
+// class beside the total, and a message is the larger a part of its class the less weight that has in all.
+// Which class is the worst is as seen here; one of which nothing has ended yet counts as served.
+func (d *Dispatcher) fairnessFactor(m *message) float64 {
+	isWeighed := d.settings.WorstClassWeight > 0 && d.settings.TotalWeight > 0
+	if !isWeighed || m.Class < 0 || m.Class >= len(d.classGoodputs) {
 		return 1
 	}
-	parts := make([]float64, 0, len(b.tenantRates))
-	for j, t := range b.tenantRates {
-		parts = append(parts, t.longTerm/max(b.settings.Tenants[j].QuotaRate, 1e-9))
-	}
-	sort.Float64s(parts) // the middle one: a tenant that surges does not widen its own share
-	part := min(1, max(1/float64(b.settings.Senders), parts[len(parts)/2]))
-	beyond := b.tenantRates[i].recent / max(overQuotaFactor*part*b.settings.Tenants[i].QuotaRate, 1e-9)
-	if beyond <= 1 {
-		return 1
-	}
-	return (1 + (beyond-1)*b.settings.OverQuotaWeight) / beyond
-}
-
-// classFactor is how much more than its worth a message counts. The settings weigh the worst-served class
-// beside the whole, and a message is the larger a part of its class the less worth that has in all. Which
-// class is the worst is as seen here; one of which nothing has ended yet counts as served.
-func (b *Dispatcher) fairnessFactor(m *message) float64 {
-	if b.settings.WorstClassWeight <= 0 || b.settings.TotalWeight <= 0 || m.Class < 0 ||
-		m.Class >= len(b.classGoodputs) {
-		return 1
-	}
-	all, weights, own := 0.0, 0.0, 0.0
-	for i := range b.classGoodputs {
-		c := &b.classGoodputs[i]
-		first := max(b.settings.Classes[i].PriorityWeight, 1e-9)
-		ended := c.ended.at(b.now, arrivalSpan) + first
-		weight := math.Exp(-worstClassSharpness * (c.served.at(b.now, arrivalSpan) + first) / ended)
-		all, weights = all+ended, weights+weight
+	total, shares, own := 0.0, 0.0, 0.0
+	for i := range d.classGoodputs {
+		goodput := &d.classGoodputs[i]
+		first := max(d.settings.Classes[i].PriorityWeight, minClassWeight)
+		ended := goodput.ended.at(d.now, arrivalSpan) + first
+		served := goodput.served.at(d.now, arrivalSpan) + first
+		share := math.Exp(-worstClassSharpness * served / ended)
+		total, shares = total+ended, shares+share
 		if i == m.Class {
-			own = weight / ended
+			own = share / ended
 		}
 	}
-	return 1 + b.settings.WorstClassWeight/b.settings.TotalWeight*all*own/weights
+	return 1 + d.settings.WorstClassWeight/d.settings.TotalWeight*total*own/shares
 }
 
-// index orders messages for a scarce slot: the worth that a message loses if passed over, and a little of
-// its worth, for the slot time that it is likely to hold. Calls failed since one was served count against it.
-func (b *Dispatcher) priority(m *message, r *route) float64 {
-	takes := max(r.latency, r.mean, 0.05)
-	done := b.now + time.Duration(takes*float64(time.Second))
-	w := b.weightAt(m, done)
-	lost := float64(r.consecutiveLosses) * math.Exp(-(b.now-r.lastSentAt).Seconds()/passedOverDelay.Seconds())
-	loss := w - b.weightAt(m, done+passedOverDelay) + baseWeightShare*w
-	return loss * b.fairnessFactor(m) * (1 - r.failureRate) / (takes * (1 + lost))
+// recordClassGoodput counts m, which has ended, with its class.
+func (d *Dispatcher) recordClassGoodput(m *message) {
+	if m.Class < 0 || m.Class >= len(d.classGoodputs) { // of settings that are no longer in force
+		return
+	}
+	goodput := &d.classGoodputs[m.Class]
+	goodput.ended.add(m.class.PriorityWeight, d.now, arrivalSpan)
+	if m.served {
+		goodput.served.add(d.weightAt(m, d.now), d.now, arrivalSpan)
+	}
 }
--- /dev/null
+++ b/internal/dispatch/retry.go
@@ -0,0 +1,178 @@
+package dispatch
+
+import "time"
+
+const (
+	// retryBackoff is the first backoff of a message after a failed attempt; it doubles with each further
+	// one.
+	retryBackoff = 150 * time.Millisecond
+	// retryBackoffDoublings is how often that backoff doubles at most.
+	retryBackoffDoublings = 4
+)
+
+// handleResult takes in the result of an attempt.
+func (d *Dispatcher) handleResult(result AttemptResult) {
+	m := d.messages[result.Message]
+	if m == nil || result.Attempt < 0 || result.Attempt >= len(m.attempts) ||
+		m.attempts[result.Attempt].ended {
+		return
+	}
+	a := &m.attempts[result.Attempt]
+	a.ended = true
+	a.outcomeUnknown = result.Outcome == TimedOut || result.Outcome == ConnectionBroken
+	result.Elapsed = max(0, result.Elapsed)
+	m.inFlight--
+	if a.call.unresolved--; a.call.unresolved == 0 {
+		d.finishCall(a.call, result.Outcome)
+	}
+	if result.HasLoadReport && isPositiveFinite(result.RateLimit) {
+		d.updateRateLimit(a.call.route, result.RateLimit)
+	}
+	if result.RetryAfter > 0 { // each result of a shared call may name a later end
+		d.applyRetryAfter(m.destination, a.call.route, result.RetryAfter)
+	}
+	dropped := isDroppedConnection(a.call.route, result)
+	ran := result.Outcome != NotSent && result.Outcome != NotStarted
+	if !a.call.healthRecorded && ran && !dropped {
+		a.call.healthRecorded = true
+		d.recordHealth(m, a.call, result)
+	}
+	d.updateEstimators(a, result)
+	d.recordRun(m, result.Outcome)
+	if result.Final || m.closed {
+		m.served = result.Outcome == Served
+		d.closeMessage(m)
+		return
+	}
+	if m.inFlight > 0 {
+		return
+	}
+	m.destination.waiting = append(m.destination.waiting, m)
+	m.connectFailed = result.Outcome == ConnectFailed
+	if result.Outcome != TimedOut && result.Outcome != NotStarted && !dropped {
+		m.notBefore = d.now + retryBackoff<<min(len(m.attempts)-1, retryBackoffDoublings)
+	}
+}
+
+// isDroppedConnection reports whether a call broke sooner than any call was served, on a connection that
+// had been idle: the connection was dropped meanwhile, which says nothing of the destination. The call may
+// have run, but its repeat need not wait.
+func isDroppedConnection(r *route, result AttemptResult) bool {
+	return result.Outcome == ConnectionBroken && result.ConnectionIdle > 0 &&
+		result.Elapsed < r.estimator.minLatency
+}
+
+// finishCall frees what a call held when all its messages have their results.
+func (d *Dispatcher) finishCall(c *call, outcome Outcome) {
+	d.callsInFlight--
+	c.route.window.inFlight--
+	if c.cancelled {
+		d.cancelledInFlight--
+	}
+	d.releaseConnection(c.endpoint, outcome == Served)
+	c.route.window.unanswered = remove(c.route.window.unanswered, c)
+	if c.isProbe && c.sentAt >= c.route.breaker.since && c.route.breaker.state == unavailable {
+		c.route.breaker.probesInFlight--
+	}
+}
+
+// recordRun books whether the last attempt of m may have run.
+func (d *Dispatcher) recordRun(m *message, outcome Outcome) {
+	switch outcome {
+	case NotStarted:
+		m.PriorAttempts-- // it does not count as an attempt
+		m.recordNeverRan()
+	case Rejected, ConnectFailed, NotSent:
+		m.recordNeverRan()
+	case TimedOut, ConnectionBroken, Cancelled:
+		if m.keyQueue != nil {
+			m.keyQueue.settle(d.now + d.settings.OrderedKeySettleTime)
+		}
+	}
+}
+
+// updateEstimators gives the estimators their samples: served first attempts only (Karn); an expiry
+// doubles τ.
+func (d *Dispatcher) updateEstimators(a *attempt, result AttemptResult) {
+	estimator := &a.call.route.estimator
+	switch {
+	case result.Outcome == Served && a.sampleWeight > 0:
+		estimator.addSample(result.Elapsed, a.sampleWeight)
+		d.overallEstimator.addSample(result.Elapsed, a.sampleWeight)
+		estimator.doubledTau = 0
+	case result.Outcome == TimedOut && a.untilDeadline && a.sampleWeight > 0:
+		estimator.addUnanswered(a.sampleWeight)
+	case result.Outcome == TimedOut && !a.untilDeadline:
+		estimator.expire(a.call.sentAt, d.now)
+	}
+}
+
+// recordHealth records the outcome of a call with its route and its endpoint.
+func (d *Dispatcher) recordHealth(m *message, c *call, result AttemptResult) {
+	r, e := c.route, c.endpoint
+	failure := 0.0
+	if result.Outcome != Served && result.Outcome != Rejected {
+		failure = 1
+	}
+	e.failureRate += failureSmoothing * (failure - e.failureRate)
+	if result.Outcome != Rejected {
+		r.breaker.failureRate += failureSmoothing * (failure - r.breaker.failureRate)
+		r.traffic.consecutiveLosses++
+	}
+	if result.Outcome == Served {
+		d.recordSuccess(m, c, result)
+		return
+	}
+	r.breaker.consecutiveFailures++
+	switch {
+	case result.Outcome == ConnectFailed:
+		d.recordConnectFailure(e)
+	case result.Outcome == Rejected:
+		d.recordRejection(c, result)
+	case result.Outcome == TimedOut && r.estimator.doubledTau > 0:
+		r.window.halve(c.sentAt, d.now)
+	}
+	d.checkOutage(r, result.Outcome)
+}
+
+// recordSuccess records a call that was served.
+func (d *Dispatcher) recordSuccess(m *message, c *call, result AttemptResult) {
+	r, e := c.route, c.endpoint
+	seconds := result.Elapsed.Seconds()
+	updateMean(&r.traffic.latency, seconds, latencySmoothing)
+	updateMean(&e.latency, seconds, latencySmoothing)
+	d.lengthenIdleTimeout(e)
+	d.detectDroppedConnection(m, e, seconds)
+	r.traffic.recordServed(d.now, c.sentAt)
+	r.breaker.consecutiveFailures, r.backoff.step, r.window.cancelledCalls = 0, 0, 0
+	if r.breaker.state == unavailable {
+		if d.hasOwnEvidence(r) {
+			e.idleTimeoutCut = 0 // it was an outage: its connects did not fail for lack of places
+		}
+		d.startSlowStart(r, 0)
+	}
+	r.window.recordServed(d.maxCallsPerDestination())
+	if r.limiter.limit > 0 && (result.RateLimit == 0 || result.QuotaLeft > growthQuota) {
+		d.increasePace(r, result.RateLimit != 0)
+	}
+}
+
+// recordRejection slows down the route, and closes it for a growing backoff if the answer named none.
+func (d *Dispatcher) recordRejection(c *call, result AttemptResult) {
+	r := c.route
+	r.window.halve(c.sentAt, d.now)
+	r.backoff.rejectedAt = d.now
+	if r.limiter.limit > 0 {
+		d.decreasePace(r)
+	}
+	if result.RetryAfter <= 0 {
+		r.backoff.grow(d.now)
+		return
+	}
+	if result.RetryAfter > d.settings.OverloadWindow && r.breaker.state != unavailable {
+		d.openCircuit(r) // closed for longer than any limit is counted over: it recovers slowly
+	}
+	if r.breaker.state == unavailable {
+		r.breaker.reopensAt = r.backoff.until
+	}
+}
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -1,218 +1,321 @@
 package dispatch
 
-// What a Dispatcher gives to the one that follows it in another process of the same sender. Nothing is
-// decided here: it is copied out and in again. All of it has plain exported fields, so that it can travel
-// in any encoding.
-
 import (
 	"slices"
 	"time"
 )
 
-// Memory is what a Dispatcher knows beside its messages and the list.
+// Snapshot is what a Dispatcher hands to its successor in another process of the same sender: what it
+// knows beside its messages and the endpoint list. It has plain exported fields, so that it can travel in
+// any encoding.
 type Snapshot struct {
 	StartedAt    time.Duration
 	Arrivals     DecayingCount
 	Overall      EstimatorSnapshot
-	IdleTimeouts []time.Duration
+	IdleTimeouts []time.Duration // by kind of destination
 	Random       uint64
-	Tenants      [][2]float64       // recent and usual rate
-	Classes      [][2]DecayingCount // worth that has ended, and was served
+	Tenants      [][2]float64       // recent and long-term rate
+	Classes      [][2]DecayingCount // weight that has ended, and what of it was served
 	Routes       []RouteSnapshot
 	Endpoints    []EndpointSnapshot
 }
 
-// Fading is a count that fades, as of a time.
+// DecayingCount is a count that decays, as of a time.
 type DecayingCount struct {
 	Value     float64
 	UpdatedAt time.Duration
 }
 
-// OracleMemory is a latency histogram and the time-out drawn from it.
+// EstimatorSnapshot is a latency histogram and the timeout drawn from it.
 type EstimatorSnapshot struct {
-	BucketWeights, BucketSums                             []float64
-	Samples                                               int
-	UnansweredWeight, Mean                                float64
-	OptimalTau, Median, MinLatency, DoubledTau, DoubledAt time.Duration
+	BucketWeights    []float64
+	BucketSums       []float64
+	Samples          int
+	UnansweredWeight float64
+	Mean             float64
+	OptimalTau       time.Duration
+	Median           time.Duration
+	MinLatency       time.Duration
+	DoubledTau       time.Duration
+	DoubledAt        time.Duration
 }
 
-// RouteMemory is what is known of a destination, or of the route to one endpoint where routes are apart.
+// RouteSnapshot is what is known of a destination, or of one endpoint that is a route of its own.
 type RouteSnapshot struct {
 	Destination DestinationID
 	Endpoint    EndpointID
 	PerEndpoint bool
 
-	Estimator                                                 EstimatorSnapshot
-	SentCalls, ServedCalls                                    DecayingCount
-	Window, FailureRate, Latency, RecentServed, RateBefore    float64
-	Limit, Pace, Tokens                                       float64
-	HalvedAt, BackoffUntil, BackoffStep, ReopensAt            time.Duration
-	LastServedAt, LastSentAt, LastServedSentAt, FirstServedAt time.Duration
-	OutageStartedAt, StateSince, LastProbeAt, RefilledAt      time.Duration
-	ConsecutiveFailures, ConsecutiveLosses                    int
-	State                                                     uint8
+	Estimator EstimatorSnapshot
+
+	SentCalls         DecayingCount
+	ServedCalls       DecayingCount
+	RecentServed      float64
+	Latency           float64
+	ConsecutiveLosses int
+	FirstServedAt     time.Duration
+	LastServedAt      time.Duration
+	LastSentAt        time.Duration
+	LastServedSentAt  time.Duration
+
+	Window   float64
+	HalvedAt time.Duration
+
+	Limit      float64
+	Pace       float64
+	Tokens     float64
+	RefilledAt time.Duration
+
+	BackoffUntil time.Duration
+	BackoffStep  time.Duration
+
+	State               uint8
+	StateSince          time.Duration
+	FailureRate         float64
+	ConsecutiveFailures int
+	OutageStartedAt     time.Duration
+	RateBefore          float64
+	ReopensAt           time.Duration
+	LastProbeAt         time.Duration
 }
 
-// EndpointMemory is what is known of one endpoint.
+// EndpointSnapshot is what is known of one endpoint.
 type EndpointSnapshot struct {
-	Endpoint             EndpointID
-	Latency, FailureRate float64
-	IdleTimeoutCut       time.Duration
-}
-
-func (o *timeoutEstimator) snapshot() EstimatorSnapshot {
-	m := EstimatorSnapshot{Samples: o.samples, UnansweredWeight: o.unansweredWeight, Mean: o.mean,
-		OptimalTau: o.optimum(), Median: o.median,
-		MinLatency: o.minLatency, DoubledTau: o.doubledTau, DoubledAt: o.doubledAt}
-	for _, k := range o.buckets {
-		m.BucketWeights, m.BucketSums = append(m.BucketWeights, k.weight), append(m.BucketSums, k.sum)
-	}
-	return m
-}
-
-func (m EstimatorSnapshot) restore() timeoutEstimator {
-	o := timeoutEstimator{samples: m.Samples, unansweredWeight: m.UnansweredWeight, mean: m.Mean,
-		optimalTau: m.OptimalTau, median: m.Median, minLatency: m.MinLatency,
-		doubledTau: m.DoubledTau, doubledAt: m.DoubledAt}
-	for k := range min(len(m.BucketWeights), len(m.BucketSums), bucketCount) {
-		o.buckets = append(o.buckets, histogramBucket{m.BucketWeights[k], m.BucketSums[k]})
-	}
-	return o
-}
-
-// Remember copies out what another Dispatcher needs to go on where this one stops. It changes nothing.
-func (b *Dispatcher) Snapshot() Snapshot {
-	m := Snapshot{StartedAt: b.startedAt, Arrivals: DecayingCount{b.arrivals.value,
-		b.arrivals.updatedAt}, Overall: b.overallEstimator.snapshot(),
-		IdleTimeouts: slices.Clone(b.idleTimeouts),
-		Random:       b.randomState}
-	for _, c := range b.classGoodputs {
-		m.Classes = append(m.Classes, [2]DecayingCount{{c.ended.value, c.ended.updatedAt},
-			{c.served.value, c.served.updatedAt}})
-	}
-	for _, t := range b.tenantRates {
-		m.Tenants = append(m.Tenants, [2]float64{t.recent, t.longTerm})
-	}
-	route := func(r *route) RouteSnapshot {
-		return RouteSnapshot{Estimator: r.timeoutEstimator.snapshot(),
-			SentCalls:   DecayingCount{r.sentCalls.value, r.sentCalls.updatedAt},
-			ServedCalls: DecayingCount{r.servedCalls.value, r.servedCalls.updatedAt},
-			Window:      r.window, FailureRate: r.failureRate, Latency: r.latency,
-			RecentServed: r.recentServed, RateBefore: r.rateBefore, Limit: r.limit, Pace: r.pace,
-			Tokens: r.tokens, HalvedAt: r.halvedAt, BackoffUntil: r.backoffUntil,
-			BackoffStep: r.backoffStep, ReopensAt: r.reopensAt,
-			LastServedAt: r.lastServedAt, LastSentAt: r.lastSentAt, LastServedSentAt: r.lastServedSentAt,
-			FirstServedAt: r.firstServedAt, OutageStartedAt: r.outageStartedAt,
-			StateSince: r.stateSince, LastProbeAt: r.lastProbeAt, RefilledAt: r.refilledAt,
-			ConsecutiveFailures: r.consecutiveFailures, ConsecutiveLosses: r.consecutiveLosses,
-			State: uint8(r.state)}
-	}
-	for id, d := range b.destinations {
-		if d.shared != nil {
-			r := route(d.shared)
+	Endpoint       EndpointID
+	Latency        float64
+	FailureRate    float64
+	IdleTimeoutCut time.Duration
+}
+
+// Snapshot copies out what another Dispatcher needs to go on where this one stops. It changes no decision.
+func (d *Dispatcher) Snapshot() Snapshot {
+	s := Snapshot{
+		StartedAt:    d.startedAt,
+		Arrivals:     d.arrivals.snapshot(),
+		Overall:      d.overallEstimator.snapshot(),
+		IdleTimeouts: slices.Clone(d.idleTimeouts),
+		Random:       d.randomState,
+	}
+	for _, goodput := range d.classGoodputs {
+		s.Classes = append(s.Classes, [2]DecayingCount{goodput.ended.snapshot(), goodput.served.snapshot()})
+	}
+	for _, rate := range d.tenantRates {
+		s.Tenants = append(s.Tenants, [2]float64{rate.recent, rate.longTerm})
+	}
+	for id, dest := range d.destinations {
+		if dest.shared != nil {
+			r := dest.shared.snapshot()
 			r.Destination = id
-			m.Routes = append(m.Routes, r)
+			s.Routes = append(s.Routes, r)
 		}
 	}
-	for id, e := range b.endpoints {
-		m.Endpoints = append(m.Endpoints, EndpointSnapshot{id, e.latency, e.failureRate, e.idleTimeoutCut})
-		if d := b.destinations[e.Destination]; e.route != d.shared {
-			r := route(e.route)
+	for id, e := range d.endpoints {
+		s.Endpoints = append(s.Endpoints, EndpointSnapshot{
+			Endpoint:       id,
+			Latency:        e.latency,
+			FailureRate:    e.failureRate,
+			IdleTimeoutCut: e.idleTimeoutCut,
+		})
+		if dest := d.destinations[e.Destination]; e.route != dest.shared {
+			r := e.route.snapshot()
 			r.Endpoint, r.PerEndpoint = id, true
-			m.Routes = append(m.Routes, r)
+			s.Routes = append(s.Routes, r)
 		}
 	}
-	return m
+	return s
 }
 
-// Resting is until when messages rest after a failed attempt.
-func (b *Dispatcher) BackoffUntil() map[MessageID]time.Duration {
-	rests := map[MessageID]time.Duration{}
-	for _, m := range b.pending {
-		if m.notBefore > b.now && m.inFlight == 0 {
-			rests[m.ID] = m.notBefore
+// BackoffUntil is until when messages wait after a failed attempt.
+func (d *Dispatcher) BackoffUntil() map[MessageID]time.Duration {
+	until := map[MessageID]time.Duration{}
+	for _, m := range d.pending {
+		if m.notBefore > d.now && m.inFlight == 0 {
+			until[m.ID] = m.notBefore
 		}
 	}
-	return rests
-}
-
-// Recall takes in what an earlier Dispatcher remembered. The list must have been told before, and no message.
-func (b *Dispatcher) Restore(m Snapshot) {
-	b.startedAt, b.randomState = m.StartedAt, m.Random
-	b.arrivals = decayingCounter{m.Arrivals.Value, m.Arrivals.UpdatedAt}
-	b.overallEstimator, b.idleTimeouts = m.Overall.restore(), slices.Clone(m.IdleTimeouts)
-	for i := range min(len(m.Classes), len(b.classGoodputs)) {
-		ended, served := m.Classes[i][0], m.Classes[i][1]
-		b.classGoodputs[i] = classGoodput{decayingCounter{ended.Value, ended.UpdatedAt},
-			decayingCounter{served.Value, served.UpdatedAt}}
-	}
-	for i := range min(len(m.Tenants), len(b.tenantRates)) {
-		b.tenantRates[i] = tenantRate{m.Tenants[i][0], m.Tenants[i][1]}
-	}
-	b.tenantRatesDecayedAt = b.now
-	for _, k := range m.Routes {
-		var r *route
-		if k.PerEndpoint {
-			if e := b.endpoints[k.Endpoint]; e != nil && e.route != b.destinations[e.Destination].shared {
-				r = e.route
-			}
-		} else if d := b.destinations[k.Destination]; d != nil {
-			r = d.shared
-		}
-		if r == nil {
-			continue
+	return until
+}
+
+// Restore takes in the snapshot of an earlier Dispatcher. The endpoint list must have come before, and no
+// message.
+func (d *Dispatcher) Restore(s Snapshot) {
+	d.startedAt, d.randomState = s.StartedAt, s.Random
+	d.arrivals = s.Arrivals.restore()
+	d.overallEstimator, d.idleTimeouts = s.Overall.restore(), slices.Clone(s.IdleTimeouts)
+	for i := range min(len(s.Classes), len(d.classGoodputs)) {
+		d.classGoodputs[i] = classGoodput{ended: s.Classes[i][0].restore(), served: s.Classes[i][1].restore()}
+	}
+	for i := range min(len(s.Tenants), len(d.tenantRates)) {
+		d.tenantRates[i] = tenantRate{recent: s.Tenants[i][0], longTerm: s.Tenants[i][1]}
+	}
+	d.tenantRatesDecayedAt = d.now
+	for _, snapshot := range s.Routes {
+		if r := d.routeOfSnapshot(snapshot); r != nil {
+			r.restore(snapshot)
 		}
-		if r.limit > 0 && k.Limit > 0 { // the list's rating counts, and the pace in its proportion
-			k.Pace *= r.limit / k.Limit
-			k.Limit = r.limit
+	}
+	for _, snapshot := range s.Endpoints {
+		if e := d.endpoints[snapshot.Endpoint]; e != nil {
+			e.latency, e.failureRate = snapshot.Latency, snapshot.FailureRate
+			e.idleTimeoutCut = snapshot.IdleTimeoutCut
 		}
-		r.timeoutEstimator = k.Estimator.restore()
-		r.sentCalls, r.servedCalls = decayingCounter{k.SentCalls.Value, k.SentCalls.UpdatedAt},
-			decayingCounter{k.ServedCalls.Value, k.ServedCalls.UpdatedAt}
-		r.window, r.failureRate, r.latency, r.recentServed, r.rateBefore = max(1, k.Window),
-			k.FailureRate, k.Latency, k.RecentServed, k.RateBefore
-		r.limit, r.pace, r.tokens, r.refilledAt = k.Limit, k.Pace, k.Tokens, k.RefilledAt
-		r.halvedAt, r.backoffUntil, r.backoffStep, r.reopensAt = k.HalvedAt, k.BackoffUntil,
-			k.BackoffStep, k.ReopensAt
-		r.lastServedAt, r.lastSentAt, r.lastServedSentAt, r.firstServedAt = k.LastServedAt,
-			k.LastSentAt, k.LastServedSentAt, k.FirstServedAt
-		r.outageStartedAt, r.stateSince, r.lastProbeAt, r.consecutiveFailures, r.consecutiveLosses =
-			k.OutageStartedAt, k.StateSince, k.LastProbeAt, k.ConsecutiveFailures, k.ConsecutiveLosses
-		r.state = min(circuitState(k.State), warmingUp)
-	}
-	for _, k := range m.Endpoints {
-		if e := b.endpoints[k.Endpoint]; e != nil {
-			e.latency, e.failureRate, e.idleTimeoutCut = k.Latency, k.FailureRate, k.IdleTimeoutCut
+	}
+}
+
+// routeOfSnapshot is the route that a snapshot is of, nil if it is not known.
+func (d *Dispatcher) routeOfSnapshot(s RouteSnapshot) *route {
+	if !s.PerEndpoint {
+		if dest := d.destinations[s.Destination]; dest != nil {
+			return dest.shared
 		}
+		return nil
 	}
+	if e := d.endpoints[s.Endpoint]; e != nil && e.route != d.destinations[e.Destination].shared {
+		return e.route
+	}
+	return nil
 }
 
-// adopt books an attempt that another process of this sender has out, as if it had been sent from here.
-func (b *Dispatcher) inheritCall(m *message, o *InFlightAttempt) {
-	e := b.endpoints[o.Endpoint]
-	r := e.route
-	c := b.inheritedCalls[o.Call]
+// inheritAttempt books an attempt that another process of this sender has in flight, as if this one had
+// sent it.
+func (d *Dispatcher) inheritAttempt(m *message, inFlight *InFlightAttempt) {
+	c := d.inheritedCalls[inFlight.Call]
 	if c == nil {
-		c = &call{route: r, endpoint: e, sentAt: o.SentAt, isProbe: r.state == unavailable &&
-			o.SentAt >= r.stateSince}
-		if b.inheritedCalls == nil {
-			b.inheritedCalls = map[uint64]*call{}
-		}
-		b.inheritedCalls[o.Call] = c
-		b.callsInFlight++
-		r.inFlight++
-		e.inFlight++
-		if c.isProbe {
-			r.probesInFlight++
-		}
-		r.unanswered = append(r.unanswered, c)
-		slices.SortStableFunc(r.unanswered, func(x, y *call) int {
-			return int(min(1, max(-1,
-				x.sentAt-y.sentAt)))
-		})
+		c = d.inheritCall(inFlight)
+	}
+	m.addAttempt(attempt{call: c, timeout: inFlight.Timeout, untilDeadline: true})
+}
+
+// inheritCall books a call that another process of this sender has in flight.
+func (d *Dispatcher) inheritCall(inFlight *InFlightAttempt) *call {
+	e := d.endpoints[inFlight.Endpoint]
+	r := e.route
+	isProbe := r.breaker.state == unavailable && inFlight.SentAt >= r.breaker.since
+	c := &call{route: r, endpoint: e, sentAt: inFlight.SentAt, isProbe: isProbe}
+	if d.inheritedCalls == nil {
+		d.inheritedCalls = map[uint64]*call{}
+	}
+	d.inheritedCalls[inFlight.Call] = c
+	d.callsInFlight++
+	r.window.inFlight++
+	e.inFlight++
+	if c.isProbe {
+		r.breaker.probesInFlight++
+	}
+	r.window.unanswered = append(r.window.unanswered, c)
+	slices.SortStableFunc(r.window.unanswered, func(x, y *call) int {
+		return int(min(1, max(-1, x.sentAt-y.sentAt)))
+	})
+	return c
+}
+
+func (c *decayingCounter) snapshot() DecayingCount {
+	return DecayingCount{Value: c.value, UpdatedAt: c.updatedAt}
+}
+
+func (s DecayingCount) restore() decayingCounter {
+	return decayingCounter{value: s.Value, updatedAt: s.UpdatedAt}
+}
+
+func (q *timeoutEstimator) snapshot() EstimatorSnapshot {
+	s := EstimatorSnapshot{
+		Samples:          q.samples,
+		UnansweredWeight: q.unansweredWeight,
+		Mean:             q.mean,
+		OptimalTau:       q.optimum(),
+		Median:           q.median,
+		MinLatency:       q.minLatency,
+		DoubledTau:       q.doubledTau,
+		DoubledAt:        q.doubledAt,
+	}
+	for _, bucket := range q.buckets {
+		s.BucketWeights = append(s.BucketWeights, bucket.weight)
+		s.BucketSums = append(s.BucketSums, bucket.sum)
+	}
+	return s
+}
+
+func (s EstimatorSnapshot) restore() timeoutEstimator {
+	q := timeoutEstimator{
+		samples:          s.Samples,
+		unansweredWeight: s.UnansweredWeight,
+		mean:             s.Mean,
+		optimalTau:       s.OptimalTau,
+		median:           s.Median,
+		minLatency:       s.MinLatency,
+		doubledTau:       s.DoubledTau,
+		doubledAt:        s.DoubledAt,
+	}
+	for i := range min(len(s.BucketWeights), len(s.BucketSums), bucketCount) {
+		q.buckets = append(q.buckets, histogramBucket{weight: s.BucketWeights[i], sum: s.BucketSums[i]})
+	}
+	return q
+}
+
+func (r *route) snapshot() RouteSnapshot {
+	return RouteSnapshot{
+		Estimator: r.estimator.snapshot(),
+
+		SentCalls:         r.traffic.sentCalls.snapshot(),
+		ServedCalls:       r.traffic.servedCalls.snapshot(),
+		RecentServed:      r.traffic.recentServed,
+		Latency:           r.traffic.latency,
+		ConsecutiveLosses: r.traffic.consecutiveLosses,
+		FirstServedAt:     r.traffic.firstServedAt,
+		LastServedAt:      r.traffic.lastServedAt,
+		LastSentAt:        r.traffic.lastSentAt,
+		LastServedSentAt:  r.traffic.lastServedSentAt,
+
+		Window:   r.window.size,
+		HalvedAt: r.window.halvedAt,
+
+		Limit:      r.limiter.limit,
+		Pace:       r.limiter.pace,
+		Tokens:     r.limiter.tokens,
+		RefilledAt: r.limiter.refilledAt,
+
+		BackoffUntil: r.backoff.until,
+		BackoffStep:  r.backoff.step,
+
+		State:               uint8(r.breaker.state),
+		StateSince:          r.breaker.since,
+		FailureRate:         r.breaker.failureRate,
+		ConsecutiveFailures: r.breaker.consecutiveFailures,
+		OutageStartedAt:     r.breaker.outageStartedAt,
+		RateBefore:          r.breaker.rateBefore,
+		ReopensAt:           r.breaker.reopensAt,
+		LastProbeAt:         r.breaker.lastProbeAt,
+	}
+}
+
+// restore takes in a snapshot. Where the list has a rating, that stays the limit, and the pace keeps its
+// proportion. What depends on the calls in flight is left as it is.
+func (r *route) restore(s RouteSnapshot) {
+	if r.limiter.limit > 0 && s.Limit > 0 {
+		s.Pace *= r.limiter.limit / s.Limit
+		s.Limit = r.limiter.limit
+	}
+	r.estimator = s.Estimator.restore()
+	r.traffic = traffic{
+		sentCalls:         s.SentCalls.restore(),
+		servedCalls:       s.ServedCalls.restore(),
+		recentServed:      s.RecentServed,
+		latency:           s.Latency,
+		consecutiveLosses: s.ConsecutiveLosses,
+		firstServedAt:     s.FirstServedAt,
+		lastServedAt:      s.LastServedAt,
+		lastSentAt:        s.LastSentAt,
+		lastServedSentAt:  s.LastServedSentAt,
 	}
-	m.attempts = append(m.attempts, attempt{call: c, timeout: o.Timeout, untilDeadline: true})
-	m.inFlight++
-	c.unresolved++
-	c.messages = append(c.messages, m)
+	r.window.size, r.window.halvedAt = max(1, s.Window), s.HalvedAt
+	r.limiter = rateLimiter{limit: s.Limit, pace: s.Pace, tokens: s.Tokens, refilledAt: s.RefilledAt}
+	r.backoff.until, r.backoff.step = s.BackoffUntil, s.BackoffStep
+	r.breaker.state = min(circuitState(s.State), warmingUp)
+	r.breaker.since = s.StateSince
+	r.breaker.failureRate = s.FailureRate
+	r.breaker.consecutiveFailures = s.ConsecutiveFailures
+	r.breaker.outageStartedAt = s.OutageStartedAt
+	r.breaker.rateBefore = s.RateBefore
+	r.breaker.reopensAt = s.ReopensAt
+	r.breaker.lastProbeAt = s.LastProbeAt
 }
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -56,7 +56,7 @@
 	if had, has := r.dispatcher.EjectedEndpoints(), n.dispatcher.EjectedEndpoints(); had != 1 || has != 1 {
 		t.Errorf("avoided %d before, %d after", had, has)
 	}
-	if had, has := r.dispatcher.routes[0].optimum(), n.dispatcher.destinations[0].shared.optimum(); had != has || had == 0 {
+	if had, has := r.dispatcher.routes[0].estimator.optimum(), n.dispatcher.destinations[0].shared.estimator.optimum(); had != has || had == 0 {
 		t.Errorf("the time-out is %v, was %v", has, had)
 	}
 }
