--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -39,7 +39,7 @@
 	} else {
 		m.destination.waiting = append(m.destination.waiting, m)
 	}
-	d.arrivals.add(1, d.now, arrivalSpan)
+	d.arrivals.add(1, d.now)
 	if !submitted.Resumed {
 		d.newInBatch++
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -124,10 +124,7 @@
 			d.applyRetryAfter(d.destinations[e.Destination], e.route, event.RetryAfter)
 		}
 	case TimerFired:
-		// The caller's clock may be coarser than ours: a timer that fires a little early is the one set.
-		if d.timerAt <= d.now+d.settings.StepInterval {
-			d.timerAt = never
-		}
+		d.handleTimer()
 	case MessageCancelled:
 		if m := d.messages[event.Message]; m != nil {
 			d.closeMessage(m)
@@ -135,11 +132,15 @@
 	case SettingsChanged:
 		d.updateSettings(event.Settings)
 	case EndpointListUpdate:
-		if !event.Failed {
-			d.updateEndpointList(event)
-		} else if d.settings.PollsEndpointList {
-			d.watchListAt = d.now + listRetryInterval
-		}
+		d.updateEndpointList(event)
+	}
+}
+
+// handleTimer clears the timer that has fired. The caller's clock may be coarser than ours: a timer that
+// fires a little early is the one set.
+func (d *Dispatcher) handleTimer() {
+	if d.timerAt <= d.now+d.settings.StepInterval {
+		d.timerAt = never
 	}
 }
 
--- a/internal/dispatch/endpointlist.go
+++ b/internal/dispatch/endpointlist.go
@@ -1,8 +1,14 @@
 package dispatch
 
-// updateEndpointList takes in the list. An endpoint that is draining or gone gets no new call from this
-// batch on.
+// updateEndpointList takes in the list, or asks for it again later if that has failed. An endpoint that is
+// draining or gone gets no new call from this batch on.
 func (d *Dispatcher) updateEndpointList(update EndpointListUpdate) {
+	if update.Failed {
+		if d.settings.PollsEndpointList {
+			d.watchListAt = d.now + listRetryInterval
+		}
+		return
+	}
 	listed := map[EndpointID]bool{}
 	for _, line := range update.Endpoints {
 		listed[line.ID] = line.Ready
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// MessageID and EndpointID are the caller's; the package only returns them.
-type (
-	MessageID  uint64
-	EndpointID uint32
-	// DestinationID names the receiver of a message.
-	DestinationID uint32
-)
+// MessageID names a message. It is the caller's; the package only returns it.
+type MessageID uint64
+
+// EndpointID names an endpoint. It is the caller's; the package only returns it.
+type EndpointID uint32
+
+// DestinationID names the receiver of a message.
+type DestinationID uint32
 
 // Event is one of Message, AttemptResult, RetryAfterReceived, OutagesRestored, StorageStatus,
 // EndpointListStale, MessageCancelled, EndpointListUpdate, SettingsChanged and TimerFired.
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -33,9 +33,9 @@
 // that a route takes to get one in the mean, so that a sender that has seen few yet is not misled by them.
 func (d *Dispatcher) smoothedRate(counter decayingCounter) float64 {
 	observed := arrivalSpan.Seconds() * (1 - math.Exp(-(d.now-d.startedAt).Seconds()/arrivalSpan.Seconds()))
-	timePerMessage := float64(max(1, len(d.routes))) * (observed + 1) / (d.arrivals.at(d.now,
-		arrivalSpan) + 1)
-	return (counter.at(d.now, arrivalSpan) + 1) / (observed + timePerMessage)
+	expectedArrivals := d.arrivals.at(d.now) + 1
+	timePerMessage := float64(max(1, len(d.routes))) * (observed + 1) / expectedArrivals
+	return (counter.at(d.now) + 1) / (observed + timePerMessage)
 }
 
 // hasOwnEvidence reports whether r gets enough of our calls to judge it by them alone, and so large a part
--- a/internal/dispatch/priority.go
+++ b/internal/dispatch/priority.go
@@ -65,8 +65,8 @@
 	for i := range d.classGoodputs {
 		goodput := &d.classGoodputs[i]
 		first := max(d.settings.Classes[i].PriorityWeight, minClassWeight)
-		ended := goodput.ended.at(d.now, arrivalSpan) + first
-		served := goodput.served.at(d.now, arrivalSpan) + first
+		ended := goodput.ended.at(d.now) + first
+		served := goodput.served.at(d.now) + first
 		share := math.Exp(-worstClassSharpness * served / ended)
 		total, shares = total+ended, shares+share
 		if i == m.Class {
@@ -82,8 +82,8 @@
 		return
 	}
 	goodput := &d.classGoodputs[m.Class]
-	goodput.ended.add(m.class.PriorityWeight, d.now, arrivalSpan)
+	goodput.ended.add(m.class.PriorityWeight, d.now)
 	if m.served {
-		goodput.served.add(d.weightAt(m, d.now), d.now, arrivalSpan)
+		goodput.served.add(d.weightAt(m, d.now), d.now)
 	}
 }
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -12,12 +12,10 @@
 
 // handleResult takes in the result of an attempt.
 func (d *Dispatcher) handleResult(result AttemptResult) {
-	m := d.messages[result.Message]
-	if m == nil || result.Attempt < 0 || result.Attempt >= len(m.attempts) ||
-		m.attempts[result.Attempt].ended {
+	m, a := d.findAttempt(result)
+	if a == nil || a.ended {
 		return
 	}
-	a := &m.attempts[result.Attempt]
 	a.ended = true
 	a.outcomeUnknown = result.Outcome == TimedOut || result.Outcome == ConnectionBroken
 	result.Elapsed = max(0, result.Elapsed)
@@ -25,15 +23,10 @@
 	if a.call.unresolved--; a.call.unresolved == 0 {
 		d.finishCall(a.call, result.Outcome)
 	}
-	if result.HasLoadReport && isPositiveFinite(result.RateLimit) {
-		d.updateRateLimit(a.call.route, result.RateLimit)
-	}
-	if result.RetryAfter > 0 { // each result of a shared call may name a later end
-		d.applyRetryAfter(m.destination, a.call.route, result.RetryAfter)
-	}
+	d.applyLimits(m.destination, a.call.route, result)
 	dropped := isDroppedConnection(a.call.route, result)
-	ran := result.Outcome != NotSent && result.Outcome != NotStarted
-	if !a.call.healthRecorded && ran && !dropped {
+	mayHaveRun := result.Outcome != NotSent && result.Outcome != NotStarted
+	if !a.call.healthRecorded && mayHaveRun && !dropped {
 		a.call.healthRecorded = true
 		d.recordHealth(m, a.call, result)
 	}
@@ -44,12 +37,37 @@
 		d.closeMessage(m)
 		return
 	}
-	if m.inFlight > 0 {
-		return
+	if m.inFlight == 0 {
+		d.requeue(m, result.Outcome, dropped)
+	}
+}
+
+// findAttempt is the attempt that a result is of, and its message; nil if they are not known.
+func (d *Dispatcher) findAttempt(result AttemptResult) (*message, *attempt) {
+	m := d.messages[result.Message]
+	if m == nil || result.Attempt < 0 || result.Attempt >= len(m.attempts) {
+		return nil, nil
+	}
+	return m, &m.attempts[result.Attempt]
+}
+
+// applyLimits takes in what an answer says of the destination's limits. Each result of a shared call may
+// name a later end of a delay.
+func (d *Dispatcher) applyLimits(dest *destination, r *route, result AttemptResult) {
+	if result.HasLoadReport && isPositiveFinite(result.RateLimit) {
+		d.updateRateLimit(r, result.RateLimit)
+	}
+	if result.RetryAfter > 0 {
+		d.applyRetryAfter(dest, r, result.RetryAfter)
 	}
+}
+
+// requeue lets m wait for its next attempt, after a backoff unless the attempt took its time or says
+// nothing of the destination.
+func (d *Dispatcher) requeue(m *message, outcome Outcome, dropped bool) {
 	m.destination.waiting = append(m.destination.waiting, m)
-	m.connectFailed = result.Outcome == ConnectFailed
-	if result.Outcome != TimedOut && result.Outcome != NotStarted && !dropped {
+	m.connectFailed = outcome == ConnectFailed
+	if outcome != TimedOut && outcome != NotStarted && !dropped {
 		m.notBefore = d.now + retryBackoff<<min(len(m.attempts)-1, retryBackoffDoublings)
 	}
 }
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -59,11 +59,11 @@
 
 // traffic counts the calls of a route and how they fared.
 type traffic struct {
-	sentCalls         decayingCounter // over arrivalSpan
-	servedCalls       decayingCounter // over arrivalSpan
-	recentServed      float64         // calls served, decaying over servedRateSpan
-	latency           float64         // recent mean, s
-	consecutiveLosses int             // calls in a row that were neither served nor rejected
+	sentCalls         decayingCounter
+	servedCalls       decayingCounter
+	recentServed      float64 // calls served, decaying over servedRateSpan
+	latency           float64 // recent mean, s
+	consecutiveLosses int     // calls in a row that were neither served nor rejected
 	firstServedAt     time.Duration
 	lastServedAt      time.Duration
 	lastSentAt        time.Duration
@@ -102,7 +102,7 @@
 	}
 	t.recentServed = t.recentServed*math.Exp(-(now-t.lastServedAt).Seconds()/servedRateSpan.Seconds()) + 1
 	t.lastServedAt = now
-	t.servedCalls.add(1, now, arrivalSpan)
+	t.servedCalls.add(1, now)
 	t.lastServedSentAt = max(t.lastServedSentAt, sentAt)
 	t.consecutiveLosses = 0
 }
@@ -121,16 +121,16 @@
 	*mean += weight * (sample - *mean)
 }
 
-// decayingCounter is a count that decays exponentially over a span.
+// decayingCounter is a count that decays exponentially over arrivalSpan.
 type decayingCounter struct {
 	value     float64
 	updatedAt time.Duration
 }
 
-func (c *decayingCounter) at(now, span time.Duration) float64 {
-	return c.value * math.Exp(-(now-c.updatedAt).Seconds()/span.Seconds())
+func (c *decayingCounter) at(now time.Duration) float64 {
+	return c.value * math.Exp(-(now-c.updatedAt).Seconds()/arrivalSpan.Seconds())
 }
 
-func (c *decayingCounter) add(n float64, now, span time.Duration) {
-	c.value, c.updatedAt = c.at(now, span)+n, now
+func (c *decayingCounter) add(n float64, now time.Duration) {
+	c.value, c.updatedAt = c.at(now)+n, now
 }
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -45,7 +45,7 @@
 	} else {
 		r.limiter.tokens--
 	}
-	r.traffic.sentCalls.add(1, d.now, arrivalSpan)
+	r.traffic.sentCalls.add(1, d.now)
 	r.traffic.lastSentAt = d.now
 	r.window.unanswered = append(r.window.unanswered, c)
 	return c
