--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Env holds the settings of one instance, and the first trouble met in reading them.
+// Env holds the settings of one instance as path=value lines, and the first error in reading them. Reading goes on
+// after an error, with zero values; the caller asks for Err at the end.
 type Env struct {
 	values map[string]string
 	err    error
@@ -19,30 +20,31 @@
 // ParseEnv splits path=value lines.
 func ParseEnv(text string) (*Env, error) {
 	e := &Env{values: map[string]string{}}
-	for n, line := range strings.Split(text, "\n") {
+	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		if line == "" {
 			continue
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			return nil, fmt.Errorf("settings line %d: no '='", n+1)
+			return nil, fmt.Errorf("settings line %d: no '='", i+1)
 		}
 		e.values[key] = value
 	}
 	return e, nil
 }
 
-// Err is the first unreadable value met, naming its key.
+// Err is the error of the first unreadable value, which names its key.
 func (e *Env) Err() error { return e.err }
 
-func (e *Env) bad(key, want string) {
+// reject keeps the first unreadable value.
+func (e *Env) reject(key, want string) {
 	if e.err == nil {
 		e.err = fmt.Errorf("setting %s: %q is not %s", key, e.values[key], want)
 	}
 }
 
-// Text is a value as it stands, "" if absent.
+// Text is a value as it is, "" if absent.
 func (e *Env) Text(key string) string { return e.values[key] }
 
 // Float reads a number, 0 if absent.
@@ -57,7 +59,7 @@
 func (e *Env) float(key, v string) float64 {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		e.bad(key, "a number")
+		e.reject(key, "a number")
 		return 0
 	}
 	return f
@@ -67,7 +69,7 @@
 func (e *Env) Int(key string) int {
 	f := e.Float(key)
 	if f != math.Trunc(f) || math.Abs(f) > 1<<40 {
-		e.bad(key, "a whole number")
+		e.reject(key, "a whole number")
 		return 0
 	}
 	return int(f)
@@ -81,11 +83,11 @@
 	case "false", "":
 		return false
 	}
-	e.bad(key, "true or false")
+	e.reject(key, "true or false")
 	return false
 }
 
-// Word reads one of a few words and gives its place among them, 0 if absent.
+// Word reads one of a few words and returns its index among them, 0 if absent.
 func (e *Env) Word(key string, words ...string) int {
 	v, ok := e.values[key]
 	if !ok {
@@ -96,7 +98,7 @@
 			return i
 		}
 	}
-	e.bad(key, "one of "+strings.Join(words, ", "))
+	e.reject(key, "one of "+strings.Join(words, ", "))
 	return 0
 }
 
@@ -122,7 +124,7 @@
 	var out []bool
 	for _, v := range e.List(key) {
 		if v != "true" && v != "false" {
-			e.bad(key, "a list of true and false")
+			e.reject(key, "a list of true and false")
 		}
 		out = append(out, v == "true")
 	}
@@ -133,7 +135,7 @@
 func (e *Env) Count(key string) int {
 	n := e.Int(key + ".count")
 	if n < 0 || n > maxItems {
-		e.bad(key+".count", "a sensible length")
+		e.reject(key+".count", "a sensible length")
 		return 0
 	}
 	return n
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"io"
 	"math"
 	"strings"
@@ -35,7 +36,7 @@
 	catalog = rec(11, "00000000 01000000 0000 074a1203 0000803f 3900 01 00 0000000000000000")
 )
 
-func TestReadBatch(t *testing.T) {
+func TestReadBatchDecodesRecords(t *testing.T) {
 	in := append(frame(8412.25, submit, ended, catalog), frame(8413)...)
 	r := bytes.NewReader(in)
 	b, err := ReadBatch(r)
@@ -56,12 +57,12 @@
 	if b, err = ReadBatch(r); err != nil || len(b.Events) != 0 {
 		t.Errorf("empty batch: %+v %v", b, err)
 	}
-	if _, err = ReadBatch(r); err != io.EOF {
+	if _, err = ReadBatch(r); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input: %v", err)
 	}
 }
 
-func TestMalformedFrames(t *testing.T) {
+func TestMalformedFramesAreRejected(t *testing.T) {
 	whole := frame(1, submit)
 	bigCount := append([]byte(nil), whole...)
 	binary.LittleEndian.PutUint32(bigCount[12:], 1<<31)
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestReplyBytes(t *testing.T) {
+func TestReplyIsEncodedAsSpecified(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
 	if err := r.Flush(&out); err != nil || hex.EncodeToString(out.Bytes()) != "0400000000000000" {
@@ -107,8 +108,10 @@
 	if err := r.Flush(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := "4f00000003000000" + "0100160000000300c4913a5d34b401000000000000005440074a1203" +
-		"05000e0000000300000000000068c1404d000000" + "090015000000050011007477" + hex.EncodeToString([]byte("o servers known"))
+	want := "4f00000003000000" +
+		"0100160000000300c4913a5d34b401000000000000005440074a1203" +
+		"05000e0000000300000000000068c1404d000000" +
+		"090015000000050011007477" + hex.EncodeToString([]byte("o servers known"))
 	if got := hex.EncodeToString(out.Bytes()); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
@@ -123,7 +126,7 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestEnvReadsValuesAndNamesTheUnreadable(t *testing.T) {
 	e, err := ParseEnv("a=1.5\nb=true\nc=x,y\nd=true,false\nlist.count=2\nw=two\nunknown.key=whatever\n")
 	if err != nil || e.Float("a") != 1.5 || !e.Bool("b") || len(e.List("c")) != 2 || !e.Bools("d")[0] ||
 		e.Count("list") != 2 || e.Word("w", "one", "two") != 1 || e.Float("absent") != 0 || e.Err() != nil {
