--- a/cmd/simadapter/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -12,7 +12,7 @@
 )
 
 func rec(code uint16, fields ...any) []byte {
-	var b, out bytes.Buffer
+	var b bytes.Buffer
 	for _, f := range fields {
 		if s, ok := f.(string); ok {
 			b.WriteString(s)
@@ -20,10 +20,9 @@
 			panic(err)
 		}
 	}
-	binary.Write(&out, binary.LittleEndian, code)
-	binary.Write(&out, binary.LittleEndian, uint32(b.Len()))
-	out.Write(b.Bytes())
-	return out.Bytes()
+	out := binary.LittleEndian.AppendUint16(nil, code)
+	out = binary.LittleEndian.AppendUint32(out, uint32(b.Len()))
+	return append(out, b.Bytes()...)
 }
 
 func frame(clock float64, records ...[]byte) []byte {
@@ -34,9 +33,12 @@
 	return append(out, body...)
 }
 
-const env = "balancers=2\nfamilyInfo.callsOut=8\nfamilyInfo.perCall=1\nfamilyInfo.routesApart=false\nmodels=plain\n" +
-	"limits.mostHeld=50\nlimits.maxAttempts=6\nstep=5.0\nservices.count=1\nservices.0.slo=1000\nservices.0.giveUp=8000\n" +
-	"services.0.effect=read_like\nservices.0.worth=1\nservices.0.lateValue=0.5\ntelemetry.fields=x0,x1\nsomething.new=1\n"
+const env = "balancers=2\n" +
+	"familyInfo.callsOut=8\nfamilyInfo.perCall=1\nfamilyInfo.routesApart=false\n" +
+	"models=plain\nlimits.mostHeld=50\nlimits.maxAttempts=6\nstep=5.0\n" +
+	"services.count=1\nservices.0.slo=1000\nservices.0.giveUp=8000\n" +
+	"services.0.effect=read_like\nservices.0.worth=1\nservices.0.lateValue=0.5\n" +
+	"telemetry.fields=x0,x1\nsomething.new=1\n"
 
 func hello(i uint16, env string) []byte { return rec(1, i, uint64(9), uint32(len(env)), env) }
 
@@ -90,7 +92,7 @@
 	return codes, body
 }
 
-func TestAdapterOverPipes(t *testing.T) {
+func TestAdapterAnswersBatchesOverPipes(t *testing.T) {
 	cmd := exec.Command(build(t))
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -103,39 +105,59 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	in.Write(frame(1000))
+	write := func(batch []byte) {
+		t.Helper()
+		if _, err := in.Write(batch); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write(frame(1000))
 	if codes, _ := reply(t, out); len(codes) != 0 {
 		t.Errorf("reply to an empty batch: %v", codes)
 	}
-	in.Write(join(1000, hello(0, env), list(0), hello(1, env), list(1), submit(0, 5)))
+	write(join(1000, hello(0, env), list(0), hello(1, env), list(1), submit(0, 5)))
 	codes, body := reply(t, out)
-	if len(codes) < 2 || codes[0] != 1 || binary.LittleEndian.Uint64(body[8:]) != 5 || binary.LittleEndian.Uint32(body[24:]) != 70 {
+	if len(codes) < 2 || codes[0] != 1 ||
+		binary.LittleEndian.Uint64(body[8:]) != 5 || binary.LittleEndian.Uint32(body[24:]) != 70 {
 		t.Errorf("submit: %v %x", codes, body)
 	}
-	in.Write(join(1100, rec(5, uint16(0), uint64(5), uint8(0), uint32(70), uint8(10), 100.0, uint8(1), uint32(0), uint8(0)),
+	write(join(1100,
+		rec(5, uint16(0), uint64(5), uint8(0), uint32(70), uint8(10), 100.0, uint8(1), uint32(0), uint8(0)),
 		rec(10, uint16(1)), hello(1, env), list(1), submit(1, 6)))
 	if codes, body := reply(t, out); len(codes) < 1 || codes[0] != 1 || binary.LittleEndian.Uint16(body[6:]) != 1 {
 		t.Errorf("after a restart: %v", codes)
 	}
-	in.Close()
+	if err := in.Close(); err != nil {
+		t.Errorf("close: %v", err)
+	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 }
 
-func TestMalformedInputIsOnePlainLine(t *testing.T) {
+func TestMalformedInputIsReportedInOneLine(t *testing.T) {
 	bin := build(t)
 	good := join(1000, hello(0, env), list(0))
+	then := func(record []byte) []byte { return append(good[:len(good):len(good)], join(1001, record)...) }
 	for name, c := range map[string]struct {
 		in   []byte
 		says string
 	}{
-		"short frame":        {good[:20], "batch 0: frame body"},
-		"unknown instance":   {join(1, submit(7, 1)), "instance 7 is not running"},
-		"unreadable setting": {join(1, hello(0, strings.Replace(env, "=8000", "=soon", 1))), "setting services.0.giveUp"},
-		"unknown class":      {append(good[:len(good):len(good)], join(1001, rec(3, uint16(0), uint64(1), 0.0, uint16(0), uint64(0), uint8(3), float32(4), uint8(0), 9000.0))...), "batch 1: record 0 at offset 0 (code 3): class 3"},
-		"unknown result":     {append(good[:len(good):len(good)], join(1001, rec(5, uint16(0), uint64(1), uint8(0), uint32(70), uint8(11), 1.0, uint8(0), uint32(0), uint8(0)))...), "result 11"},
-		"list never sent":    {join(1, hello(0, env), rec(2, uint16(0), uint8(2), uint32(1), uint32(9))), "catalog 9"},
+		"short frame":      {good[:20], "batch 0: frame body"},
+		"unknown instance": {join(1, submit(7, 1)), "instance 7 is not running"},
+		"unreadable setting": {
+			join(1, hello(0, strings.Replace(env, "=8000", "=soon", 1))),
+			"setting services.0.giveUp",
+		},
+		"unknown class": {
+			then(rec(3, uint16(0), uint64(1), 0.0, uint16(0), uint64(0), uint8(3), float32(4), uint8(0), 9000.0)),
+			"batch 1: record 0 at offset 0 (code 3): class 3",
+		},
+		"unknown result": {
+			then(rec(5, uint16(0), uint64(1), uint8(0), uint32(70), uint8(11), 1.0, uint8(0), uint32(0), uint8(0))),
+			"result 11",
+		},
+		"list never sent": {join(1, hello(0, env), rec(2, uint16(0), uint8(2), uint32(1), uint32(9))), "catalog 9"},
 	} {
 		cmd := exec.Command(bin)
 		cmd.Stdin = bytes.NewReader(c.in)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter hosts instances of the decision module on the simulator's wire: batches come on
-// standard input, replies go to standard output. It translates and decides nothing.
+// Command simadapter hosts instances of the decision module on the simulator's wire: batches come on standard
+// input, replies go to standard output. It translates and decides nothing. The deploy file names it as the
+// program that the simulator starts.
 package main
 
 import (
@@ -9,6 +10,9 @@
 	"os"
 )
 
+// bufferSize of the input and of the output, in bytes.
+const bufferSize = 1 << 16
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
@@ -16,20 +20,21 @@
 	}
 }
 
+// run plays batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<16)
-	w := bufio.NewWriterSize(out, 1<<16)
+	r := bufio.NewReaderSize(in, bufferSize)
+	w := bufio.NewWriterSize(out, bufferSize)
 	h := newHost()
 	for n := 0; ; n++ {
 		more, err := h.round(r, w)
 		if err != nil {
-			return fmt.Errorf("batch %d: %v", n, err)
+			return fmt.Errorf("batch %d: %w", n, err)
 		}
 		if !more {
 			return nil
 		}
 		if err := w.Flush(); err != nil {
-			return fmt.Errorf("batch %d: reply: %v", n, err)
+			return fmt.Errorf("batch %d: reply: %w", n, err)
 		}
 	}
 }
