--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -8,7 +8,7 @@
 )
 
 // follow is a rig whose Dispatcher goes on where another one stops, in another process: all travels as bytes.
-func follow(t *testing.T, r *rig, s Settings) *rig {
+func successor(t *testing.T, r *rig, s Settings) *rig {
 	t.Helper()
 	var wire bytes.Buffer
 	if err := gob.NewEncoder(&wire).Encode(r.dispatcher.Snapshot()); err != nil {
@@ -27,12 +27,12 @@
 
 // A wait that was told binds the sender, not the process that was told.
 func TestRecallKeepsWaits(t *testing.T) {
-	r := newRig(t, settings())
+	r := newRig(t, testSettings())
 	sends := r.step(r.message(0, 0, 0))
 	e := r.end(sends[0], Rejected)
 	e.RetryAfter = 700 * ms
 	r.step(e)
-	n := follow(t, r, settings())
+	n := successor(t, r, testSettings())
 	if sends := n.step(n.message(0, 0, 0)); len(sends) > 0 {
 		t.Errorf("sent in a wait: %v", sends)
 	}
@@ -44,7 +44,7 @@
 
 // An outage that was seen goes on, with its spacing of calls, and so does what is usual there.
 func TestRecallKeepsOutages(t *testing.T) {
-	r := newRig(t, settings())
+	r := newRig(t, testSettings())
 	r.serve(30, 0, 50*ms)
 	for range 12 {
 		for _, s := range r.step(r.message(0, 0, 0)) {
@@ -52,7 +52,7 @@
 		}
 		r.now += 300 * ms
 	}
-	n := follow(t, r, settings())
+	n := successor(t, r, testSettings())
 	if had, has := r.dispatcher.EjectedEndpoints(), n.dispatcher.EjectedEndpoints(); had != 1 || has != 1 {
 		t.Errorf("avoided %d before, %d after", had, has)
 	}
@@ -63,7 +63,7 @@
 
 // Calls that the process before has out hold their slots and their messages, and end like any other.
 func TestCallsOutHoldTheirSlots(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.MaxConcurrentCalls = 2
 	n := newRig(t, s)
 	var out []Event
@@ -71,7 +71,7 @@
 		m := n.message(0, 0, 0)
 		m.MayHaveRun, m.FirstRunAt = true, n.now-ms
 		m.InFlight = &InFlightAttempt{Endpoint: 1, Call: call, SentAt: n.now - ms, Timeout: 5 * time.Second}
-		n.tries[m.ID]++
+		n.attempts[m.ID]++
 		out = append(out, m)
 	}
 	if sends := n.step(append(out, n.message(0, 1, 0))...); len(sends) > 0 {
