--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -43,7 +43,7 @@
 // ones fill them.
 func (d *Dispatcher) hasOwnEvidence(r *route) bool {
 	limit := r.limiter.limit
-	isMajor := d.settings.Senders <= smallFleet || limit > 0 &&
-		smallFleet*d.smoothedRate(r.traffic.sentCalls) >= limit
+	hasLargeShare := limit > 0 && smallFleet*d.smoothedRate(r.traffic.sentCalls) >= limit
+	isMajor := d.settings.Senders <= smallFleet || hasLargeShare
 	return isMajor && d.failureThreshold(r) >= maxFailureThreshold/2
 }
--- a/internal/dispatch/outage.go
+++ b/internal/dispatch/outage.go
@@ -69,9 +69,8 @@
 func (d *Dispatcher) restoreOutages(outages []Outage) {
 	for _, outage := range outages {
 		r := d.routeOfOutage(outage)
-		hasRecovered := outage.Resolved || outage.WarmingUp &&
-			d.now-outage.Since > d.settings.SlowStartDuration
-		if r == nil || hasRecovered {
+		isWarm := outage.WarmingUp && d.now-outage.Since > d.settings.SlowStartDuration
+		if r == nil || outage.Resolved || isWarm {
 			continue
 		}
 		r.breaker.state = unavailable
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -37,7 +37,7 @@
 	idleSince      time.Duration // since when it has no call in flight, 0 if no connection may be open
 	idleTimeoutCut time.Duration // by so much its idle timeout is shorter than its kind's
 	freedAt        time.Duration // when a call was served last
-	// connections that calls served then left and that no further call has used
+	// freedConnections are those that calls served then have left and that no further call has used.
 	freedConnections int
 }
 
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -17,22 +17,20 @@
 	PollsEndpointList     bool          // the endpoint list comes only when it is requested
 	StepInterval          time.Duration // least time between two batches
 	OrderedKeySettleTime  time.Duration // pause of an ordered key after an attempt that may still run
-	// a recovering destination collapses above this multiple of its capacity
-	CollapseLoadFactor float64
-	SlowStartCapacity  float64       // share of its capacity that a recovered destination has at first
-	OverloadWindow     time.Duration // window over which that load is counted
-	SlowStartDuration  time.Duration // time from its recovery to its full capacity
-	TotalWeight        float64       // weight of the total goodput in the objective
-	WorstClassWeight   float64       // weight of the worst-served class's goodput in the objective
-	OverQuotaWeight    float64       // weight of a message beyond its tenant's quota, as a fraction
-	CrossZoneCost      float64       // cost of an attempt that leaves the sender's zone
-	// late weight halves per latency objective; otherwise it falls linearly
-	LateWeightHalves  bool
-	RatingIsRateLimit bool      // Endpoint.Rating is the destination's rate limit in calls a second
-	ZoneFees          []float64 // by zone: cost of a message to an endpoint with a route of its own
-	Kinds             []Kind    // kinds of destination
-	Classes           []Class   // classes of message
-	Tenants           []Tenant  // tenants; may be empty
+	CollapseLoadFactor    float64       // load, in capacities, at which a recovering destination collapses
+	SlowStartCapacity     float64       // share of its capacity that a recovered destination has at first
+	OverloadWindow        time.Duration // window over which that load is counted
+	SlowStartDuration     time.Duration // time from its recovery to its full capacity
+	TotalWeight           float64       // weight of the total goodput in the objective
+	WorstClassWeight      float64       // weight of the worst-served class's goodput in the objective
+	OverQuotaWeight       float64       // weight of a message beyond its tenant's quota, as a fraction
+	CrossZoneCost         float64       // cost of an attempt that leaves the sender's zone
+	LateWeightHalves      bool          // late weight halves per latency objective, else it falls linearly
+	RatingIsRateLimit     bool          // Endpoint.Rating is the destination's rate limit in calls a second
+	ZoneFees              []float64     // by zone: cost of a message to an endpoint with a route of its own
+	Kinds                 []Kind        // kinds of destination
+	Classes               []Class       // classes of message
+	Tenants               []Tenant      // tenants; may be empty
 }
 
 // Kind is a kind of destination.
