--- a/internal/dispatch/estimator.go
+++ b/internal/dispatch/estimator.go
@@ -1,148 +1,180 @@
 package dispatch
 
-// The time-out of calls: the restart oracle of the paper, section III.D, for one destination or route,
-// and how long a call may go unanswered before that counts. The design page tells what is the paper's
-// and what is ours.
-
 import (
 	"math"
 	"time"
 )
 
+// The terms of the paper: table I.
+const (
+	bucketCount = 1000             // H: buckets of the latency histogram
+	tauMax      = 60 * time.Second // the histogram's span
+	tauInitial  = 4 * time.Second  // τ before any sample
+	restartCost = 0.0              // c, s
+)
+
+// Our own terms (design).
 const (
-	buckets   = 1000             // H: buckets of the latency histogram (paper, table I)
-	tauMax    = 60 * time.Second // the histogram's span (paper, table I)
-	tauFirst  = 4 * time.Second  // time-out before any sample (paper, table I)
-	restartC  = 0.0              // c, s: cost of a restart (paper, table I)
-	exploreIn = 20               // one first attempt in so many runs to its time left
-	exploreW  = 20               // samples: weight of such a run, as it stands for so many
-	ageing    = 1.005            // all samples weigh so much less with each new one: about 200 count
-	tauTie    = 1.1              // bounds within this factor of the least Ê are as good: take the longest
-	answered  = 0.99             // share of the answered calls that a time-out must leave, with
-	spare     = 2                // so many times their time, as the next may be slower than any seen
-	fewTimes  = 20               // samples before a time-out may be under tauFirst
+	// agingFactor is how much less all samples weigh with each new one: about 200 count.
+	agingFactor = 1.005
+	// nearOptimumFactor: bounds with an Ê within this factor of the least are as good; the longest is taken.
+	nearOptimumFactor = 1.1
+	// answeredShare is the share of the answered calls that τ must not cut short, with
+	answeredShare = 0.99
+	// answeredMargin times their latency, as the next call may be slower than any seen.
+	answeredMargin = 2
+	// minSamples is the number of samples before τ may be less than tauInitial.
+	minSamples = 20
 )
 
-// sample books a first attempt's time, or with late one that was never answered.
-func (o *timeoutEstimator) sample(d time.Duration, weight float64, late bool) {
-	for k := range o.bucket {
-		o.bucket[k].count /= ageing
-		o.bucket[k].sum /= ageing
+// timeoutEstimator chooses the timeout of calls, τ: the QEST restart oracle of the paper, section III.D,
+// for one route. The design page says what is the paper's and what is ours.
+type timeoutEstimator struct {
+	buckets          []histogramBucket // up to the last in use
+	samples          int               // number taken
+	unansweredWeight float64           // weight of the calls unanswered past tauMax
+	minLatency       time.Duration     // of all samples
+
+	needsUpdate bool          // samples have come since the figures below were computed
+	optimalTau  time.Duration // by Ê, 0 if not computed yet
+	median      time.Duration // of the samples
+	mean        float64       // of all samples, s
+
+	doubledTau time.Duration // τ since an expiry, 0 if none since the last sample
+	doubledAt  time.Duration
+}
+
+// histogramBucket holds the weight of the samples of one bucket, and the weighted sum of their latencies (s).
+type histogramBucket struct{ weight, sum float64 }
+
+// bucketBound is the upper bound of a bucket.
+func bucketBound(bucket int) time.Duration { return tauMax * time.Duration(bucket+1) / bucketCount }
+
+// addSample takes in the latency of a first attempt that was served.
+func (q *timeoutEstimator) addSample(latency time.Duration, weight float64) {
+	if latency >= tauMax {
+		q.addUnanswered(weight)
+		return
 	}
-	o.past /= ageing
-	if late || d >= tauMax {
-		o.past += weight
-	} else {
-		k := int(d * buckets / tauMax)
-		for len(o.bucket) <= k {
-			o.bucket = append(o.bucket, bucket{})
-		}
-		o.seen++
-		o.bucket[k].count += weight
-		o.bucket[k].sum += weight * d.Seconds()
-		if o.quickest == 0 || d < o.quickest {
-			o.quickest = d
-		}
+	q.age()
+	bucket := int(latency * bucketCount / tauMax)
+	for len(q.buckets) <= bucket {
+		q.buckets = append(q.buckets, histogramBucket{})
+	}
+	q.samples++
+	q.buckets[bucket].weight += weight
+	q.buckets[bucket].sum += weight * latency.Seconds()
+	if q.minLatency == 0 || latency < q.minLatency {
+		q.minLatency = latency
 	}
-	o.dirty = true
 }
 
-// expected is Ê of restarting at bound tau, for the weight and the mean of samples up to it.
-func expected(upTo, all, mean, tau float64) float64 {
-	f := upTo / all
-	return mean/f + (1-f)/f*(tau+restartC)
+// addUnanswered takes in a first attempt that was not answered within its time left.
+func (q *timeoutEstimator) addUnanswered(weight float64) {
+	q.age()
+	q.unansweredWeight += weight
 }
 
-// optimum is the argmin of Ê. Where the curve is flat its least point is chance and may lie short,
-// so of the bounds that are as good the longest is taken: it restarts less. Nor does it cut calls that
-// come back: a repeat takes as long again, and the first may still run.
-func (o *timeoutEstimator) optimum() time.Duration {
-	if !o.dirty {
-		return o.best
+// age lowers the weight of all samples, as a new one comes.
+func (q *timeoutEstimator) age() {
+	for i := range q.buckets {
+		q.buckets[i].weight /= agingFactor
+		q.buckets[i].sum /= agingFactor
 	}
-	o.dirty = false
-	all := o.past
-	for _, k := range o.bucket {
-		all += k.count
+	q.unansweredWeight /= agingFactor
+	q.needsUpdate = true
+}
+
+// expectedTime is Ê of restarting at τ: M̂/F̂ + (1-F̂)/F̂·(τ+c), for the weight and the mean of the
+// samples up to τ and the weight of all.
+func expectedTime(upToTau, total, mean, tau float64) float64 {
+	f := upToTau / total
+	return mean/f + (1-f)/f*(tau+restartCost)
+}
+
+// optimum is the τ that minimises Ê. Where the curve is flat its least point is chance and may be too
+// short, so of the bounds that are as good the longest is taken: it restarts less. Nor does it cut calls
+// that are answered: a repeat takes as long again, and the first attempt may still run.
+func (q *timeoutEstimator) optimum() time.Duration {
+	if !q.needsUpdate {
+		return q.optimalTau
 	}
-	least, longest := math.Inf(1), tauFirst
-	came, floor := all-o.past, time.Duration(0)
-	for pass := range 2 { // first the least Ê, then the longest bound that is as good
-		n, t := 0.0, 0.0
-		for k, at := range o.bucket {
-			if at.count == 0 {
-				continue
-			}
-			n += at.count
-			t += at.sum
-			bound := tauMax * time.Duration(k+1) / buckets
-			e := expected(n, all, t/n, bound.Seconds())
-			if pass == 0 {
-				least = min(least, e)
-			} else {
-				if e <= least*tauTie {
-					longest = bound
-				}
-				if n-at.count < came/2 {
-					o.median = bound
-				}
-				if n-at.count < answered*came {
-					floor = bound * spare
-				}
-			}
-		}
-		if n > 0 {
-			o.mean = t / n
-		}
+	q.needsUpdate = false
+	total := q.unansweredWeight
+	for _, bucket := range q.buckets {
+		total += bucket.weight
 	}
-	if o.seen < fewTimes {
-		floor = max(floor, tauFirst)
+	longest, floor := q.longestOptimum(total, q.leastExpectedTime(total))
+	if q.samples < minSamples {
+		floor = max(floor, tauInitial)
 	}
-	o.best = min(max(longest, floor), tauMax)
-	return o.best
+	q.optimalTau = min(max(longest, floor), tauMax)
+	return q.optimalTau
 }
 
-// tau is the time-out now.
-func (o *timeoutEstimator) tau() time.Duration {
-	if o.doubled > 0 {
-		return o.doubled
+// leastExpectedTime is the least Ê of all bounds.
+func (q *timeoutEstimator) leastExpectedTime(total float64) float64 {
+	least := math.Inf(1)
+	weight, sum := 0.0, 0.0
+	for i, bucket := range q.buckets {
+		if bucket.weight == 0 {
+			continue
+		}
+		weight += bucket.weight
+		sum += bucket.sum
+		least = min(least, expectedTime(weight, total, sum/weight, bucketBound(i).Seconds()))
+	}
+	return least
+}
+
+// longestOptimum is the longest bound whose Ê is near the least, and the bound below which answered calls
+// would be cut. It brings the median and the mean up to date.
+func (q *timeoutEstimator) longestOptimum(total, least float64) (longest, floor time.Duration) {
+	longest = tauInitial
+	answered := total - q.unansweredWeight
+	weight, sum := 0.0, 0.0
+	for i, bucket := range q.buckets {
+		if bucket.weight == 0 {
+			continue
+		}
+		weight += bucket.weight
+		sum += bucket.sum
+		bound := bucketBound(i)
+		if expectedTime(weight, total, sum/weight, bound.Seconds()) <= least*nearOptimumFactor {
+			longest = bound
+		}
+		if weight-bucket.weight < answered/2 {
+			q.median = bound
+		}
+		if weight-bucket.weight < answeredShare*answered {
+			floor = bound * answeredMargin
+		}
 	}
-	if o.best == 0 && !o.dirty {
-		return tauFirst
+	if weight > 0 {
+		q.mean = sum / weight
 	}
-	return o.optimum()
+	return longest, floor
 }
 
-// expired doubles the time-out, once for all calls that were out at the last doubling.
-func (o *timeoutEstimator) expired(sent, now time.Duration) {
-	if o.doubled == 0 || sent >= o.doubledAt {
-		o.doubled, o.doubledAt = min(2*o.tau(), tauMax), now
+// optimumOrInitial is the optimum, or the initial τ before any sample.
+func (q *timeoutEstimator) optimumOrInitial() time.Duration {
+	if q.optimalTau == 0 && !q.needsUpdate {
+		return tauInitial
 	}
+	return q.optimum()
 }
 
-// patience is how old an unanswered call may be before it counts as silence. Calls that came back from
-// a hang lengthen the time-out; silence is judged as if they had not.
-func (r *route) patience() time.Duration { return min(r.optimumOrFirst(), tauFirst) }
-
-// haste is the patience for taking slots back: some times the usual latency, which for a route with few
-// samples is that of all routes, if a call sent later was served there already. It doubles with each
-// call taken back there until one is served: what turns slow then gets the time to show it.
-func (b *Dispatcher) haste(c *call) time.Duration {
-	r := c.route
-	b.all.optimum()
-	usual := b.all.median
-	if r.seen >= fewTimes {
-		usual = r.median
-	} else if b.all.seen < fewTimes || r.servedSent <= c.sent {
-		return r.patience()
+// tau is the timeout now.
+func (q *timeoutEstimator) tau() time.Duration {
+	if q.doubledTau > 0 {
+		return q.doubledTau
 	}
-	usual = max(silentBy*usual, time.Duration(slowBy*r.recent*float64(time.Second)), probeFirst)
-	return min(r.patience(), usual<<min(r.takenBack, 4))
+	return q.optimumOrInitial()
 }
 
-func (r *route) optimumOrFirst() time.Duration {
-	if r.best == 0 && !r.dirty {
-		return tauFirst
+// expire doubles τ, once for all calls that were in flight at the last doubling.
+func (q *timeoutEstimator) expire(sentAt, now time.Duration) {
+	if q.doubledTau == 0 || sentAt >= q.doubledAt {
+		q.doubledTau, q.doubledAt = min(2*q.tau(), tauMax), now
 	}
-	return r.optimum()
 }
