--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -1,15 +1,15 @@
 package dispatch
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 const (
 	// shedThreshold is the share of MaxPendingMessages from which messages are rejected.
 	shedThreshold = 0.95
 	// minServedRate is added to a route's served rate (calls a second) in the estimate of a queue's wait.
 	minServedRate = 0.1
-	// processPauseAllowance is how long the process may be paused between reading its clock and writing (the
-	// operators' terms). A repeat has to arrive within its key's window all the same.
-	processPauseAllowance = 150 * time.Millisecond
 )
 
 // admit takes a message on.
@@ -117,24 +117,35 @@
 	return victim
 }
 
-// mayRepeat reports whether no attempt may have run, or a repeat sent now does no harm.
-func (d *Dispatcher) mayRepeat(m *message) bool {
-	if !m.mayHaveRun || m.class.Effect == Idempotent {
-		return true
+// inheritAttempt books an attempt that another process of this sender has in flight, as if this one had
+// sent it.
+func (d *Dispatcher) inheritAttempt(m *message, inFlight *InFlightAttempt) {
+	c := d.inheritedCalls[inFlight.Call]
+	if c == nil {
+		c = d.inheritCall(inFlight)
 	}
-	minLatency := m.likelyRoute().estimator.minLatency
-	arrival := d.now + processPauseAllowance + d.settings.StepInterval + minLatency
-	return m.class.Effect == IdempotentByKey && arrival < m.firstRunAt+m.class.IdempotencyWindow
+	m.addAttempt(attempt{call: c, timeout: inFlight.Timeout, untilDeadline: true})
 }
 
-// latestStart is the latest time at which a call of m to r may start: it takes as long as the quickest one
-// served there, and has to be over at m's deadline; a repeat has to be over while m's key is remembered.
-func (d *Dispatcher) latestStart(m *message, r *route) time.Duration {
-	minLatency := r.estimator.minLatency
-	latest := m.Deadline - max(minLatency, d.settings.StepInterval)
-	if m.mayHaveRun && m.class.Effect == IdempotentByKey {
-		windowEnd := m.firstRunAt + m.class.IdempotencyWindow
-		latest = min(latest, windowEnd-processPauseAllowance-minLatency-d.settings.StepInterval)
+// inheritCall books a call that another process of this sender has in flight.
+func (d *Dispatcher) inheritCall(inFlight *InFlightAttempt) *call {
+	e := d.endpoints[inFlight.Endpoint]
+	r := e.route
+	isProbe := r.breaker.state == unavailable && inFlight.SentAt >= r.breaker.since
+	c := &call{route: r, endpoint: e, sentAt: inFlight.SentAt, isProbe: isProbe}
+	if d.inheritedCalls == nil {
+		d.inheritedCalls = map[uint64]*call{}
+	}
+	d.inheritedCalls[inFlight.Call] = c
+	d.callsInFlight++
+	r.window.inFlight++
+	e.inFlight++
+	if c.isProbe {
+		r.breaker.probesInFlight++
 	}
-	return latest
+	r.window.unanswered = append(r.window.unanswered, c)
+	slices.SortStableFunc(r.window.unanswered, func(x, y *call) int {
+		return int(min(1, max(-1, x.sentAt-y.sentAt)))
+	})
+	return c
 }
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -1,7 +1,5 @@
 package dispatch
 
-import "time"
-
 const (
 	// explorationInterval: one first attempt in so many has its time left as its timeout.
 	explorationInterval = 20
@@ -110,19 +108,3 @@
 	a.timeout, a.untilDeadline = tau, false
 	return a
 }
-
-// mayRestart reports whether m may be sent again if it is sent now and times out after tau.
-func (d *Dispatcher) mayRestart(m *message, r *route, tau time.Duration) bool {
-	if m.maxAttempts > 0 && m.attemptCount()+1 >= m.maxAttempts {
-		return false
-	}
-	if m.class.Effect != IdempotentByKey {
-		return m.class.Effect == Idempotent
-	}
-	firstRunAt := d.now
-	if m.mayHaveRun {
-		firstRunAt = m.firstRunAt
-	}
-	arrival := d.now + tau + processPauseAllowance + 2*d.settings.StepInterval + r.estimator.minLatency
-	return arrival < firstRunAt+m.class.IdempotencyWindow
-}
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -176,39 +176,6 @@
 	return nil
 }
 
-// inheritAttempt books an attempt that another process of this sender has in flight, as if this one had
-// sent it.
-func (d *Dispatcher) inheritAttempt(m *message, inFlight *InFlightAttempt) {
-	c := d.inheritedCalls[inFlight.Call]
-	if c == nil {
-		c = d.inheritCall(inFlight)
-	}
-	m.addAttempt(attempt{call: c, timeout: inFlight.Timeout, untilDeadline: true})
-}
-
-// inheritCall books a call that another process of this sender has in flight.
-func (d *Dispatcher) inheritCall(inFlight *InFlightAttempt) *call {
-	e := d.endpoints[inFlight.Endpoint]
-	r := e.route
-	isProbe := r.breaker.state == unavailable && inFlight.SentAt >= r.breaker.since
-	c := &call{route: r, endpoint: e, sentAt: inFlight.SentAt, isProbe: isProbe}
-	if d.inheritedCalls == nil {
-		d.inheritedCalls = map[uint64]*call{}
-	}
-	d.inheritedCalls[inFlight.Call] = c
-	d.callsInFlight++
-	r.window.inFlight++
-	e.inFlight++
-	if c.isProbe {
-		r.breaker.probesInFlight++
-	}
-	r.window.unanswered = append(r.window.unanswered, c)
-	slices.SortStableFunc(r.window.unanswered, func(x, y *call) int {
-		return int(min(1, max(-1, x.sentAt-y.sentAt)))
-	})
-	return c
-}
-
 func (c *decayingCounter) snapshot() DecayingCount {
 	return DecayingCount{Value: c.value, UpdatedAt: c.updatedAt}
 }
