--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -123,10 +123,9 @@
 }
 
 // decreasePace lowers the pace after a rejection. The more senders there are the less does one call tell
-// each: all may be far above the limit, and where rejected calls use it up they keep one another out. So
-// each goes down until the backlog drains. One rejection among served calls is chance: a limit that is
-// counted over a short time is met by calls that come together, also while all of them are fewer than it
-// allows.
+// each: all may be far above the limit, and where rejected calls use it up they keep one another out. So each
+// goes down until the backlog drains. One rejection among served calls is chance: a limit that is counted
+// over a short time is met by calls that come together, also while all of them are fewer than it allows.
 func (d *Dispatcher) decreasePace(r *route) {
 	l := &r.limiter
 	senders := float64(max(smallFleet, d.settings.Senders))
