--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -14,12 +14,24 @@
 	Overall      EstimatorSnapshot
 	IdleTimeouts []time.Duration // by kind of destination
 	Random       uint64
-	Tenants      [][2]float64       // recent and long-term rate
-	Classes      [][2]DecayingCount // weight that has ended, and what of it was served
+	Tenants      []TenantSnapshot // in the order of the settings
+	Classes      []ClassSnapshot  // in the order of the settings
 	Routes       []RouteSnapshot
 	Endpoints    []EndpointSnapshot
 }
 
+// TenantSnapshot is how many messages a second a tenant hands in.
+type TenantSnapshot struct {
+	RecentRate   float64
+	LongTermRate float64
+}
+
+// ClassSnapshot is the priority weight of a class's messages that have ended, and what of it was served.
+type ClassSnapshot struct {
+	Ended  DecayingCount
+	Served DecayingCount
+}
+
 // DecayingCount is a count that decays, as of a time.
 type DecayingCount struct {
 	Value     float64
@@ -97,10 +109,13 @@
 		Random:       d.randomState,
 	}
 	for _, goodput := range d.classGoodputs {
-		s.Classes = append(s.Classes, [2]DecayingCount{goodput.ended.snapshot(), goodput.served.snapshot()})
+		s.Classes = append(s.Classes, ClassSnapshot{
+			Ended:  goodput.ended.snapshot(),
+			Served: goodput.served.snapshot(),
+		})
 	}
 	for _, rate := range d.tenantRates {
-		s.Tenants = append(s.Tenants, [2]float64{rate.recent, rate.longTerm})
+		s.Tenants = append(s.Tenants, TenantSnapshot{RecentRate: rate.recent, LongTermRate: rate.longTerm})
 	}
 	for id, dest := range d.destinations {
 		if dest.shared != nil {
@@ -143,10 +158,13 @@
 	d.arrivals = s.Arrivals.restore()
 	d.overallEstimator, d.idleTimeouts = s.Overall.restore(), slices.Clone(s.IdleTimeouts)
 	for i := range min(len(s.Classes), len(d.classGoodputs)) {
-		d.classGoodputs[i] = classGoodput{ended: s.Classes[i][0].restore(), served: s.Classes[i][1].restore()}
+		d.classGoodputs[i] = classGoodput{
+			ended:  s.Classes[i].Ended.restore(),
+			served: s.Classes[i].Served.restore(),
+		}
 	}
 	for i := range min(len(s.Tenants), len(d.tenantRates)) {
-		d.tenantRates[i] = tenantRate{recent: s.Tenants[i][0], longTerm: s.Tenants[i][1]}
+		d.tenantRates[i] = tenantRate{recent: s.Tenants[i].RecentRate, longTerm: s.Tenants[i].LongTermRate}
 	}
 	d.tenantRatesDecayedAt = d.now
 	for _, snapshot := range s.Routes {
--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -12,37 +12,12 @@
 	"testing"
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
+	"onyxdyke.example/onyxdyke/internal/golden"
 )
 
 // The hand-over's format outlives a release. The streams under testdata were written by the release of commit
 // 5d1fee9, and the texts beside them list their fields.
 
-// golden compares a text with a file of testdata.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == got {
-		return
-	}
-	wanted, gotten := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(wanted), len(gotten)) {
-		a, b := "", ""
-		if i < len(wanted) {
-			a = wanted[i]
-		}
-		if i < len(gotten) {
-			b = gotten[i]
-		}
-		if a != b {
-			t.Errorf("%s, line %d:\n want %s\n got  %s", name, i+1, a, b)
-		}
-	}
-}
-
 func TestSocketKeepsItsReleasedName(t *testing.T) {
 	err := WithSocket("/state", func(path string) error {
 		if name := filepath.Base(path); name != "saffronyard-87517253f26a8523.sock" {
@@ -114,7 +89,7 @@
 			if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&read); err != nil {
 				t.Fatal(err)
 			}
-			golden(t, name+".txt", packetText(read))
+			golden.Compare(t, name+".txt", packetText(read))
 			var stream bytes.Buffer
 			if err := gob.NewEncoder(&stream).Encode(read.thaw().freeze()); err != nil {
 				t.Fatal(err)
@@ -123,7 +98,7 @@
 			if err := gob.NewDecoder(&stream).Decode(&written); err != nil {
 				t.Fatal(err)
 			}
-			golden(t, name+".txt", packetText(written))
+			golden.Compare(t, name+".txt", packetText(written))
 		})
 	}
 }
--- a/internal/handover/translatesnapshot.go
+++ b/internal/handover/translatesnapshot.go
@@ -49,10 +49,12 @@
 		All:     freezeOracle(m.Overall),
 		Keep:    m.IdleTimeouts,
 		Random:  m.Random,
-		Tenants: m.Tenants,
+	}
+	for _, t := range m.Tenants {
+		f.Tenants = append(f.Tenants, [2]float64{t.RecentRate, t.LongTermRate})
 	}
 	for _, c := range m.Classes {
-		f.Classes = append(f.Classes, [2]frozenFading{freezeFading(c[0]), freezeFading(c[1])})
+		f.Classes = append(f.Classes, [2]frozenFading{freezeFading(c.Ended), freezeFading(c.Served)})
 	}
 	for _, r := range m.Routes {
 		f.Routes = append(f.Routes, freezeRoute(r))
@@ -75,10 +77,12 @@
 		Overall:      f.All.thaw(),
 		IdleTimeouts: f.Keep,
 		Random:       f.Random,
-		Tenants:      f.Tenants,
+	}
+	for _, t := range f.Tenants {
+		m.Tenants = append(m.Tenants, dispatch.TenantSnapshot{RecentRate: t[0], LongTermRate: t[1]})
 	}
 	for _, c := range f.Classes {
-		m.Classes = append(m.Classes, [2]dispatch.DecayingCount{c[0].thaw(), c[1].thaw()})
+		m.Classes = append(m.Classes, dispatch.ClassSnapshot{Ended: c[0].thaw(), Served: c[1].thaw()})
 	}
 	for _, r := range f.Routes {
 		m.Routes = append(m.Routes, r.thaw())
--- a/internal/journal/endedids_test.go
+++ b/internal/journal/endedids_test.go
@@ -13,11 +13,11 @@
 	t.Parallel()
 	directory := t.TempDir()
 	j := openTest(t, directory, 1<<20)
-	wantKnown := map[string]bool{
+	wantKnown := map[Outcome]bool{
 		OutcomeDelivered: true, OutcomeGivenUp: true, OutcomeReturned: false, OutcomeAnswered: false,
 	}
 	for outcome := range wantKnown {
-		m := acceptRecord(t, j, Record{ID: outcome, Class: "safe"})
+		m := acceptRecord(t, j, Record{ID: string(outcome), Class: "safe"})
 		j.AppendMessageEnded(m, outcome, 0)
 		if outcome == OutcomeGivenUp || outcome == OutcomeReturned {
 			j.AppendNoticeDelivered(m)
@@ -26,7 +26,7 @@
 	check := func(j *Journal) {
 		t.Helper()
 		for outcome, want := range wantKnown {
-			if j.Knows(outcome) != want {
+			if j.Knows(string(outcome)) != want {
 				t.Errorf("%s is known: %v", outcome, !want)
 			}
 		}
@@ -49,7 +49,7 @@
 			t.Parallel()
 			directory := t.TempDir()
 			j := openTest(t, directory, 1<<20)
-			for _, outcome := range []string{OutcomeDelivered, OutcomeAnswered} {
+			for _, outcome := range []Outcome{OutcomeDelivered, OutcomeAnswered} {
 				m := acceptRecord(t, j, Record{ID: "a", Class: "safe"})
 				j.AppendMessageEnded(m, outcome, 0)
 				if compacted || outcome == OutcomeDelivered {
--- a/internal/journal/format_test.go
+++ b/internal/journal/format_test.go
@@ -12,33 +12,11 @@
 
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
+	"onyxdyke.example/onyxdyke/internal/golden"
 )
 
 // The journal's format outlives a release. The files under testdata were written by the release of commit 5d1fee9.
 
-// requireGolden compares a text with a file of testdata.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	want := string(readFile(t, filepath.Join("testdata", name)))
-	if want == got {
-		return
-	}
-	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
-	for i := range max(len(wantLines), len(gotLines)) {
-		wantLine, gotLine := lineAt(wantLines, i), lineAt(gotLines, i)
-		if wantLine != gotLine {
-			t.Errorf("%s, line %d:\n want %s\n got  %s", name, i+1, wantLine, gotLine)
-		}
-	}
-}
-
-func lineAt(lines []string, i int) string {
-	if i < len(lines) {
-		return lines[i]
-	}
-	return ""
-}
-
 // distantDeadline is not reached by any test: nothing is dropped for its age.
 const distantDeadline = 200 * 365 * 24 * time.Hour
 
@@ -121,7 +99,7 @@
 func TestJournalIsWrittenAsReleased(t *testing.T) {
 	directory := t.TempDir()
 	writeGoldenJournal(t, openTest(t, directory, 1<<20))
-	requireGolden(t, "written.txt", sortedRecords(t, filepath.Join(directory, "messages.journal")))
+	golden.Compare(t, "written.txt", sortedRecords(t, filepath.Join(directory, "messages.journal")))
 }
 
 // openGoldenJournal opens a copy of a journal that the release wrote.
@@ -186,7 +164,7 @@
 		}
 	})
 	t.Run("the compacted file", func(t *testing.T) {
-		requireGolden(t, "compacted.txt", sortedRecords(t, filepath.Join(directory, "messages.journal")))
+		golden.Compare(t, "compacted.txt", sortedRecords(t, filepath.Join(directory, "messages.journal")))
 	})
 }
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -105,7 +105,7 @@
 // AppendMessageEnded records a message's outcome. After OutcomeDelivered and OutcomeAnswered the journal drops the
 // message; after the others it keeps it, without its body, until AppendNoticeDelivered. A returned message may be
 // submitted again after retryAfter, which is stored in milliseconds.
-func (j *Journal) AppendMessageEnded(m *Message, outcome string, retryAfter time.Duration) {
+func (j *Journal) AppendMessageEnded(m *Message, outcome Outcome, retryAfter time.Duration) {
 	j.appendToMessage(m, Record{
 		Kind:         KindMessageEnded,
 		Outcome:      outcome,
--- a/internal/journal/message.go
+++ b/internal/journal/message.go
@@ -11,8 +11,8 @@
 type Message struct {
 	Record // of KindMessageAccepted
 
-	PendingOutcome      string // how the message ended, while the notice of that is pending; empty before the end
-	PendingRetryAfterMS int64  // what that notice tells the client, in milliseconds
+	PendingOutcome      Outcome // how the message ended, while the notice of that is pending; empty before the end
+	PendingRetryAfterMS int64   // what that notice tells the client, in milliseconds
 
 	reservedBytes int64 // upper bound of its line in a compacted file
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -32,12 +32,15 @@
 	KindOutagesDelta      RecordKind = "outages"
 )
 
+// Outcome is how a message ended, as it is stored.
+type Outcome string
+
 // The outcomes of a message. Those that the platform gets a notice of are the notice's words.
 const (
-	OutcomeDelivered = "delivered"
-	OutcomeAnswered  = "answered" // the client's request was answered with the end: rejected, failed or cancelled
-	OutcomeGivenUp   = "given_up"
-	OutcomeReturned  = "handed_back"
+	OutcomeDelivered Outcome = "delivered"
+	OutcomeAnswered  Outcome = "answered" // in the response to its client: rejected, failed or cancelled
+	OutcomeGivenUp   Outcome = "given_up"
+	OutcomeReturned  Outcome = "handed_back"
 )
 
 // MaxNameLength bounds ids, keys and endpoint names in bytes: without it a record would have no bound.
@@ -79,8 +82,8 @@
 	NeverRan       bool     `json:"never,omitempty"` // KindAttemptEnded: the attempt surely had no effect
 
 	// KindMessageEnded: one of the outcomes, and for a returned message when its client may submit it again.
-	Outcome      string `json:"how,omitempty"`
-	RetryAfterMS int64  `json:"retry_ms,omitempty"` // in milliseconds
+	Outcome      Outcome `json:"how,omitempty"`
+	RetryAfterMS int64   `json:"retry_ms,omitempty"` // in milliseconds
 
 	// KindMessageEnded, KindNoticeDelivered and KindEndedID: when the message ended.
 	EndedAt time.Duration `json:"at,omitempty"`
--- a/internal/sender/attempts.go
+++ b/internal/sender/attempts.go
@@ -76,7 +76,7 @@
 }
 
 // recordEnd appends a message's end to the journal. The caller answers clients that still wait.
-func (s *Sender) recordEnd(m *message, outcome string, retryAfter time.Duration) {
+func (s *Sender) recordEnd(m *message, outcome journal.Outcome, retryAfter time.Duration) {
 	s.trace("ended", m.ID, "outcome", outcome)
 	s.journal.AppendMessageEnded(m.Message, outcome, retryAfter)
 	s.messages.markEnded(m)
--- a/internal/sender/format_test.go
+++ b/internal/sender/format_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"bytes"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"onyxdyke.example/onyxdyke/internal/discovery"
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 	"onyxdyke.example/onyxdyke/internal/endpoint"
+	"onyxdyke.example/onyxdyke/internal/golden"
 	"onyxdyke.example/onyxdyke/internal/invariant"
 	"onyxdyke.example/onyxdyke/internal/journal"
 	"onyxdyke.example/onyxdyke/internal/metrics"
@@ -18,32 +17,6 @@
 // The formats that outlive a release are pinned here. The files under testdata were written by the release of commit
 // 5d1fee9: the journal, the streams of a hand-over between two processes, and the operators' figures.
 
-// golden compares a text with a file of testdata.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == got {
-		return
-	}
-	wanted, gotten := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(wanted), len(gotten)) {
-		a, b := "", ""
-		if i < len(wanted) {
-			a = wanted[i]
-		}
-		if i < len(gotten) {
-			b = gotten[i]
-		}
-		if a != b {
-			t.Errorf("%s, line %d:\n want %s\n got  %s", name, i+1, a, b)
-		}
-	}
-}
-
 // What is stored, and printed for the operators, has the form of the release.
 func TestStoredStringsAndNumbersAreTheReleased(t *testing.T) {
 	for effect, number := range map[dispatch.Effect]uint8{
@@ -71,17 +44,19 @@
 			t.Errorf("outcome %s is printed as %s", word, outcome)
 		}
 	}
-	for got, want := range map[string]string{
+	for got, want := range map[journal.Outcome]string{
 		journal.OutcomeDelivered: "delivered",
 		journal.OutcomeAnswered:  "answered",
 		journal.OutcomeGivenUp:   "given_up",
 		journal.OutcomeReturned:  "handed_back",
-		journal.FileName:         "messages.journal",
 	} {
-		if got != want {
+		if string(got) != want {
 			t.Errorf("%s is written as %s", want, got)
 		}
 	}
+	if journal.FileName != "messages.journal" {
+		t.Errorf("the journal's file is named %s", journal.FileName)
+	}
 }
 
 func TestMetricsHaveTheReleasedNames(t *testing.T) {
@@ -102,7 +77,7 @@
 	}
 	var dump bytes.Buffer
 	f.Dump(&dump)
-	golden(t, "admin/dump.txt", dump.String())
+	golden.Compare(t, "admin/dump.txt", dump.String())
 }
 
 func TestReasonsHaveTheReleasedNames(t *testing.T) {
@@ -111,5 +86,5 @@
 		discovery.ReasonMoved, discovery.ReasonHedged, discovery.ReasonRejected, discovery.ReasonSilent,
 		discovery.ReasonStale,
 	}
-	golden(t, "admin/reasons.txt", strings.Join(words, "\n")+"\n")
+	golden.Compare(t, "admin/reasons.txt", strings.Join(words, "\n")+"\n")
 }
--- a/internal/sender/forwarding.go
+++ b/internal/sender/forwarding.go
@@ -32,7 +32,10 @@
 	for _, request := range s.upgrade.takeForwarded() {
 		if request.sent {
 			s.metrics.MessageAborted(request.Class)
-			request.Responses <- ingress.Response{Status: http.StatusInternalServerError, Text: journal.OutcomeGivenUp}
+			request.Responses <- ingress.Response{
+				Status: http.StatusInternalServerError,
+				Text:   string(journal.OutcomeGivenUp),
+			}
 			continue
 		}
 		s.declineSubmission(request.Submission, "shutting down")
--- a/internal/sender/messageend.go
+++ b/internal/sender/messageend.go
@@ -13,14 +13,14 @@
 // endedMessage is a message that the dispatcher has ended. Its end is announced once it is written to the journal.
 type endedMessage struct {
 	*message
-	outcome    string                  // journal.OutcomeGivenUp or journal.OutcomeReturned
+	outcome    journal.Outcome         // journal.OutcomeGivenUp or journal.OutcomeReturned
 	clients    []chan ingress.Response // wait for the response; without any the end is announced by a notice
 	retryAfter time.Duration
 }
 
 // endMessage records the end of a message that the dispatcher has ended, and appends it to ended for announceEnd.
 func (s *Sender) endMessage(
-	ended []endedMessage, id dispatch.MessageID, outcome string, retryAfter time.Duration,
+	ended []endedMessage, id dispatch.MessageID, outcome journal.Outcome, retryAfter time.Duration,
 ) []endedMessage {
 	m := s.messages.byNumber[id]
 	if m == nil || m.ended {
@@ -64,6 +64,6 @@
 		s.invariants.CheckPromise(end.ID, written) // it counts and logs a violation
 	}
 	for _, client := range end.clients {
-		client <- ingress.Response{Status: status, RetryAfter: end.retryAfter, Text: end.outcome}
+		client <- ingress.Response{Status: status, RetryAfter: end.retryAfter, Text: string(end.outcome)}
 	}
 }
--- a/internal/sender/notices.go
+++ b/internal/sender/notices.go
@@ -51,7 +51,7 @@
 
 // noticeOf is the notice of a message that has ended.
 func noticeOf(m *journal.Message) discovery.Notice {
-	n := discovery.Notice{Message: m.ID, Outcome: m.PendingOutcome}
+	n := discovery.Notice{Message: m.ID, Outcome: string(m.PendingOutcome)}
 	if m.PendingOutcome == journal.OutcomeReturned && m.PendingRetryAfterMS > 0 {
 		n.RetryMS = &m.PendingRetryAfterMS
 	}
