--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -354,8 +354,8 @@
 		t.Fatal(err)
 	}
 	s.reload(t, raw)
-	for st.Receive(t, moved.ListRequests) != "" { // the whole list, and then
-		t.Error("the new address is first asked for changes")
+	for st.Receive(t, moved.ListRequests) != "" { // the full list, and then
+		t.Error("the first request to the new address is for changes")
 	}
 	st.Receive(t, moved.ListRequests) // it is watched
 	st.Submit(t, s.addr, "b", "keyed", 0, 15*time.Second)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a sender is told at its start and at SIGHUP: the configuration file and the environment.
+// Package config reads the configuration of a sender, at its start and at SIGHUP: the file and the environment.
 //
 // The process reads the configuration and the event loop owns the one in force. A Config is never changed once it is in
 // use: a reload makes a new one.
@@ -20,7 +20,7 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// Config is what a sender is told.
+// Config is the configuration of a sender.
 type Config struct {
 	Name      string
 	Listen    string // the address for clients
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -139,7 +139,7 @@
 }
 
 // Of 3,450 connects that failed in 5 s of a calm day of 300 senders, most were at destinations that were full,
-// while the calls served there left their connections unused: a sender with more messages was held back by its
+// while the calls served there left their connections unused: a sender with more messages was kept back by its
 // pace or its backoff.
 func TestNextCallReusesTheConnectionThatServed(t *testing.T) {
 	s, list := largeFleet(300)
--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -59,8 +59,7 @@
 	rate, burst = math.Inf(1), math.Inf(1)
 	if r.limiter.limit > 0 {
 		rate, burst = r.limiter.pace, max(1, r.limiter.pace)
-		// calls of one message each would use up the limit: waiting messages share one
-		if r.maxBatchSize > 1 {
+		if r.maxBatchSize > 1 { // waiting messages share a call: one each would use up the limit
 			burst = 1
 		}
 	}
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// A closed destination that had announced when it rereopensAt was probed with single messages then, as after any
+// A closed destination that had announced when it reopens was probed with single messages then, as after any
 // outage, while all others waited on. It is open as announced: those that wait are sent, at the pace that a
 // recovering one bears.
 func TestAnnouncedEndOfAnOutageNeedsNoProbe(t *testing.T) {
@@ -179,9 +179,9 @@
 	}
 }
 
-// Eighty senders told when a destination rereopensAt all came in that moment: most connects failed there, and it was
+// Eighty senders told when a destination reopens all came in that moment: most connects failed there, and it was
 // ejected again for seconds. They come one after another, as it bears them, and the first of them soon.
-func TestLargeFleetRereopensAtWithJitter(t *testing.T) {
+func TestLargeFleetReopensWithJitter(t *testing.T) {
 	const senders, limit, wait = 80, 70, 8 * time.Second
 	came := map[time.Duration]int{}
 	for seed := range uint64(senders) {
--- a/internal/endpoint/pool.go
+++ b/internal/endpoint/pool.go
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// put keeps a connection for a further call, if there is room for it.
+// put keeps a connection for a further call, unless enough are kept already.
 func (p *Pool) put(e *Endpoint, c *conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -48,8 +48,8 @@
 	return c.isDismissed.Load() || !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Peers that only hold their connections make room for those that come: first who has been quiet for longest,
-// and nobody whose request is being answered.
+// Connections without a request are evicted for new ones, the one that has been idle for longest first, and none whose
+// request is being answered.
 func TestIdleConnectionsAreEvictedOldestFirst(t *testing.T) {
 	t.Parallel()
 	table := newConnectionTable(config.Limits{Sockets: 6}.MaxClientConnections())
@@ -62,7 +62,7 @@
 	table.track(conns["busy"], http.StateActive)
 	open("held")
 	if conns["held"].isLetGo() {
-		t.Error("let go with room left")
+		t.Error("let go though there is room")
 	}
 	open("new")
 	for name, want := range map[string]bool{"busy": false, "held": true, "new": false} {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Where no silent peer is left to make room, one that stops in the middle of its first request does; not a request
-// that has been read whole, nor a client's further one, nor one that has only just begun to come.
+// Where no connection is idle, one that stops in the middle of its first request is evicted; not one whose request has
+// been read completely, nor a client's further request, nor one that has only just begun.
 func TestIncompleteFirstRequestIsEvicted(t *testing.T) {
 	t.Parallel()
 	table := newConnectionTable(config.Limits{Sockets: 8}.MaxClientConnections())
@@ -102,7 +102,7 @@
 	}
 	for until := time.Now().Add(st.Timeout); !conns["half"].isLetGo(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("half a request holds its place")
+			t.Fatal("an incomplete request keeps its place")
 		}
 	}
 	for _, name := range []string{"client", "whole"} {
@@ -112,8 +112,8 @@
 	}
 }
 
-// A request whose end is read in the moment in which its connection makes room is owed its answer: it may have been
-// taken on, however long the answer takes.
+// A request whose end is read while its connection is evicted gets its response, however long that takes: it may have
+// been accepted.
 func TestRequestCompletedDuringItsEvictionIsAnswered(t *testing.T) {
 	t.Parallel()
 	table := newConnectionTable(config.Limits{Sockets: 4}.MaxClientConnections())
@@ -127,21 +127,21 @@
 	table.track(newConnection(t), http.StateNew)
 	for until := time.Now().Add(st.Timeout); !half.isDismissed.Load(); {
 		if time.Now().After(until) {
-			t.Fatal("half a request holds its place")
+			t.Fatal("an incomplete request keeps its place")
 		}
 	}
 	table.requestRead(half)
 	table.mu.Lock()
 	table.evictPartial()
 	table.mu.Unlock()
-	st.Receive(t, closed) // the next one makes room, later than this one would have been closed
+	st.Receive(t, closed) // the next one is evicted, later than this one would have been closed
 	if _, err := half.Write([]byte("HTTP/1.1 202 Accepted\r\n\r\n")); err != nil {
 		t.Errorf("its answer: %v", err)
 	}
 }
 
-// A request that has been read whole goes to the loop also where reading on its connection has ended meanwhile, as
-// when that had to make room: net/http ends the request's context then.
+// A request that has been read completely is submitted also where reading on its connection has ended meanwhile, as
+// in an eviction: net/http ends the request's context then.
 func TestCompleteRequestIsSubmittedAfterItsContextEnds(t *testing.T) {
 	t.Parallel()
 	raw, err := json.Marshal(st.Config(st.NewAgent(t), t.TempDir()))
--- a/internal/ingress/listener_test.go
+++ b/internal/ingress/listener_test.go
@@ -27,31 +27,31 @@
 	return ours, nil
 }
 
-// A crowd in the queue is worked off also while accept fails for a moment: whoever waits there is owed an error or a
-// close within 3 s of having connected, and a request its answer within 0.4 s.
+// A full queue is emptied also while accept fails for a moment: whoever waits there is owed an error or a close within
+// 3 s of having connected, and a request its response within 0.4 s.
 func TestQueueIsEmptiedWhileAcceptFails(t *testing.T) {
 	t.Parallel()
-	const crowd, within = 300, time.Second
+	const waiting, within = 300, time.Second
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENFILE, syscall.ENOBUFS,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			d := newLimitListener(&everySecondFails{errno: errno}, crowd)
+			d := newLimitListener(&everySecondFails{errno: errno}, waiting)
 			began := time.Now()
-			for range crowd {
+			for range waiting {
 				if _, err := d.Accept(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if took := time.Since(began); took > within {
-				t.Errorf("%d connections are taken in within %v", crowd, took)
+				t.Errorf("%d connections are accepted within %v", waiting, took)
 			}
 		})
 	}
 }
 
-// pipeEnds is a connection of a client, as the server has it, and the client's end.
+// pipeEnds is a client's connection, as the server has it, and the client's end.
 func pipeEnds(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,7 +71,7 @@
 	return &clientConn{Conn: ours, cutsOff: new(atomic.Bool), release: func() {}}, theirs
 }
 
-// A connection that is let go of in the moment in which a request begins to come goes on until that has come whole.
+// A connection that is dismissed just as a request begins to arrive is read until that is complete.
 func TestDismissedConnectionReadsABegunRequestToItsEnd(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -24,7 +24,7 @@
 	abortUnsent func()         // ends the call unless it has been written
 	remote      *handover.Link // the process that makes the call, nil for this one
 
-	reportedEnd *dispatch.AttemptResult // how the attempt ended, once a successor has been told; else nil
+	reportedEnd *dispatch.AttemptResult // how the attempt ended, once that is reported to a successor; else nil
 }
 
 // abortUnsent ends the calls of a kind that have not been written yet.
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -55,7 +55,7 @@
 	lastCallNumber  uint64 // calls so far, those of the predecessor included
 	listVersion     int64  // of the endpoint list
 
-	storageFailing  bool        // the dispatcher has been told that the journal cannot be written
+	storageFailing  bool        // the dispatcher knows that the journal cannot be written
 	journalFailing  atomic.Bool // the journal's last write failed; read by health
 	dispatchStopped bool        // the dispatcher makes no more decisions: events only go to the journal
 
