--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -81,6 +81,21 @@
 	}
 }
 
+// passedSocket is a clients' socket that the platform holds: each process inherits it.
+func passedSocket(t *testing.T) (addr string, socket *os.File) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	if socket, err = l.(*net.TCPListener).File(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = socket.Close() })
+	return l.Addr().String(), socket
+}
+
 // startBeside runs a sender on a socket that it inherits and waits until HEALTH says ok.
 func startBeside(t *testing.T, p *st.Agent, state, addr string, socket *os.File) *process {
 	t.Helper()
@@ -265,17 +280,7 @@
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewAgent(t, good.Addr, silent.Addr)
 	state := t.TempDir()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	socket, err := l.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer socket.Close()
-	addr := l.Addr().String()
+	addr, socket := passedSocket(t)
 
 	stop, stopped, taken := make(chan struct{}), make(chan struct{}), 0
 	var between sync.Mutex // held while a request is under way: a kill cuts off those on the dead one's connections
--- a/cmd/sender/release_test.go
+++ b/cmd/sender/release_test.go
@@ -78,17 +78,8 @@
 // a connection to the predecessor is answered there.
 func TestReleaseHandsOverAndTakesOverAgain(t *testing.T) {
 	release := buildRelease(t)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	socket, err := l.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer socket.Close()
-	addr, state := l.Addr().String(), t.TempDir()
+	addr, socket := passedSocket(t)
+	state := t.TempDir()
 	opened := make(chan struct{}, 1)
 	slow := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
 		<-opened
