--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -17,7 +17,7 @@
 	}
 	s.log.Warn("no hand-over while the journal cannot be written")
 	successor.Close()
-	go s.upgrade.awaitSuccessor(ctx)
+	s.upgrade.startAwaitingSuccessor(ctx)
 	return false
 }
 
@@ -119,7 +119,7 @@
 		return &c
 	})
 	s.log.Warn("serving again after the successor's death", "pending", s.messages.pending)
-	go s.upgrade.awaitSuccessor(ctx)
+	s.upgrade.startAwaitingSuccessor(ctx)
 	s.dispatch(ctx, s.missedEvents(ctx, handed))
 	if !s.dispatchStopped && s.listening.open != nil {
 		s.listening.open()
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -58,7 +58,14 @@
 	if u.predecessor != nil {
 		go u.listenToPeer(work, u.predecessor)
 	}
-	go u.awaitSuccessor(work)
+	u.startAwaitingSuccessor(work)
+}
+
+// startAwaitingSuccessor waits for a successor on a goroutine that ends with ctx, if this process holds the lock.
+func (u *upgrade) startAwaitingSuccessor(ctx context.Context) {
+	if u.lock != nil {
+		go u.awaitSuccessor(ctx)
+	}
 }
 
 // tryLock takes the lock on the state directory. The lock is nil if another process holds it.
@@ -160,9 +167,6 @@
 // awaitSuccessor waits for a successor, posts its link and listens to it. It is called with the lock held, and ends
 // with ctx.
 func (u *upgrade) awaitSuccessor(ctx context.Context) {
-	if u.lock == nil {
-		return
-	}
 	link, err := handover.AwaitSuccessor(ctx, u.log, u.stateDir)
 	if err != nil {
 		return
