--- a/internal/sendertest/client.go
+++ b/internal/sendertest/client.go
@@ -37,10 +37,14 @@
 	Close      bool // the connection ends with it
 }
 
+// client has a transport of its own: the end of any httptest.Server closes the idle connections of the default one,
+// also under a request that has just taken one.
+var client = &http.Client{Transport: &http.Transport{}}
+
 // Do makes a request and returns the answer and its body.
 func Do(t testing.TB, request *http.Request) (*Response, string) {
 	t.Helper()
-	response, err := http.DefaultClient.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
