--- a/internal/dispatch/endpointlist_test.go
+++ b/internal/dispatch/endpointlist_test.go
@@ -44,7 +44,7 @@
 	set := testSettings()
 	set.PollsEndpointList = true
 	b := New(set, 1)
-	asks := func(now time.Duration, e ...Event) (n int) {
+	watchRequests := func(now time.Duration, e ...Event) (n int) {
 		for _, a := range b.Step(now, e) {
 			if _, ok := a.(WatchEndpointList); ok {
 				n++
@@ -52,17 +52,18 @@
 		}
 		return n
 	}
-	if asks(0) != 1 || asks(time.Second) != 0 {
+	if watchRequests(0) != 1 || watchRequests(time.Second) != 0 {
 		t.Fatal("the list is watched once from the start")
 	}
-	if asks(2*time.Second, EndpointListUpdate{Failed: true}) != 0 || asks(2*time.Second+listRetryInterval) != 1 {
+	failed := 2 * time.Second
+	if watchRequests(failed, EndpointListUpdate{Failed: true}) != 0 || watchRequests(failed+listRetryInterval) != 1 {
 		t.Fatal("a failed watch is asked for again")
 	}
 }
 
 // A call to an endpoint may not be written yet when a drain or a retry-after becomes known: then it is aborted.
 func TestUnsentCallsAreAbortedOnADrainOrARetryAfter(t *testing.T) {
-	for name, news := range map[string]func(r *rig, answered Send) Event{
+	for name, newEvent := range map[string]func(r *rig, answered Send) Event{
 		"drains": func(*rig, Send) Event { return EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}} },
 		"gone": func(*rig, Send) Event {
 			return EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}}
@@ -80,7 +81,7 @@
 			t.Fatalf("%s: sent %+v", name, sends)
 		}
 		var got []AbortUnsent
-		for _, a := range r.dispatcher.Step(r.now, []Event{news(r, sends[0])}) {
+		for _, a := range r.dispatcher.Step(r.now, []Event{newEvent(r, sends[0])}) {
 			if w, ok := a.(AbortUnsent); ok {
 				got = append(got, w)
 			}
--- a/internal/endpoint/call_test.go
+++ b/internal/endpoint/call_test.go
@@ -135,15 +135,15 @@
 	p, at := testPool(), &Endpoint{address: e.Addr}
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-time.After(took); return nil }
 	callOnce(p, at, st.Timeout, "body")
-	if told := deadlineOf(e.Next(t)); told > st.Timeout-took {
-		t.Errorf("told %v", told)
+	if deadline := deadlineOf(e.Next(t)); deadline > st.Timeout-took {
+		t.Errorf("deadline %v", deadline)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Timeout)
 	defer cancel()
 	p.CloseIdle(at, 0)
 	p.callBatch(ctx, ctx, at, &batch{metrics: p.metrics}, []*Item{{ID: "a"}}, st.Timeout)
-	if told := deadlineOf(e.Next(t)); told > st.Timeout-took {
-		t.Errorf("told %v in a shared call", told)
+	if deadline := deadlineOf(e.Next(t)); deadline > st.Timeout-took {
+		t.Errorf("deadline %v in a shared call", deadline)
 	}
 }
 
@@ -208,10 +208,10 @@
 // given the call up. A status line of 200 in time is true, however long the rest takes.
 func TestLateResponseIsATimeout(t *testing.T) {
 	t.Parallel()
-	const told = 300 * time.Millisecond
+	const deadline = 300 * time.Millisecond
 	late := func(answer func(st.Call, net.Conn) bool) func(st.Call, net.Conn) bool {
 		return func(c st.Call, nc net.Conn) bool {
-			<-time.After(told + 50*time.Millisecond)
+			<-time.After(deadline + 50*time.Millisecond)
 			return answer(c, nc)
 		}
 	}
@@ -227,21 +227,21 @@
 			false,
 			dispatch.AttemptResult{Outcome: dispatch.TimedOut},
 		},
-		"told to wait": {
+		"retry after": {
 			late(st.Status(429, "X-RateLimit-Wait-Ms: 250")),
 			false,
 			dispatch.AttemptResult{Outcome: dispatch.TimedOut, RetryAfter: 250 * time.Millisecond},
 		},
 		"first line in time": {func(_ st.Call, nc net.Conn) bool {
 			_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\n")
-			<-time.After(told + 50*time.Millisecond)
+			<-time.After(deadline + 50*time.Millisecond)
 			_, _ = io.WriteString(nc, "Content-Length: 0\r\n\r\n")
 			return true
 		}, false, dispatch.AttemptResult{Outcome: dispatch.Served, Final: true}},
 		"shared": {late(st.Text(200, both)), true, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
 		"shared, end late": {func(_ st.Call, nc net.Conn) bool {
 			_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(both))+"\r\n\r\n"+both[:9])
-			<-time.After(told + 50*time.Millisecond)
+			<-time.After(deadline + 50*time.Millisecond)
 			_, _ = io.WriteString(nc, both[9:])
 			return true
 		}, true, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
@@ -254,9 +254,9 @@
 			got := []dispatch.AttemptResult{}
 			if c.shared {
 				items := []*Item{{ID: "a"}, {ID: "b"}}
-				got = p.callBatch(ctx, ctx, at, &batch{metrics: p.metrics}, items, told)
+				got = p.callBatch(ctx, ctx, at, &batch{metrics: p.metrics}, items, deadline)
 			} else {
-				got = append(got, p.callSingle(ctx, ctx, at, &Item{ID: "a"}, told))
+				got = append(got, p.callSingle(ctx, ctx, at, &Item{ID: "a"}, deadline))
 			}
 			for _, end := range got {
 				if end != c.want {
--- a/internal/endpoint/conn.go
+++ b/internal/endpoint/conn.go
@@ -22,7 +22,7 @@
 	maxResponse = MaxBody + 64<<10
 	// deliveredPrefix is how a response begins from which on the message is delivered, whatever becomes of the rest.
 	deliveredPrefix = "HTTP/1.1 200"
-	// responseTailTimeout bounds the rest of a response whose first line has told all that there is to know. The rest
+	// responseTailTimeout bounds the rest of a response whose status line has all that there is to know. The rest
 	// is of use only to the connection, and meanwhile the message's end is not recorded and its slot not free.
 	responseTailTimeout = 500 * time.Millisecond
 	readBufferSize      = 1024
@@ -105,7 +105,7 @@
 	return n, err
 }
 
-// limitTail bounds the time for the rest of a response that has already told that the message is delivered.
+// limitTail bounds the time for the rest of a response whose status line says that the message is delivered.
 func (c *conn) limitTail() {
 	tailBy := c.firstLineAt.Add(responseTailTimeout)
 	if c.single && c.saysDelivered() && (c.callDeadline.IsZero() || tailBy.Before(c.callDeadline)) {
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -75,10 +75,10 @@
 // watches either way.
 func forEachListMode(t *testing.T, test func(t *testing.T, edit func(*config.Config))) {
 	t.Parallel()
-	for name, asks := range map[string]bool{"on request": true, "pushed": false} {
+	for name, polled := range map[string]bool{"on request": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			test(t, func(c *config.Config) { c.Settings.PollsEndpointList = asks })
+			test(t, func(c *config.Config) { c.Settings.PollsEndpointList = polled })
 		})
 	}
 }
--- a/internal/sender/messageend.go
+++ b/internal/sender/messageend.go
@@ -43,9 +43,9 @@
 	return append(ended, end)
 }
 
-// announceEnd announces a message's end: in the response to its client, or by a notice if the client has been told
-// already that the message is accepted. That the message had no effect is promised only if its end is written: else
-// the next process, which may start at any moment, would send it.
+// announceEnd announces a message's end: in the response to its client, or by a notice if the client already knows
+// that the message is accepted. That the message had no effect is promised only if its end is written: else the next
+// process, which may start at any moment, would send it.
 func (s *Sender) announceEnd(end endedMessage, written bool) {
 	if end.outcome == journal.OutcomeReturned && !written {
 		s.metrics.CountReason(metrics.ReasonRejected, "not_written")
