--- a/internal/ingress/clientconn.go
+++ b/internal/ingress/clientconn.go
@@ -13,52 +13,56 @@
 )
 
 const (
-	// A client that has sent more than was read has so long, and so many bytes, to read its response.
+	// lingerTimeout and maxLingerBytes bound the time and the bytes for which Close reads on after a response, where
+	// the client has sent more than was read. A reset at that point could destroy the response before the client reads
+	// it.
 	lingerTimeout  = 200 * time.Millisecond
 	maxLingerBytes = 256 << 10
-	// finishTimeout is how long a request may still take to arrive that has begun as its connection is let go of.
+	// finishTimeout is how long a request that has begun when its connection is closed gracefully may still take to
+	// arrive.
 	finishTimeout = 800 * time.Millisecond
 
-	// releaseTimeout is when a peer is let go of whose first request is not complete, from when its connection was
-	// established. It is owed that within 3 s, and the rest is for the closing.
-	releaseTimeout = readTimeout
-	// minFirstReadTime is for reading what has arrived on a connection that was accepted later than that.
+	// firstRequestTimeout bounds the time from the establishment of a connection until its first request is complete;
+	// then the connection is closed. The peer has to be closed within 3 s, and the remainder is for the closing.
+	firstRequestTimeout = readTimeout
+	// minFirstReadTime is the minimum time for reading what has arrived on a connection that was accepted close to the
+	// end of firstRequestTimeout, or after it.
 	minFirstReadTime = 100 * time.Millisecond
 )
 
-// Why a client's connection is closed. The words are counted in the operators' figures.
+// The reasons for which a client's connection is closed. They are counted in the metrics.
 const (
-	ClosedLeaving = "leaving"       // the process ends
-	ClosedForRoom = "room"          // it was idle, and another needs its place
-	ClosedPartial = "room_half"     // it was in the middle of its first request, and another needs its place
-	ClosedOther   = "client_or_end" // by the client, a time limit, or behind a response that ends the connection
+	ClosedShutdown       = "leaving"       // the process stops
+	ClosedEvictedIdle    = "room"          // it was idle, and another connection needs its slot or descriptor
+	ClosedEvictedPartial = "room_half"     // its first request was incomplete, and another needs its slot or descriptor
+	ClosedOther          = "client_or_end" // by the client, a time limit, or after a response that ends the connection
 )
 
 // expired is a deadline that has passed: it interrupts reads at once.
 var expired = time.Unix(1, 0)
 
-// clientConn is a client's connection. Its flags are set by the goroutine that serves it, by the connection table,
-// and by whoever lets go of it.
+// clientConn is a client's connection. Its flags are set by the goroutine that serves it, by the connection table and
+// by the code that closes it.
 type clientConn struct {
 	net.Conn
 	openedAt       time.Time    // when it was established
-	releaseBy      time.Time    // by then its first request has to be complete; the zero time for no such limit
-	release        func()       // frees its place
-	cutsOff        *atomic.Bool // the listener's: nobody is waited for any more
+	firstRequestBy time.Time    // when its first request has to be complete; the zero time for no limit
+	releaseSlot    func()       // frees its slot in the listener
+	skipsLinger    *atomic.Bool // the listener's: Close does not wait for the client to read its response
 	onClose        func(*clientConn)
 	onRequestBegun func(*clientConn)
 
-	isDismissed  atomic.Bool // nothing more is read but the rest of a request that has begun
-	isCutOff     atomic.Bool // not even that
-	isHandled    atomic.Bool // its request has a handler
-	hasBegun     atomic.Bool // something of a request has been read since the last response
-	isUnanswered atomic.Bool // a request has been read to its end
-	hasAnswered  atomic.Bool // something has been written
-	finishBy     atomic.Pointer[time.Time]
-	reason       atomic.Pointer[string] // why it is let go of, nil if its client or net/http ends it
+	isClosingGracefully atomic.Bool // only the rest of a request that has begun is still read
+	isAborted           atomic.Bool // nothing is read any more
+	hasHandler          atomic.Bool // a handler has been called for its request
+	hasBegun            atomic.Bool // a part of a request has been read since the last response
+	isUnanswered        atomic.Bool // a request has been read completely, and its response not written yet
+	hasWritten          atomic.Bool // a response, or a part of one, has been written
+	finishBy            atomic.Pointer[time.Time]
+	reason              atomic.Pointer[string] // why it is closed; nil if its client or net/http closes it
 }
 
-// closeReason is the reason that is counted when the connection closes.
+// closeReason returns the reason that is counted when the connection closes.
 func (c *clientConn) closeReason() string {
 	if reason := c.reason.Load(); reason != nil {
 		return *reason
@@ -66,88 +70,89 @@
 	return ClosedOther
 }
 
-// dismiss ends the reading between requests. Unlike a close it costs nobody a response: a request of which something
-// has been read is read to its end, and answered, before the connection is closed.
-func (c *clientConn) dismiss(reason string) {
+// closeGracefully stops reading between requests, upon which net/http closes the connection. Unlike Close it loses no
+// response: a request that has been read in part is read to its end and answered first.
+func (c *clientConn) closeGracefully(reason string) {
 	c.reason.CompareAndSwap(nil, &reason)
 	finishBy := c.limitFirstRead(time.Now().Add(finishTimeout))
 	c.finishBy.CompareAndSwap(nil, &finishBy)
-	c.isDismissed.Store(true)
-	_ = c.SetReadDeadline(expired) // a connection that takes no deadline is closed already
+	c.isClosingGracefully.Store(true)
+	_ = c.SetReadDeadline(expired) // fails only if the connection is closed already
 }
 
-// cutOff ends the reading at once, also in the middle of a request.
-func (c *clientConn) cutOff(reason string) {
-	c.isCutOff.Store(true)
-	c.dismiss(reason)
+// abortRequest stops reading at once, also in the middle of a request.
+func (c *clientConn) abortRequest(reason string) {
+	c.isAborted.Store(true)
+	c.closeGracefully(reason)
 }
 
-// SetReadDeadline keeps a deadline that is set for the first request within the peer's time.
+// SetReadDeadline sets the deadline for reads. For the first request it is no later than firstRequestBy.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	return c.Conn.SetReadDeadline(c.limitFirstRead(deadline))
 }
 
-// limitFirstRead is the deadline, or the end of the peer's time if that is earlier and nothing has been answered yet.
-// The zero time, for none, is set where a request is complete.
+// limitFirstRead returns the deadline, or firstRequestBy if that is earlier and no response has been written yet. The
+// zero time, which stands for no deadline, is returned unchanged: it is set once a request is complete.
 func (c *clientConn) limitFirstRead(deadline time.Time) time.Time {
-	if c.hasAnswered.Load() || c.releaseBy.IsZero() || deadline.IsZero() || deadline.Before(c.releaseBy) {
+	if c.hasWritten.Load() || c.firstRequestBy.IsZero() || deadline.IsZero() || deadline.Before(c.firstRequestBy) {
 		return deadline
 	}
-	return c.releaseBy
+	return c.firstRequestBy
 }
 
-// Read obeys a dismissal also where net/http has set a new deadline since.
+// Read reads from the connection. A graceful close also takes effect where net/http has set a new deadline since.
 func (c *clientConn) Read(b []byte) (int, error) {
 	for {
-		if c.isDismissed.Load() && !c.continueRequest() {
+		if c.isClosingGracefully.Load() && !c.continueRequest() {
 			return 0, os.ErrDeadlineExceeded
 		}
 		n, err := c.Conn.Read(b)
 		if n > 0 && !c.hasBegun.Swap(true) && c.onRequestBegun != nil {
 			c.onRequestBegun(c)
 		}
-		// A dismissal may have ended this read in the middle of a request.
+		// The deadline that closeGracefully sets may have interrupted this read in the middle of a request.
 		isTimeout := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
-		if !isTimeout || !c.isDismissed.Load() || !c.continueRequest() {
+		if !isTimeout || !c.isClosingGracefully.Load() || !c.continueRequest() {
 			return n, err
 		}
 	}
 }
 
-// continueRequest reports whether a connection that was let go of is still read, as a request has begun on it, and sets
-// its deadline for that.
+// continueRequest reports whether a connection that is being closed gracefully is still read because a request has
+// begun on it. If so, it sets the deadline for the rest of that request.
 func (c *clientConn) continueRequest() bool {
 	finishBy := c.finishBy.Load()
-	if !c.hasBegun.Load() || c.isCutOff.Load() || finishBy == nil || !time.Now().Before(*finishBy) {
+	if !c.hasBegun.Load() || c.isAborted.Load() || finishBy == nil || !time.Now().Before(*finishBy) {
 		return false
 	}
 	return c.SetReadDeadline(*finishBy) == nil
 }
 
-// Write notes that a response is written.
+// Write writes to the connection and records that a response has begun.
 func (c *clientConn) Write(b []byte) (int, error) {
-	c.hasAnswered.Store(true)
+	c.hasWritten.Store(true)
 	if !c.isUnanswered.Swap(false) {
-		c.hasBegun.Store(false) // before the client can go on: what is read from now on is its next request
+		c.hasBegun.Store(false) // before the client can send again: what is read from now on is its next request
 	}
 	return c.Conn.Write(b)
 }
 
-// Close makes no reset of what lies unread, as that may destroy a response on its way: the client is told the end, and
-// what it still sends is dropped for a moment.
+// Close closes the connection. A close with unread bytes would send a reset, which may destroy a response on its way.
+// So Close first shuts down the sending side and then discards for a short time what the client still sends.
 func (c *clientConn) Close() error {
-	defer c.release()
+	defer c.releaseSlot()
 	if c.onClose != nil {
 		c.onClose(c)
 	}
-	if c.hasAnswered.Load() && !c.cutsOff.Load() && !netconn.IsQuiet(c.Conn) && c.CloseWrite() == nil {
-		_ = c.SetReadDeadline(time.Now().Add(lingerTimeout)) // without it the copy ends with the client
+	if c.hasWritten.Load() && !c.skipsLinger.Load() && !netconn.IsQuiet(c.Conn) && c.CloseWrite() == nil {
+		_ = c.SetReadDeadline(time.Now().Add(lingerTimeout)) // if it fails, the copy ends when the client closes
 		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 	}
 	return c.Conn.Close()
 }
 
-// CloseWrite lets net/http end its side first and wait a moment, where it answers before it has read everything.
+// CloseWrite shuts down the sending side. net/http calls it, and then waits a moment, where it answers before it has
+// read the whole request.
 func (c *clientConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
@@ -155,7 +160,7 @@
 	return errors.ErrUnsupported
 }
 
-// SyscallConn is for telling whether bytes wait unread.
+// SyscallConn returns the raw connection, through which netconn.IsQuiet checks for unread bytes.
 func (c *clientConn) SyscallConn() (syscall.RawConn, error) {
 	if conn, ok := c.Conn.(syscall.Conn); ok {
 		return conn.SyscallConn()
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	// EvictionGrace is how long a request may take to arrive before its connection makes room for others.
+	// EvictionGrace is how long a first request may take to arrive before its connection can be evicted.
 	EvictionGrace = 20 * time.Millisecond
-	// evictionCloseDelay is when the connection of such a request is closed if nothing else has closed it: longer
-	// than a process is paused, so that a request that was read meanwhile has its handler.
+	// evictionCloseDelay is how long after the eviction of such a connection it is closed, if nothing else has closed
+	// it: longer than a process is paused, so that the handler of a request that was read meanwhile has been called.
 	evictionCloseDelay = 500 * time.Millisecond
 
-	// Where descriptors are short, and not places, there need be no connection flood. So nobody makes room who may be a
-	// client that still waits for its answer, which it does for 0.4 s from its request on: a connection is open for
-	// minRestingAge, and a request has taken longer to arrive than a process is paused.
-	minRestingAge  = 500 * time.Millisecond
+	// If the process runs out of descriptors rather than slots, there is not necessarily a flood of connections. So no
+	// connection is evicted whose client may still wait for its response, which it does for 0.4 s from its request on:
+	// the connection must have been open for minEvictionAge, and a request must have taken longer to arrive
+	// (minPartialTime) than a process is paused.
+	minEvictionAge = 500 * time.Millisecond
 	minPartialTime = 200 * time.Millisecond
 )
 
-// connectionTable follows the clients' connections. When the last place is taken, the connection that has been
-// without a request for longest makes room, or if there is none the one that has been in the middle of its first
-// request for longest: peers that only hold their connection must not keep those out that have something to say.
+// connectionTable tracks the state of the clients' connections. When the last slot is taken, it evicts the connection
+// that has been without a request for longest, or, if all have one, the connection whose first request has been
+// incomplete for longest. Otherwise peers that only hold a connection open would keep out clients that have a request
+// to send.
 type connectionTable struct {
 	limit   int
-	drained chan struct{} // receives while draining whenever no request is open
+	drained chan struct{} // receives a value whenever no request is open while draining
 
 	mu                  sync.Mutex
 	open                int
-	idle                map[*clientConn]time.Time // without a request, since when
-	partial             map[*clientConn]time.Time // in the middle of a request, since when
-	served              map[*clientConn]bool      // have had a response: a further request may not be cut off
-	isEvictionScheduled bool                      // there was nobody to evict, and it is tried again soon
+	idle                map[*clientConn]time.Time // without a request, and the time since which
+	partial             map[*clientConn]time.Time // with an incomplete request, and the time since which
+	served              map[*clientConn]bool      // have had a response: their further requests are never aborted
+	isEvictionScheduled bool                      // no connection could be evicted, and a timer tries again
 	isDraining          bool
 }
 
@@ -50,20 +52,20 @@
 	}
 }
 
-// connectionKey is the key of a request's connection in its context.
+// connectionKey is the context key of the connection that a request arrived on.
 type connectionKey struct{}
 
 func withConnection(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// connectionOf is the connection of a request, nil if it is not one of the server's listener.
+// connectionOf returns the connection of a request, or nil if it did not come through the limitListener.
 func connectionOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(connectionKey{}).(*clientConn)
 	return c
 }
 
-// track follows a connection's state.
+// track records a change of a connection's state. It is the ConnState callback of net/http.
 func (t *connectionTable) track(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -79,13 +81,13 @@
 	case http.StateIdle:
 		t.served[c] = true
 		delete(t.partial, c)
-		if c.hasBegun.Load() { // a further request has arrived behind the one answered
+		if c.hasBegun.Load() { // a part of the next request was read together with the answered one
 			t.partial[c] = time.Now()
 		} else {
 			t.idle[c] = time.Now()
 		}
 		c.isUnanswered.Store(false)
-		c.isHandled.Store(false)
+		c.hasHandler.Store(false)
 	case http.StateActive:
 		delete(t.idle, c)
 		if _, hasBegun := t.partial[c]; !hasBegun {
@@ -100,8 +102,8 @@
 	t.reportDrained()
 }
 
-// requestBegun notes that a request has begun to arrive on a connection. net/http tells that only when it has its
-// complete head.
+// requestBegun records that a request has begun to arrive on a connection. net/http reports that (StateActive) only
+// when it has read the complete head.
 func (t *connectionTable) requestBegun(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,8 +113,8 @@
 	}
 }
 
-// requestRead marks the connection of a request that has been read to its end: from here on it is owed a response. c
-// may be nil.
+// requestRead records that the request on a connection has been read completely: from now on the client must get a
+// response. c may be nil.
 func (t *connectionTable) requestRead(c *clientConn) {
 	if c == nil {
 		return
@@ -124,32 +126,34 @@
 	delete(t.partial, c)
 }
 
-// drain lets go of the connections that rest after a response, and from now on reports whenever no request is open.
+// drain closes the connections that are idle after a response, gracefully, and from now on sends on drained whenever no
+// request is open.
 func (t *connectionTable) drain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.isDraining = true
 	for c := range t.idle {
 		if t.served[c] && netconn.IsQuiet(c) {
-			c.dismiss(ClosedLeaving)
+			c.closeGracefully(ClosedShutdown)
 		}
 	}
 	t.reportDrained()
 }
 
-// finish lets go of connections as the process ends, with isLate also of those that have just been accepted, and
-// returns how many are open. Whatever waits unread on an idle one is a request, and will be answered.
+// finish returns how many connections are open while the process stops. If isLate is set, it closes those without a
+// complete request, also the ones that have just been accepted. Unread bytes on an idle connection are a request, which
+// will be answered, so that connection is left open.
 func (t *connectionTable) finish(isLate bool) (open int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if isLate {
 		for c := range t.idle {
 			if netconn.IsQuiet(c) {
-				c.dismiss(ClosedLeaving)
+				c.closeGracefully(ClosedShutdown)
 			}
 		}
 		for c := range t.partial {
-			c.cutOff(ClosedLeaving)
+			c.abortRequest(ClosedShutdown)
 		}
 	}
 	return t.open
@@ -169,7 +173,7 @@
 	return t.open <= len(t.idle)
 }
 
-// reportDrained reports if no request is open while draining. The caller holds the lock.
+// reportDrained sends on drained if no request is open while draining. The caller holds the lock.
 func (t *connectionTable) reportDrained() {
 	if !t.isDraining || t.open > len(t.idle) {
 		return
@@ -180,13 +184,13 @@
 	}
 }
 
-// evict makes room for a connection if the last place is taken. The caller holds the lock.
+// evict evicts a connection if all slots are taken. The caller holds the lock.
 func (t *connectionTable) evict() {
 	if t.open < t.limit || t.evictIdle(0) || t.evictPartial(0, EvictionGrace) || t.isEvictionScheduled {
 		return
 	}
-	// All requests that are left have just begun. Nobody else is accepted until there is room, so nothing else would
-	// try again.
+	// All remaining requests have only just begun. No further connection is accepted until a slot is free, so no other
+	// event would cause another attempt.
 	t.isEvictionScheduled = true
 	time.AfterFunc(EvictionGrace, func() {
 		t.mu.Lock()
@@ -197,16 +201,18 @@
 	})
 }
 
-// makeRoom lets go of a connection so that its descriptor can be had for another one, if there is one that rests. The
-// time in the listener's queue counts: amid a flood peers make room as soon as they are accepted.
-func (t *connectionTable) makeRoom() bool {
+// evictForDescriptor evicts a connection so that another one can use its descriptor, and reports whether there was one
+// to evict. A connection's age includes its time in the listener's queue: during a flood peers can be evicted as soon
+// as they are accepted.
+func (t *connectionTable) evictForDescriptor() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.evictIdle(minRestingAge) || t.evictPartial(minRestingAge, minPartialTime)
+	return t.evictIdle(minEvictionAge) || t.evictPartial(minEvictionAge, minPartialTime)
 }
 
-// evictIdle lets go of the connection that has been idle for longest, of those that are open for a time. Where
-// something has arrived, that is a request, read or not. The caller holds the lock.
+// evictIdle evicts the connection that has been idle for longest, among those that have been open for minAge, and
+// reports whether there was one. A connection with unread bytes has a request, so it is not evicted. The caller holds
+// the lock.
 func (t *connectionTable) evictIdle(minAge time.Duration) bool {
 	openedBefore := time.Now().Add(-minAge)
 	for checked := map[*clientConn]bool{}; ; {
@@ -220,18 +226,19 @@
 		switch {
 		case oldest == nil:
 			return false
-		case netconn.IsQuiet(oldest): // nearly always the first one
+		case netconn.IsQuiet(oldest): // nearly always true for the first candidate
 			delete(t.idle, oldest)
-			oldest.dismiss(ClosedForRoom)
+			oldest.closeGracefully(ClosedEvictedIdle)
 			return true
 		}
 		checked[oldest] = true
 	}
 }
 
-// evictPartial lets go of the connection that has been in the middle of a first request for longest, if that is
-// minTime, of those that are open for a time. Its client is told so, and has a moment to read it, as the place is
-// needed. Should the rest have been read just now, that is answered as any other request. The caller holds the lock.
+// evictPartial evicts the connection whose first request has been incomplete for longest, if that is at least minTime,
+// among those that have been open for minAge, and reports whether there was one. Its client gets an error response and
+// a moment to read it, but no longer, because the slot is needed. If the rest of the request has been read just now, it
+// is answered like any other request. The caller holds the lock.
 func (t *connectionTable) evictPartial(minAge, minTime time.Duration) bool {
 	openedBefore := time.Now().Add(-minAge)
 	var oldest *clientConn
@@ -245,9 +252,9 @@
 		return false
 	}
 	delete(t.partial, oldest)
-	oldest.cutOff(ClosedPartial)
+	oldest.abortRequest(ClosedEvictedPartial)
 	time.AfterFunc(evictionCloseDelay, func() {
-		if !oldest.isUnanswered.Load() && !oldest.isHandled.Load() {
+		if !oldest.isUnanswered.Load() && !oldest.hasHandler.Load() {
 			_ = oldest.Close() // net/http may have closed it meanwhile
 		}
 	})
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -21,8 +21,8 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// newConnection is a connection as the table is told of it.
-func newConnection(t *testing.T) *clientConn {
+// newClientConn returns a connection as limitListener passes it to the connection table.
+func newClientConn(t *testing.T) *clientConn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,56 +38,57 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close(); _ = peer.Close() })
-	return &clientConn{Conn: c, release: func() {}, cutsOff: new(atomic.Bool)}
+	return &clientConn{Conn: c, releaseSlot: func() {}, skipsLinger: new(atomic.Bool)}
 }
 
-// isLetGo reports whether a connection is closed or will be, as nothing more is read from it.
-func (c *clientConn) isLetGo() bool {
+// isClosedOrClosing reports whether a connection is closed, or will be because nothing more is read from it.
+func (c *clientConn) isClosedOrClosing() bool {
 	_ = c.SetDeadline(time.Now().Add(-time.Second))
 	_, err := c.Write([]byte{0})
-	return c.isDismissed.Load() || !errors.Is(err, os.ErrDeadlineExceeded)
+	return c.isClosingGracefully.Load() || !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Connections without a request are evicted for new ones, the one that has been idle for longest first, and none whose
-// request is being answered.
+// Guards against evicting the wrong connection when all slots are taken: the one that has been idle for longest has to
+// be evicted, and never one whose request is being answered.
 func TestIdleConnectionsAreEvictedOldestFirst(t *testing.T) {
 	t.Parallel()
 	table := newConnectionTable(config.Limits{Sockets: 6}.MaxClientConnections())
 	conns := map[string]*clientConn{}
 	open := func(name string) {
-		conns[name] = newConnection(t)
+		conns[name] = newClientConn(t)
 		table.track(conns[name], http.StateNew)
 	}
 	open("busy")
 	table.track(conns["busy"], http.StateActive)
 	open("held")
-	if conns["held"].isLetGo() {
-		t.Error("let go though there is room")
+	if conns["held"].isClosedOrClosing() {
+		t.Error("closed although a slot is free")
 	}
 	open("new")
 	for name, want := range map[string]bool{"busy": false, "held": true, "new": false} {
-		if conns[name].isLetGo() != want {
-			t.Errorf("%s: let go %v", name, !want)
+		if conns[name].isClosedOrClosing() != want {
+			t.Errorf("%s: closed or closing: %v", name, !want)
 		}
 	}
 	table.track(conns["held"], http.StateClosed)
-	table.track(conns["busy"], http.StateIdle) // quiet for less long than the new one
+	table.track(conns["busy"], http.StateIdle) // idle for less long than the new one
 	open("newer")
 	for name, want := range map[string]bool{"busy": false, "new": true, "newer": false} {
-		if conns[name].isLetGo() != want {
-			t.Errorf("%s: let go %v", name, !want)
+		if conns[name].isClosedOrClosing() != want {
+			t.Errorf("%s: closed or closing: %v", name, !want)
 		}
 	}
 }
 
-// Where no connection is idle, one that stops in the middle of its first request is evicted; not one whose request has
-// been read completely, nor a client's further request, nor one that has only just begun.
+// Guards against evicting the wrong connection when no connection is idle: the one whose first request has been
+// incomplete for longest has to be evicted, and never one whose request has been read completely, one with a further
+// request of its client, or one whose request has only just begun.
 func TestIncompleteFirstRequestIsEvicted(t *testing.T) {
 	t.Parallel()
 	table := newConnectionTable(config.Limits{Sockets: 8}.MaxClientConnections())
 	conns := map[string]*clientConn{}
 	for _, name := range []string{"client", "whole", "half"} {
-		conns[name] = newConnection(t)
+		conns[name] = newClientConn(t)
 		table.track(conns[name], http.StateNew)
 		table.track(conns[name], http.StateActive)
 		if name == "client" {
@@ -96,51 +97,51 @@
 		}
 	}
 	table.requestRead(conns["whole"])
-	table.track(newConnection(t), http.StateNew)
-	if conns["half"].isLetGo() {
-		t.Error("a request that has just begun to come is cut off")
+	table.track(newClientConn(t), http.StateNew)
+	if conns["half"].isClosedOrClosing() {
+		t.Error("a request that has just begun to arrive is aborted")
 	}
-	for until := time.Now().Add(st.Timeout); !conns["half"].isLetGo(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(st.Timeout); !conns["half"].isClosedOrClosing(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("an incomplete request keeps its place")
+			t.Fatal("the connection of an incomplete request is not evicted")
 		}
 	}
 	for _, name := range []string{"client", "whole"} {
-		if conns[name].isLetGo() {
-			t.Errorf("%s: let go", name)
+		if conns[name].isClosedOrClosing() {
+			t.Errorf("%s: closed or closing", name)
 		}
 	}
 }
 
-// A request whose end is read while its connection is evicted gets its response, however long that takes: it may have
-// been accepted.
+// Guards against closing a connection without a response when the end of its request is read during its eviction. The
+// message may have been accepted, so it gets its response, however long that takes.
 func TestRequestCompletedDuringItsEvictionIsAnswered(t *testing.T) {
 	t.Parallel()
 	table := newConnectionTable(config.Limits{Sockets: 4}.MaxClientConnections())
-	half, other := newConnection(t), newConnection(t)
-	for _, g := range []*clientConn{half, other} {
-		table.track(g, http.StateNew)
-		table.track(g, http.StateActive)
+	half, other := newClientConn(t), newClientConn(t)
+	for _, c := range []*clientConn{half, other} {
+		table.track(c, http.StateNew)
+		table.track(c, http.StateActive)
 	}
 	closed := make(chan struct{})
-	other.release = sync.OnceFunc(func() { close(closed) })
-	table.track(newConnection(t), http.StateNew)
-	for until := time.Now().Add(st.Timeout); !half.isDismissed.Load(); {
+	other.releaseSlot = sync.OnceFunc(func() { close(closed) })
+	table.track(newClientConn(t), http.StateNew)
+	for until := time.Now().Add(st.Timeout); !half.isClosingGracefully.Load(); {
 		if time.Now().After(until) {
-			t.Fatal("an incomplete request keeps its place")
+			t.Fatal("the connection of an incomplete request is not evicted")
 		}
 	}
 	table.requestRead(half)
 	table.mu.Lock()
 	table.evictPartial(0, EvictionGrace)
 	table.mu.Unlock()
-	st.Receive(t, closed) // the next one is evicted, later than this one would have been closed
+	st.Receive(t, closed) // the other one is evicted later, so half would have been closed by now
 	if _, err := half.Write([]byte("HTTP/1.1 202 Accepted\r\n\r\n")); err != nil {
-		t.Errorf("its answer: %v", err)
+		t.Errorf("writing its response: %v", err)
 	}
 }
 
-// newTestServer is a server that accepts every message until it is closed.
+// newTestServer returns a server that accepts every message until it is closed.
 func newTestServer(t *testing.T) *Server {
 	t.Helper()
 	raw, err := json.Marshal(st.Config(st.NewAgent(t), t.TempDir()))
@@ -163,8 +164,8 @@
 	})
 }
 
-// A request that has been read completely is submitted also where reading on its connection has ended meanwhile, as
-// in an eviction: net/http ends the request's context then.
+// Guards against losing a complete request whose context has ended: net/http ends it when reading on the connection
+// ends, as in an eviction, and the message still has to be submitted.
 func TestCompleteRequestIsSubmittedAfterItsContextEnds(t *testing.T) {
 	t.Parallel()
 	s := newTestServer(t)
@@ -175,7 +176,7 @@
 	r.Header.Set("Content-Length", "4")
 	s.handleMessage(w, r.WithContext(ended))
 	if w.Code != http.StatusAccepted {
-		t.Errorf("answered %d", w.Code)
+		t.Errorf("response status %d", w.Code)
 	}
 	s.Close()
 	w = httptest.NewRecorder()
@@ -183,17 +184,18 @@
 	r.Header.Set("Content-Length", "4")
 	s.handleMessage(w, r)
 	if w.Code != http.StatusServiceUnavailable {
-		t.Errorf("answered %d after the end", w.Code)
+		t.Errorf("response status %d after Close", w.Code)
 	}
 }
 
+// Guards against a close of a connection with an unanswered request that the invariant check does not count.
 func TestConnectionClosedWithAnUnansweredRequestIsCounted(t *testing.T) {
 	t.Parallel()
 	registry := metrics.New(nil)
 	checker := invariant.NewChecker(slog.New(slog.DiscardHandler), registry)
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	c := &clientConn{Conn: ours, release: func() {}, onClose: func(c *clientConn) {
+	local, remote := net.Pipe()
+	defer remote.Close()
+	c := &clientConn{Conn: local, releaseSlot: func() {}, onClose: func(c *clientConn) {
 		checker.CheckClose(c.closeReason(), c.isUnanswered.Load())
 	}}
 	c.isUnanswered.Store(true)
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -11,62 +11,63 @@
 	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
-// The pauses before accept is tried again double. They are short at first, as whoever waits in the queue is owed an
-// answer.
+// The pause before the next attempt to accept doubles with each failure. It is short at first because the clients in
+// the queue wait for their responses.
 const (
 	minAcceptPause = 500 * time.Microsecond
 	maxAcceptPause = 100 * time.Millisecond
-	// maxLostInRow is how many connections in a row may turn out to be lost before accept pauses.
+	// maxLostInRow is how many connections in a row may turn out to be lost before the next attempt is paused.
 	maxLostInRow = 16
-	// roomTimeout bounds the wait for a connection to close that makes room for the next one.
-	roomTimeout = 20 * time.Millisecond
+	// evictionTimeout bounds the wait until an evicted connection is closed and its descriptor free.
+	evictionTimeout = 20 * time.Millisecond
 )
 
-// limitListener is the clients' listener. It accepts so many connections at once; further ones wait in its queue.
-// What waits there when a listener is closed is reset, with a response or without, so before its end it accepts all
-// that have arrived.
+// limitListener is the clients' listener. It limits how many connections are open at once; further ones wait in its
+// queue. The kernel resets the connections that are still in the queue when a listener is closed, so the limitListener
+// accepts all that have arrived before it closes.
 //
-// A peer is owed an error or a close within 3 s of its connection, and the time in the queue counts. So accept does not
-// wait for a descriptor that others may keep for long: it gives up a reserved one, or lets go of a connection that
-// rests. What is left of the peer's time is what it has to send its request (clientConn.releaseBy).
+// A peer must get an error or a close within 3 s of its connection, and its time in the queue counts. So accept does
+// not wait for a descriptor that others may keep for long: it releases a reserved one, or evicts a connection. The
+// remainder of the peer's time is for sending its request (clientConn.firstRequestBy).
 //
-// netutil.LimitListener does the counting as well, but its connections hide what tells whether bytes wait unread.
+// netutil.LimitListener limits the number in the same way, but its connections do not expose the raw connection, which
+// is needed to check for unread bytes.
 type limitListener struct {
 	net.Listener
-	places     chan struct{}
-	closed     chan struct{}
-	emptied    chan struct{} // closed when the queue has been emptied, and with it the listener
-	close      func() error
-	emptyQueue func()        // accepts what waits in the queue, and closes the listener
-	cutsOff    atomic.Bool   // connections are closed at once
-	freed      chan struct{} // receives when a connection has been closed
-
-	// The fields of the goroutine that accepts.
+	slots        chan struct{}
+	closed       chan struct{}
+	queueEmptied chan struct{} // closed when the queue has been emptied and the listener closed
+	close        func() error
+	emptyQueue   func()        // makes Accept accept what is in the queue, and close the listener then
+	skipsLinger  atomic.Bool   // connections are closed without waiting for their clients
+	freed        chan struct{} // receives a value when a connection has been closed
+
+	// These fields belong to the goroutine that accepts.
 	reserve      descriptorReserve
-	failingSince time.Time // accept fails; the zero time if it works
+	failingSince time.Time // since when accept fails; the zero time if it succeeds
 
 	// The callbacks may be nil.
-	onClose        func(*clientConn)  // a connection is about to be closed
-	onRequestBegun func(*clientConn)  // the first bytes of a request have been read
-	onAcceptError  func(error)        // accept has failed and is tried again
-	onAccepted     func(acceptReport) // a connection has been accepted
-	makeRoom       func() bool        // lets go of a connection that rests, if there is one
+	onClose            func(*clientConn)  // a connection is about to be closed
+	onRequestBegun     func(*clientConn)  // the first bytes of a request have been read
+	onAcceptError      func(error)        // accept has failed and is tried again
+	onAccepted         func(acceptReport) // a connection has been accepted
+	evictForDescriptor func() bool        // evicts a connection; false if none can be evicted
 }
 
-// acceptReport is what was in the way of a connection that has been accepted.
+// acceptReport holds how long a connection was delayed before it was accepted.
 type acceptReport struct {
 	queued    time.Duration // in the listener's queue
-	failedFor time.Duration // accept failed for so long just before; zero if it did not
+	failedFor time.Duration // how long accept had failed just before; zero if it had not
 }
 
 func newLimitListener(l net.Listener, limit int) *limitListener {
 	limited := &limitListener{
-		Listener: l,
-		places:   make(chan struct{}, limit),
-		closed:   make(chan struct{}),
-		emptied:  make(chan struct{}),
-		freed:    make(chan struct{}, 1),
-		makeRoom: func() bool { return false },
+		Listener:           l,
+		slots:              make(chan struct{}, limit),
+		closed:             make(chan struct{}),
+		queueEmptied:       make(chan struct{}),
+		freed:              make(chan struct{}, 1),
+		evictForDescriptor: func() bool { return false },
 	}
 	limited.close = sync.OnceValue(func() error {
 		close(limited.closed)
@@ -84,30 +85,30 @@
 // Close closes the listener; further calls have no effect.
 func (l *limitListener) Close() error { return l.close() }
 
-// Accept accepts the next client. Its one timeout is that of the emptied queue.
+// Accept accepts the next client. A timeout occurs only once emptyQueue has set a deadline: then the queue is empty.
 func (l *limitListener) Accept() (net.Conn, error) {
 	select {
-	case l.places <- struct{}{}:
+	case l.slots <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
-	l.reserve.hold()
+	l.reserve.ensureOpen()
 	conn, err := l.acceptRetrying()
 	if err == nil {
-		return l.newConnection(conn), nil
+		return l.newClientConn(conn), nil
 	}
-	<-l.places
-	l.reserve.giveUp()
+	<-l.slots
+	l.reserve.release()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		_ = l.close() // the queue is empty, which is what counts
-		close(l.emptied)
+		_ = l.close() // the queue is empty, so no client is affected if it fails
+		close(l.queueEmptied)
 		return nil, net.ErrClosed
 	}
 	return nil, err
 }
 
-// newConnection is the client's connection on one that has been accepted.
-func (l *limitListener) newConnection(conn net.Conn) *clientConn {
+// newClientConn returns the clientConn for an accepted connection.
+func (l *limitListener) newClientConn(conn net.Conn) *clientConn {
 	now, queued := time.Now(), netconn.Age(conn)
 	if l.onAccepted != nil {
 		report := acceptReport{queued: queued}
@@ -121,15 +122,15 @@
 	return &clientConn{
 		Conn:           conn,
 		openedAt:       openedAt,
-		releaseBy:      latest(openedAt.Add(releaseTimeout), now.Add(minFirstReadTime)),
-		cutsOff:        &l.cutsOff,
+		firstRequestBy: latest(openedAt.Add(firstRequestTimeout), now.Add(minFirstReadTime)),
+		skipsLinger:    &l.skipsLinger,
 		onClose:        l.onClose,
 		onRequestBegun: l.onRequestBegun,
-		release:        sync.OnceFunc(l.releasePlace),
+		releaseSlot:    sync.OnceFunc(l.freeSlot),
 	}
 }
 
-// latest is the later one of two times.
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -137,16 +138,17 @@
 	return b
 }
 
-// releasePlace frees the place of a connection that has been closed.
-func (l *limitListener) releasePlace() {
-	<-l.places
+// freeSlot frees the slot of a connection that has been closed.
+func (l *limitListener) freeSlot() {
+	<-l.slots
 	select {
 	case l.freed <- struct{}{}:
-	default: // one signal waits already
+	default: // a signal is pending already
 	}
 }
 
-// acceptRetrying waits for the next connection, whatever fails meanwhile.
+// acceptRetrying waits for the next connection and retries after errors. It fails only if the listener is broken or
+// closed.
 func (l *limitListener) acceptRetrying() (net.Conn, error) {
 	pause := minAcceptPause
 	for lost := 0; ; {
@@ -154,17 +156,17 @@
 		if err == nil || netconn.IsListenerBroken(err) {
 			return conn, err
 		}
-		l.noteFailure(err)
+		l.recordFailure(err)
 		if netconn.IsConnectionLost(err) && lost < maxLostInRow {
 			lost++
 			continue
 		}
 		if netconn.IsOutOfDescriptors(err) {
-			if l.reserve.giveUp() {
+			if l.reserve.release() {
 				continue
 			}
-			if l.makeRoom() {
-				pause = roomTimeout
+			if l.evictForDescriptor() {
+				pause = evictionTimeout
 			}
 		}
 		if !l.awaitRetry(pause) {
@@ -174,8 +176,8 @@
 	}
 }
 
-// noteFailure notes that accept has failed.
-func (l *limitListener) noteFailure(err error) {
+// recordFailure records that accept has failed.
+func (l *limitListener) recordFailure(err error) {
 	if l.failingSince.IsZero() {
 		l.failingSince = time.Now()
 	}
@@ -184,7 +186,7 @@
 	}
 }
 
-// awaitRetry waits until accept is worth another try: a connection has been closed, or the pause is over. It reports
+// awaitRetry waits until accept can be tried again: when a connection has been closed or the pause is over. It returns
 // false if the listener has been closed.
 func (l *limitListener) awaitRetry(pause time.Duration) bool {
 	timer := time.NewTimer(pause)
--- a/internal/ingress/listener_test.go
+++ b/internal/ingress/listener_test.go
@@ -14,7 +14,7 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// everySecondFails is a listener with a long queue, of which every second accept fails.
+// everySecondFails is a listener with an unlimited queue whose Accept fails every second time.
 type everySecondFails struct {
 	net.Listener
 	calls atomic.Uint32
@@ -25,12 +25,12 @@
 	if l.calls.Add(1)%2 == 1 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.errno)}
 	}
-	ours, _ := net.Pipe()
-	return ours, nil
+	local, _ := net.Pipe()
+	return local, nil
 }
 
-// A full queue is emptied also while accept fails for a moment: whoever waits there is owed an error or a close within
-// 3 s of having connected, and a request its response within 0.4 s.
+// Guards against connections that stay in the queue because accept fails for a moment and pauses too long: a peer there
+// must get an error or a close within 3 s of its connection, and a request its response within 0.4 s.
 func TestQueueIsEmptiedWhileAcceptFails(t *testing.T) {
 	t.Parallel()
 	const waiting, within = 300, time.Second
@@ -39,90 +39,91 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			d := newLimitListener(&everySecondFails{errno: errno}, waiting)
+			l := newLimitListener(&everySecondFails{errno: errno}, waiting)
 			began := time.Now()
 			for range waiting {
-				if _, err := d.Accept(); err != nil {
+				if _, err := l.Accept(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if took := time.Since(began); took > within {
-				t.Errorf("%d connections are accepted within %v", waiting, took)
+				t.Errorf("accepting %d connections took %v", waiting, took)
 			}
 		})
 	}
 }
 
-// pipeEnds is a client's connection, as the server has it, and the client's end.
-func pipeEnds(t *testing.T) (*clientConn, net.Conn) {
+// connectionPair returns both ends of a client's connection: the server's and the client's.
+func connectionPair(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	theirs, err := net.Dial("tcp", l.Addr().String())
+	remote, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours, err := l.Accept()
+	local, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = theirs.Close(); _ = ours.Close() })
-	return &clientConn{Conn: ours, cutsOff: new(atomic.Bool), release: func() {}}, theirs
+	t.Cleanup(func() { _ = remote.Close(); _ = local.Close() })
+	return &clientConn{Conn: local, skipsLinger: new(atomic.Bool), releaseSlot: func() {}}, remote
 }
 
-// A connection that is dismissed just as a request begins to arrive is read until that is complete.
-func TestDismissedConnectionReadsABegunRequestToItsEnd(t *testing.T) {
+// Guards against a request that is cut short because its connection is closed gracefully just as the request begins to
+// arrive: it has to be read to its end.
+func TestGracefulCloseReadsABegunRequestToItsEnd(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		before, after bool // parts of the request that are read before the connection is let go of
-		want          string
+		partRead, readBlocked bool // a part has been read, or a read is blocked, when the graceful close begins
+		want                  string
 	}{
-		"nothing has come":  {},
-		"a part has come":   {before: true, want: "first second"},
-		"a reader is at it": {before: true, after: true, want: "first second"},
+		"nothing has arrived":  {},
+		"a part has been read": {partRead: true, want: "first second"},
+		"a read is blocked":    {partRead: true, readBlocked: true, want: "first second"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g, client := pipeEnds(t)
+			conn, client := connectionPair(t)
 			got, parts := "", make(chan string, 10)
 			read := func() {
 				b := make([]byte, 100)
-				n, _ := g.Read(b)
+				n, _ := conn.Read(b)
 				parts <- string(b[:n])
 			}
-			if c.before {
+			if c.partRead {
 				_, _ = io.WriteString(client, "first ")
 				read()
 				got += <-parts
 			}
-			if c.after {
+			if c.readBlocked {
 				go read()
 				time.Sleep(20 * time.Millisecond)
 			}
-			g.dismiss(ClosedLeaving)
+			conn.closeGracefully(ClosedShutdown)
 			time.Sleep(20 * time.Millisecond)
 			_, _ = io.WriteString(client, "second")
-			if !c.after {
+			if !c.readBlocked {
 				go read()
 			}
 			if got += st.Receive(t, parts); got != c.want {
-				t.Errorf("%q is read, want %q", got, c.want)
+				t.Errorf("read %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// outOfDescriptors is a listener of a process that has so many descriptors for connections, those that are open and its
-// reserve included. accept fails once they are taken.
-type outOfDescriptors struct {
+// descriptorLimitedListener is a listener of a process with a limited number of descriptors for connections. Open
+// connections and the reserve take one each, and accept fails while none is free.
+type descriptorLimitedListener struct {
 	net.Listener
 	free atomic.Int32
 }
 
-// countedConn gives its descriptor back when it is closed.
+// countedConn frees its descriptor when it is closed.
 type countedConn struct {
 	*net.TCPConn
 	close func()
@@ -133,7 +134,7 @@
 	return c.TCPConn.Close()
 }
 
-func (l *outOfDescriptors) Accept() (net.Conn, error) {
+func (l *descriptorLimitedListener) Accept() (net.Conn, error) {
 	if l.free.Add(-1) < 0 {
 		l.free.Add(1)
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -161,19 +162,19 @@
 	})
 }
 
-// Peers of a flood are let go of in time also while the process has hardly a descriptor for them: each makes room for
-// the next. accept used to wait until somebody else closed one, and the peers' 3 s went by in the queue.
-func TestPeersMakeRoomWhileDescriptorsAreExhausted(t *testing.T) {
+// Guards against a flood of peers that stay in the queue beyond their 3 s while the process has almost no descriptors.
+// It came about when accept waited until somebody else closed a connection; now each peer is evicted for the next one.
+func TestPeersAreEvictedWhileDescriptorsAreExhausted(t *testing.T) {
 	t.Parallel()
-	const peers, descriptors, releaseWithin = 60, 2, 3 * time.Second
+	const peers, descriptors, closedWithin = 60, 2, 3 * time.Second
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &outOfDescriptors{Listener: inner}
+	l := &descriptorLimitedListener{Listener: inner}
 	l.free.Store(descriptors)
 	serveOn(t, l)
-	releases := make(chan time.Duration, peers)
+	closeTimes := make(chan time.Duration, peers)
 	for n := range peers {
 		conn, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
@@ -186,20 +187,21 @@
 		began := time.Now()
 		go func() { // ends with the connection
 			_, _ = conn.Read(make([]byte, 1))
-			releases <- time.Since(began)
+			closeTimes <- time.Since(began)
 		}()
 	}
 	for range peers {
-		if after := st.Receive(t, releases); after > releaseWithin {
-			t.Errorf("a peer is let go of after %v", after)
+		if after := st.Receive(t, closeTimes); after > closedWithin {
+			t.Errorf("a peer's connection is closed after %v", after)
 		}
 	}
 }
 
-// A peer's time counts from when it connected: one that was accepted late is let go of as early as others.
-func TestAPeersTimeCountsFromItsConnection(t *testing.T) {
+// Guards against a time limit that begins only when the connection is accepted: it counts from its establishment, so a
+// peer that was accepted late is closed as early as others.
+func TestFirstRequestTimeoutCountsFromTheConnection(t *testing.T) {
 	t.Parallel()
-	const queued, releaseWithin = 1200 * time.Millisecond, 3 * time.Second
+	const queued, closedWithin = 1200 * time.Millisecond, 3 * time.Second
 	for name, text := range map[string]string{
 		"silent":    "",
 		"half head": "POST /api HTTP/1.1\r\nX-Request-",
@@ -224,10 +226,10 @@
 			_ = conn.SetReadDeadline(time.Now().Add(st.Timeout))
 			_, err = conn.Read(make([]byte, 1))
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatal("it is not let go of")
+				t.Fatal("the connection is not closed")
 			}
-			if after := time.Since(began); after > releaseWithin {
-				t.Errorf("it is let go of after %v", after)
+			if after := time.Since(began); after > closedWithin {
+				t.Errorf("the connection is closed after %v", after)
 			}
 		})
 	}
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -14,7 +14,7 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// MaxBody bounds the body of a request (protocol).
+// MaxBody is the maximum size of the body of a request, in bytes (protocol).
 const MaxBody = 64 << 10
 
 const (
@@ -33,17 +33,17 @@
 	destinationField = "dest="
 )
 
-// Submission is a message that a client hands in, on its way to the event loop.
+// Submission is a message from a client on its way to the event loop.
 type Submission struct {
 	journal.Record
-	ClassIndex  int           // in the settings
-	TenantIndex int           // in the settings, -1 for none
+	ClassIndex  int           // the index of the class in the settings
+	TenantIndex int           // the index of the tenant in the settings, -1 for none
 	Responses   chan Response // buffered: the event loop never waits for a client
 }
 
-// requestError is why a request is not sound.
+// requestError is the reason why a request is invalid.
 type requestError struct {
-	status int // of the response
+	status int // the status of the response
 	text   string
 }
 
@@ -53,9 +53,9 @@
 	return &requestError{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
 
-// checkFraming rejects a request whose end can be read in two ways. Clients state every length; where a transfer
-// coding stands beside it net/http drops the length unseen, and what one reading takes for the body the other takes
-// for the next request. HTTP/1.0 has the same doubt, as the coding is what is dropped there.
+// checkFraming rejects a request whose end is ambiguous. Clients state every length. Where a request has both a
+// transfer coding and a length, net/http silently drops the length; what one side reads as the body, the other then
+// reads as the next request. HTTP/1.0 has the same ambiguity, as there net/http drops the transfer coding.
 func checkFraming(r *http.Request) error {
 	if !r.ProtoAtLeast(1, 1) {
 		return &requestError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is spoken here"}
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// parse reads a request that arrived at a time. It fails with a *requestError.
+// parse parses a request that arrived at arrivedAt. Its errors are of type *requestError.
 func parse(w http.ResponseWriter, r *http.Request, c *config.Config, arrivedAt time.Duration) (*Submission, error) {
 	s := &Submission{Responses: make(chan Response, 1), TenantIndex: -1}
-	if err := s.readNames(r); err != nil {
+	if err := s.readIdentifiers(r); err != nil {
 		return nil, err
 	}
 	if r.Header.Get("Content-Length") == "" {
@@ -81,7 +81,7 @@
 	if s.ID == "" {
 		return nil, badRequest("%s is missing", headerMessageID)
 	}
-	if err := s.resolveNames(c); err != nil {
+	if err := s.resolveClassAndTenant(c); err != nil {
 		return nil, err
 	}
 	deadline := r.Header.Get(headerDeadline)
@@ -97,8 +97,9 @@
 	return s, err
 }
 
-// readNames reads the headers that name something: they go into records and calls as they are.
-func (s *Submission) readNames(r *http.Request) error {
+// readIdentifiers reads the headers that hold identifiers. They are copied unchanged into journal records and calls, so
+// their length and characters are checked here.
+func (s *Submission) readIdentifiers(r *http.Request) error {
 	for header, field := range map[string]*string{
 		headerMessageID: &s.ID,
 		headerClass:     &s.Class,
@@ -119,8 +120,8 @@
 	return nil
 }
 
-// resolveNames finds class and tenant in the settings.
-func (s *Submission) resolveNames(c *config.Config) error {
+// resolveClassAndTenant looks up the class and the tenant in the settings.
+func (s *Submission) resolveClassAndTenant(c *config.Config) error {
 	if s.ClassIndex = config.IndexOf(c.Classes, s.Class, -1); s.ClassIndex < 0 {
 		return badRequest("%s %q is not among the settings", headerClass, s.Class)
 	}
--- a/internal/ingress/reserve.go
+++ b/internal/ingress/reserve.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// reserveRetryInterval is how long after it was given up a reserved descriptor is opened again at the earliest: before
-// that, others may need it more.
+// reserveRetryInterval is the minimum time after its release before a reserved descriptor is opened again: until then,
+// others may need the descriptor more.
 const reserveRetryInterval = time.Second
 
-// descriptorReserve keeps one descriptor open that accept can have where the process has no other left. It belongs to
-// the goroutine that accepts.
+// descriptorReserve keeps one descriptor open that it can release for accept when the process has no other left. It
+// belongs to the goroutine that accepts.
 type descriptorReserve struct {
-	file      *os.File // nil for none
-	givenUpAt time.Time
+	file       *os.File // nil for none
+	releasedAt time.Time
 }
 
-// hold opens the descriptor, unless it is open or was given up a moment ago. Where that fails it is tried again with
-// the next connection.
-func (r *descriptorReserve) hold() {
-	if r.file != nil || time.Since(r.givenUpAt) < reserveRetryInterval {
+// ensureOpen opens the descriptor, unless it is open or was released less than reserveRetryInterval ago. If that fails,
+// it is tried again with the next connection.
+func (r *descriptorReserve) ensureOpen() {
+	if r.file != nil || time.Since(r.releasedAt) < reserveRetryInterval {
 		return
 	}
 	if file, err := os.Open(os.DevNull); err == nil {
@@ -27,12 +27,12 @@
 	}
 }
 
-// giveUp closes the descriptor. It reports whether there was one.
-func (r *descriptorReserve) giveUp() bool {
+// release closes the descriptor and reports whether it was open.
+func (r *descriptorReserve) release() bool {
 	if r.file == nil {
 		return false
 	}
 	_ = r.file.Close() // nothing was written
-	r.file, r.givenUpAt = nil, time.Now()
+	r.file, r.releasedAt = nil, time.Now()
 	return true
 }
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// defaultRetryAfter is the Retry-After of a rejection where the settings name none.
+// defaultRetryAfter is the Retry-After of a rejection if the settings give none.
 const defaultRetryAfter = time.Second
 
-// Response is the final answer to a client's request.
+// Response is the final response to a client's request.
 type Response struct {
 	Status     int
-	RetryAfter time.Duration // of a rejection, 0 for the default
+	RetryAfter time.Duration // for a rejection; 0 for the default
 	Text       string
 }
 
-// write sends the response. What fails here the client takes for no answer.
+// write writes the response. Errors are ignored: a client that does not get the whole response treats its request as
+// unanswered.
 func (r Response) write(w http.ResponseWriter) {
 	if r.Status == http.StatusServiceUnavailable {
 		retryAfter := r.RetryAfter
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -18,34 +18,35 @@
 )
 
 const (
-	// HeaderTimeout bounds the head of a request. A peer that says nothing or stops half-way is owed an error or a
-	// close within 3 s of its connection, and whoever has no request open may be closed after 2 s: so the limits
-	// below.
+	// HeaderTimeout bounds the time for the head of a request. A peer that sends nothing or stops in the middle of its
+	// request must get an error or a close within 3 s of its connection, and a connection without an open request may
+	// be closed after 2 s. HeaderTimeout, readTimeout and idleTimeout follow from that.
 	HeaderTimeout = 2 * time.Second
 	readTimeout   = 2500 * time.Millisecond // for a complete request
 	idleTimeout   = 2200 * time.Millisecond
-	writeTimeout  = 5 * time.Second // for a response, to a peer that may not read
+	writeTimeout  = 5 * time.Second // for a response; bounds the wait for a peer that does not read
 
-	// acceptFailureWindow is how far back a failed accept counts: while accept fails it is tried more often than this.
+	// acceptFailureWindow is how long after a failed accept IsAcceptFailing returns true. It is longer than the longest
+	// pause between two attempts, so that the state does not change between them.
 	acceptFailureWindow = 5 * maxAcceptPause
-	// longQueueTime in the listener's queue is logged: it is a good part of what a peer has to send its request.
+	// longQueueTime is the time in the listener's queue from which on it is logged: it is a large part of the time that
+	// a peer has to send its request.
 	longQueueTime = 500 * time.Millisecond
 )
 
 const (
-	// QueueTimeout bounds, at the end, the time in which the connections are accepted that wait in the listener's
-	// queue.
+	// QueueTimeout bounds the time that Finish spends on accepting the connections in the listener's queue.
 	QueueTimeout = 50 * time.Millisecond
-	// ResponseTimeout bounds, at the end, the time in which the requests are answered that have been read.
+	// ResponseTimeout bounds the time in which Finish waits until all requests that have been read are answered.
 	ResponseTimeout = 200 * time.Millisecond
-	// finishInterval is how often it is checked whether requests are left.
+	// finishInterval is how often Finish checks whether requests are open.
 	finishInterval = 10 * time.Millisecond
 )
 
-// SubmitFunc hands a submission to the event loop. It reports false if that has ended.
+// SubmitFunc hands a submission to the event loop. It returns false if the event loop has ended.
 type SubmitFunc func(context.Context, Submission) bool
 
-// Options are what a server needs to know.
+// Options holds the configuration and the dependencies of a Server.
 type Options struct {
 	Config     *config.Config
 	Clock      *clock.Clock
@@ -57,17 +58,17 @@
 
 // Server accepts messages from clients. It is safe for concurrent use.
 type Server struct {
-	config     atomic.Pointer[config.Config]
-	log        *slog.Logger
-	clock      *clock.Clock
-	invariants *invariant.Checker
-	metrics    *metrics.Registry
-	submit     SubmitFunc
-	http       *http.Server
-	isReady    atomic.Bool
-	isClosing  atomic.Bool     // responses say that the connection ends
-	lifetime   context.Context // ends with Close
-	endLife    context.CancelFunc
+	config       atomic.Pointer[config.Config]
+	log          *slog.Logger
+	clock        *clock.Clock
+	invariants   *invariant.Checker
+	metrics      *metrics.Registry
+	submit       SubmitFunc
+	http         *http.Server
+	isReady      atomic.Bool
+	isClosing    atomic.Bool     // responses carry "Connection: close"
+	submitCtx    context.Context // the context of submissions; Close cancels it
+	cancelSubmit context.CancelFunc
 
 	acceptFailedAt atomic.Pointer[time.Time] // nil for never
 
@@ -76,7 +77,7 @@
 	listener    *limitListener
 }
 
-// New makes a server without a listener.
+// New returns a server without a listener.
 func New(o Options) *Server {
 	s := &Server{
 		log:         o.Log,
@@ -92,7 +93,7 @@
 	if s.invariants == nil {
 		s.invariants = invariant.NewChecker(slog.New(slog.DiscardHandler), s.metrics)
 	}
-	s.lifetime, s.endLife = context.WithCancel(context.Background())
+	s.submitCtx, s.cancelSubmit = context.WithCancel(context.Background())
 	s.config.Store(o.Config)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api", s.handleMessage)
@@ -112,13 +113,13 @@
 	return s
 }
 
-// Config is the configuration that requests are read by.
+// Config returns the configuration that requests are checked against.
 func (s *Server) Config() *config.Config { return s.config.Load() }
 
-// SetConfig changes the configuration that requests are read by.
+// SetConfig replaces the configuration that requests are checked against.
 func (s *Server) SetConfig(c *config.Config) { s.config.Store(c) }
 
-// MaxConnections is how many connections of clients there may be at once.
+// MaxConnections returns how many client connections may be open at once.
 func (s *Server) MaxConnections() int { return s.connections.limit }
 
 // SetReady makes the readiness check succeed, unless the server is closing.
@@ -127,25 +128,26 @@
 // IsReady reports whether SetReady has been called.
 func (s *Server) IsReady() bool { return s.isReady.Load() }
 
-// SetClosing says whether each response ends its connection, and the readiness check fails.
+// SetClosing sets whether each response ends its connection and the readiness check fails.
 func (s *Server) SetClosing(isClosing bool) { s.isClosing.Store(isClosing) }
 
 // IsClosing reports whether responses end their connections.
 func (s *Server) IsClosing() bool { return s.isClosing.Load() }
 
-// IsAcceptFailing reports whether accept has just failed.
+// IsAcceptFailing reports whether accept has failed within acceptFailureWindow.
 func (s *Server) IsAcceptFailing() bool {
 	failedAt := s.acceptFailedAt.Load()
 	return failedAt != nil && time.Since(*failedAt) < acceptFailureWindow
 }
 
-// Limit takes a listener for what follows and returns the one to serve. Clients hold a part of the descriptors at most;
-// further ones wait to be accepted, while none of those connected can be closed.
+// Limit makes l the listener of the server and returns the one to pass to Serve, which limits the connections so that
+// clients hold only a part of the descriptors. While none of those connected can be evicted, further ones wait to be
+// accepted.
 func (s *Server) Limit(l net.Listener) net.Listener {
 	limited := newLimitListener(l, s.connections.limit)
-	limited.onAcceptError = s.noteAcceptError
-	limited.onAccepted = s.noteAccepted
-	limited.makeRoom = s.connections.makeRoom
+	limited.onAcceptError = s.recordAcceptError
+	limited.onAccepted = s.logAccepted
+	limited.evictForDescriptor = s.connections.evictForDescriptor
 	limited.onRequestBegun = s.connections.requestBegun
 	limited.onClose = func(c *clientConn) { s.invariants.CheckClose(c.closeReason(), c.isUnanswered.Load()) }
 	s.mu.Lock()
@@ -160,8 +162,8 @@
 	return s.listener
 }
 
-// Serve answers on a listener of Limit until it is closed by this server. net/http closes it, too, where accept fails
-// for good: that is the error.
+// Serve serves on a listener returned by Limit until this server closes it. net/http closes it, too, if accept fails
+// permanently; Serve returns an error then.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.http.Serve(l)
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
@@ -170,8 +172,8 @@
 	return err
 }
 
-// noteAcceptError notes that a client could not be accepted.
-func (s *Server) noteAcceptError(err error) {
+// recordAcceptError records that a client could not be accepted.
+func (s *Server) recordAcceptError(err error) {
 	if !s.IsAcceptFailing() {
 		s.log.Warn("clients cannot be accepted", "err", err)
 	}
@@ -180,8 +182,8 @@
 	s.metrics.CountReason(metrics.ReasonAccept, "failed")
 }
 
-// noteAccepted logs what kept a client from being accepted, where that was long.
-func (s *Server) noteAccepted(report acceptReport) {
+// logAccepted logs the delay of an accepted client if it was long.
+func (s *Server) logAccepted(report acceptReport) {
 	if report.failedFor >= acceptFailureWindow {
 		s.log.Info("clients are accepted again", "failed_for", report.failedFor, "queued", report.queued)
 	}
@@ -190,18 +192,18 @@
 	}
 }
 
-// StopAccepting closes the listener. Whoever waits in the queue of one that is not the platform's is reset.
+// StopAccepting closes the listener. The connections in its queue are reset, unless the platform keeps the socket open.
 func (s *Server) StopAccepting() {
 	if listener := s.currentListener(); listener != nil {
-		_ = listener.Close() // nobody is accepted any more, whatever fails here
+		_ = listener.Close() // no client is accepted any more, even if the close fails
 	}
 }
 
-// Drain lets go of the clients that rest after a response, and from now on reports on Drained whenever no request is
-// open. New clients are still answered, and so are those that have just connected, or have begun a request.
+// Drain closes the connections that are idle after a response, and from now on sends on Drained whenever no request is
+// open. New clients are still answered, and so are those that have just connected or have begun a request.
 func (s *Server) Drain() { s.connections.drain() }
 
-// Drained receives whenever no request is open, after Drain.
+// Drained returns a channel that receives a value whenever no request is open, once Drain has been called.
 func (s *Server) Drained() <-chan struct{} { return s.connections.drained }
 
 // IsDraining reports whether Drain has been called.
@@ -210,8 +212,9 @@
 // HasNoRequests reports whether no request is open.
 func (s *Server) HasNoRequests() bool { return s.connections.hasNoRequests() }
 
-// Finish accepts and answers what has arrived so far, and closes the listener. Requests that are incomplete by then are
-// answered as such. It takes no longer than QueueTimeout and ResponseTimeout.
+// Finish accepts the connections that have arrived so far, answers their requests, and closes the listener. Requests
+// that are still incomplete at the end get an error response. It takes no longer than QueueTimeout plus
+// ResponseTimeout.
 func (s *Server) Finish() {
 	listener := s.currentListener()
 	if listener == nil {
@@ -219,15 +222,15 @@
 	}
 	listener.emptyQueue()
 	select {
-	case <-listener.emptied:
+	case <-listener.queueEmptied:
 	case <-listener.closed:
 	case <-time.After(QueueTimeout):
 	}
-	_ = listener.Close() // nobody is accepted any more, whatever fails here
+	_ = listener.Close() // no client is accepted any more, even if the close fails
 	ticker := time.NewTicker(finishInterval)
 	defer ticker.Stop()
 	for until := time.Now().Add(ResponseTimeout); time.Now().Before(until); <-ticker.C {
-		// Whoever has just been accepted has had time to send a request by the middle.
+		// A client that has just been accepted has had time to send a request when half of the time is over.
 		if s.connections.finish(time.Until(until) < ResponseTimeout/2) == 0 {
 			return
 		}
@@ -237,10 +240,10 @@
 // Close closes all connections at once.
 func (s *Server) Close() {
 	if listener := s.currentListener(); listener != nil {
-		listener.cutsOff.Store(true)
+		listener.skipsLinger.Store(true)
 	}
-	s.endLife()
-	_ = s.http.Close() // the process ends
+	s.cancelSubmit()
+	_ = s.http.Close() // the process stops, so the error is of no use
 }
 
 // handleReady answers the platform's readiness check.
@@ -250,11 +253,12 @@
 	}
 }
 
-// withFramingCheck stands before all handlers.
+// withFramingCheck wraps all handlers: it rejects requests whose framing is ambiguous, and ends the connection while
+// the server is closing.
 func (s *Server) withFramingCheck(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c := connectionOf(r); c != nil {
-			c.isHandled.Store(true)
+			c.hasHandler.Store(true)
 		}
 		if s.isClosing.Load() {
 			w.Header().Set("Connection", "close")
@@ -267,20 +271,21 @@
 	})
 }
 
-// reject answers a request that is not sound, and reads nothing more from its peer: where it ends is not sure.
+// reject answers an invalid request with an error and closes its connection: where the request ends is uncertain, so
+// nothing more is read.
 func (s *Server) reject(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	var unsound *requestError
-	if errors.As(err, &unsound) {
-		status = unsound.status
+	var invalid *requestError
+	if errors.As(err, &invalid) {
+		status = invalid.status
 	}
 	s.metrics.CountReason(metrics.ReasonRejected, "status_"+strconv.Itoa(status))
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
 
-// handleMessage hands one message to the event loop and writes the response. Nothing of a request that is not sound
-// goes further than here.
+// handleMessage hands one message to the event loop and writes the response. Invalid requests are rejected here and
+// never reach the event loop.
 func (s *Server) handleMessage(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := s.clock.Now()
 	submission, err := parse(w, r, s.config.Load(), arrivedAt)
@@ -289,11 +294,12 @@
 		return
 	}
 	s.connections.requestRead(connectionOf(r))
-	// A connection without deadlines, as in tests, needs none to be reset.
+	// The call fails only on connections that do not support deadlines, as in tests, and those have none to reset.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	// Once handed over the message may be accepted, so its response is waited for even if the client goes away. The
-	// request's context would not do: it also ends where its connection has to make room once it is answered.
-	if !s.submit(s.lifetime, *submission) {
+	// Once submitted, the message may be accepted, so the handler waits for the response even if the client
+	// disconnects. The request's context cannot be used for submitting, because it also ends when its connection is
+	// evicted, although the request is still answered then.
+	if !s.submit(s.submitCtx, *submission) {
 		Response{Status: http.StatusServiceUnavailable, Text: "shutting down"}.write(w)
 		return
 	}
