--- a/internal/netconn/accept.go
+++ b/internal/netconn/accept.go
@@ -8,7 +8,8 @@
 	"syscall"
 )
 
-// lostConnectionErrors are the errors of accept that belong to the connection it was about to return (accept(2)).
+// lostConnectionErrors are the errors of accept that concern only the connection that it was about to return
+// (accept(2)).
 var lostConnectionErrors = []error{
 	syscall.ECONNABORTED,
 	syscall.EHOSTDOWN,
@@ -32,18 +33,19 @@
 	syscall.EOPNOTSUPP,
 }
 
-// noDescriptorErrors are the errors of accept where the process, or the whole machine, has no descriptor left.
+// noDescriptorErrors are the errors of accept when the process or the whole machine has no free descriptor.
 var noDescriptorErrors = []error{syscall.EMFILE, syscall.ENFILE}
 
-// IsOutOfDescriptors reports whether accept failed for want of a descriptor: it works again once one has been closed.
+// IsOutOfDescriptors reports whether accept failed because no descriptor was free. It succeeds again once one has been
+// closed.
 func IsOutOfDescriptors(err error) bool { return isOneOf(err, noDescriptorErrors) }
 
-// IsConnectionLost reports whether accept failed for the connection that it was about to return, which says nothing of
-// the next one.
+// IsConnectionLost reports whether accept failed because of the connection that it was about to return. The next accept
+// may succeed.
 func IsConnectionLost(err error) bool { return isOneOf(err, lostConnectionErrors) }
 
-// IsListenerBroken reports whether no further accept can work. All other errors pass: those of connections that were
-// lost before they were accepted, and those of a machine that is short of something for a moment.
+// IsListenerBroken reports whether no further accept can succeed. All other errors are temporary: connections that were
+// lost before they were accepted, or a temporary shortage of resources on the machine.
 func IsListenerBroken(err error) bool { return isOneOf(err, brokenListenerErrors) }
 
 func isOneOf(err error, list []error) bool {
--- a/internal/netconn/age_test.go
+++ b/internal/netconn/age_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// The age of an accepted connection counts from when it was established, also where its client has sent something.
+// Guards against an age that leaves out the time in the queue, or that starts again when the client sends something: it
+// counts from the establishment of the connection.
 func TestAgeCountsTheTimeInTheQueue(t *testing.T) {
 	t.Parallel()
 	const queued, sentAfter, imprecision = 300 * time.Millisecond, 200 * time.Millisecond, 20 * time.Millisecond
@@ -34,11 +35,11 @@
 	defer conn.Close()
 	age, longest := Age(conn), time.Since(began)
 	if age < queued-imprecision || age > longest+imprecision {
-		t.Errorf("its age is %v, after %v to %v in the queue", age, queued, longest)
+		t.Errorf("age is %v, want between %v and %v", age, queued, longest)
 	}
 	local, _ := net.Pipe()
 	defer local.Close()
 	if age := Age(local); age != 0 {
-		t.Errorf("a connection without a socket has the age %v", age)
+		t.Errorf("age of a connection without a socket is %v, want 0", age)
 	}
 }
--- a/internal/netconn/netconn.go
+++ b/internal/netconn/netconn.go
@@ -1,6 +1,8 @@
-// Package netconn inspects connections without reading from them.
+// Package netconn inspects connections without reading from them, tells the errors of accept apart, and shares a
+// listener among processes.
 //
-// It owns no state. The pool of connections to endpoints, the discovery client and the clients' listener use it.
+// The package has no state. The pool of connections to endpoints, the discovery client, the clients' listener, the
+// configuration and the hand-over use it.
 package netconn
 
 import (
@@ -9,9 +11,9 @@
 	"syscall"
 )
 
-// IsQuiet reports whether an idle connection is still usable: nothing has arrived on it, not even its end. A call on a
-// connection that the other side has already closed would count as one that may have run, and closing a client's
-// connection with an unread request would reset it.
+// IsQuiet reports whether nothing has arrived on an idle connection, neither data nor its end, so that it can still be
+// used. A call on a connection that the other side has already closed would count as one that may have run, and closing
+// a client's connection with an unread request would reset it.
 func IsQuiet(c net.Conn) bool {
 	conn, ok := c.(syscall.Conn)
 	if !ok {
@@ -22,7 +24,7 @@
 		return false
 	}
 	quiet := false
-	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for a concurrent reader.
+	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for a concurrent reader
 		var first [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errors.Is(err, syscall.EAGAIN)
--- a/internal/netconn/netconn_test.go
+++ b/internal/netconn/netconn_test.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// Guards against using a connection that is closed or has unread data.
 func TestIsQuiet(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -75,12 +76,13 @@
 			local, remote := connect(t)
 			c.prepare(t, local, remote)
 			if got := IsQuiet(local); got != c.want {
-				t.Errorf("IsQuiet reports %v", got)
+				t.Errorf("IsQuiet returned %v", got)
 			}
 		})
 	}
 }
 
+// Guards against a check that consumes a byte of the next request or response.
 func TestIsQuietReadsNothing(t *testing.T) {
 	t.Parallel()
 	local, remote := connect(t)
@@ -89,7 +91,7 @@
 	}
 	awaitArrival(t, local)
 	if IsQuiet(local) {
-		t.Error("a connection with unread data is quiet")
+		t.Error("IsQuiet returned true for a connection with unread data")
 	}
 	var first [1]byte
 	if n, err := local.Read(first[:]); n != 1 || err != nil || first[0] != 'x' {
@@ -97,11 +99,12 @@
 	}
 }
 
+// Guards against discarding connections that cannot be checked because they have no descriptor.
 func TestConnectionWithoutDescriptorIsQuiet(t *testing.T) {
 	t.Parallel()
 	local, remote := net.Pipe()
 	t.Cleanup(func() { _, _ = local.Close(), remote.Close() })
 	if !IsQuiet(local) {
-		t.Error("a pipe is not quiet")
+		t.Error("IsQuiet returned false for a pipe")
 	}
 }
--- a/internal/netconn/sharedlistener.go
+++ b/internal/netconn/sharedlistener.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPollerAttempts bounds the attempts to have Go's poller watch a socket whose mode others change meanwhile.
+// maxPollerAttempts bounds the attempts to register a socket with Go's poller while other processes change its mode.
 const maxPollerAttempts = 10
 
 var (
@@ -19,18 +19,18 @@
 	errNotPollable   = errors.New("the socket stays in blocking mode")
 )
 
-// SharedListener is a listener on a socket that other processes have, too. They share its open file description and so
-// its mode: whoever passes the socket on makes it blocking for a while (os.File.Fd does). An accept that finds no
-// connection then blocks in the kernel until somebody connects, and a close waits for that accept. So a SharedListener
-// calls accept only when a connection is there, for which it waits in Go's poller whatever the mode is. One process at
-// a time may accept.
+// SharedListener is a listener on a socket that other processes have open, too. The processes share its open file
+// description and so its blocking mode: a process that passes the socket on makes it blocking for a while (os.File.Fd
+// does). An accept that finds no connection then blocks in the kernel until a client connects, and a close waits for
+// that accept. So a SharedListener first waits in Go's poller until a connection has arrived, which works in either
+// mode, and only then calls accept. Only one process at a time may accept.
 type SharedListener struct {
 	*net.TCPListener
-	watched *os.File // a descriptor of the socket that Go's poller watches
-	raw     syscall.RawConn
+	polled *os.File // a descriptor of the socket, registered with Go's poller
+	raw    syscall.RawConn
 }
 
-// NewSharedListener makes a listener of a socket, which stays open when the listener is closed.
+// NewSharedListener returns a listener on a socket. The socket stays open when the listener is closed.
 func NewSharedListener(socket *os.File) (*SharedListener, error) {
 	listener, err := net.FileListener(socket)
 	if err != nil {
@@ -40,20 +40,20 @@
 	if !ok {
 		return nil, errors.Join(errNoTCPListener, listener.Close())
 	}
-	watched, err := watch(tcp)
+	polled, err := registerWithPoller(tcp)
 	if err != nil {
 		return nil, errors.Join(err, tcp.Close())
 	}
-	raw, err := watched.SyscallConn()
+	raw, err := polled.SyscallConn()
 	if err != nil {
-		return nil, errors.Join(err, watched.Close(), tcp.Close())
+		return nil, errors.Join(err, polled.Close(), tcp.Close())
 	}
-	return &SharedListener{TCPListener: tcp, watched: watched, raw: raw}, nil
+	return &SharedListener{TCPListener: tcp, polled: polled, raw: raw}, nil
 }
 
-// watch returns a descriptor of a listener's socket that Go's poller watches. A file takes part in that only if its
-// socket is non-blocking when the file is made.
-func watch(listener *net.TCPListener) (*os.File, error) {
+// registerWithPoller returns a descriptor of a listener's socket that is registered with Go's poller. That requires the
+// socket to be non-blocking when the file is created.
+func registerWithPoller(listener *net.TCPListener) (*os.File, error) {
 	for range maxPollerAttempts {
 		file, err := listener.File()
 		if err != nil {
@@ -82,7 +82,8 @@
 	return l.TCPListener.Accept()
 }
 
-// isReadable reports whether a read of a descriptor would not block. Where the system does not tell, the read will.
+// isReadable reports whether a read of a descriptor would not block. It returns true if that cannot be determined, so
+// that the following call returns the error.
 func isReadable(descriptor uintptr) bool {
 	ready := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLIN}}
 	for {
@@ -93,12 +94,12 @@
 	}
 }
 
-// SetDeadline makes an accept fail that takes until then.
+// SetDeadline sets the time at which a waiting or later Accept fails with a timeout.
 func (l *SharedListener) SetDeadline(deadline time.Time) error {
-	return errors.Join(l.watched.SetDeadline(deadline), l.TCPListener.SetDeadline(deadline))
+	return errors.Join(l.polled.SetDeadline(deadline), l.TCPListener.SetDeadline(deadline))
 }
 
-// Close closes the listener. It waits for no connection.
+// Close closes the listener without waiting for a connection.
 func (l *SharedListener) Close() error {
-	return errors.Join(l.watched.Close(), l.TCPListener.Close())
+	return errors.Join(l.polled.Close(), l.TCPListener.Close())
 }
