--- a/internal/endpoint/batch.go
+++ b/internal/endpoint/batch.go
@@ -16,11 +16,12 @@
 	batchContentType = "application/json"
 )
 
-// The states of a message in the response to a batch (protocol). Any other leaves open whether it has run.
+// The states of a message in the response to a batch (protocol). Any other state leaves open whether the message has
+// run.
 const (
 	batchStateDelivered = "ok"
 	batchStateRejected  = "later"
-	batchStateOver      = "gone"
+	batchStateGone      = "gone"
 	batchStateExhausted = "exhausted"
 )
 
@@ -37,7 +38,7 @@
 	State string `json:"state"`
 }
 
-// batch is the connection that a call of several messages is in flight on, until it is answered.
+// batch holds the connection of a batch call while the call is in flight, so that abandon can close it.
 type batch struct {
 	metrics   *metrics.Registry
 	mu        sync.Mutex
@@ -45,8 +46,8 @@
 	isWritten bool
 }
 
-// use stores the connection; b may be nil.
-func (b *batch) use(c *conn, isWritten bool) {
+// setConn stores the connection. b may be nil.
+func (b *batch) setConn(c *conn, isWritten bool) {
 	if b == nil {
 		return
 	}
@@ -55,7 +56,7 @@
 	b.conn, b.isWritten = c, isWritten
 }
 
-// abandon ends the call unless all of it has arrived: of a message that has ended nothing may arrive any more.
+// abandon ends the call, unless all of it has arrived: no byte of a message that has ended may arrive later.
 func (b *batch) abandon() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,14 +66,14 @@
 	b.conn.drop(b.metrics, DroppedAbandoned)
 }
 
-// batchResults are the results of a batch's items, by place.
+// batchResults assembles the results of a batch's items, in the order of the items.
 type batchResults struct {
 	items  []*Item
 	unsent dispatch.AttemptResult // of the items that were not written
 }
 
-// all gives each written item the same result.
-func (r batchResults) all(result dispatch.AttemptResult) []dispatch.AttemptResult {
+// uniform returns the same result for each written item.
+func (r batchResults) uniform(result dispatch.AttemptResult) []dispatch.AttemptResult {
 	results := make([]dispatch.AttemptResult, len(r.items))
 	for i, item := range r.items {
 		results[i] = result
@@ -83,8 +84,8 @@
 	return results
 }
 
-// callBatch makes one attempt with several messages, which share its fate unless the response tells each one's. Those
-// that have ended before it is written are left out.
+// callBatch makes one attempt with several messages. They share its outcome, unless the response states the outcome of
+// each. Messages that have ended before the call is written are left out.
 func (p *Pool) callBatch(ctx, start context.Context, e *Endpoint, b *batch, items []*Item,
 	timeout time.Duration) []dispatch.AttemptResult {
 	until := time.Now().Add(timeout)
@@ -103,13 +104,13 @@
 	results := batchResults{items: items,
 		unsent: dispatch.AttemptResult{Endpoint: e.Number, Outcome: dispatch.NotSent}}
 	if x.response == nil {
-		if x.outcome == dispatch.Served { // a status line alone tells of no message how it fared
+		if x.outcome == dispatch.Served { // the status line alone does not contain the outcome of any message
 			x.outcome = dispatch.ConnectionBroken
 		}
 		if x.conn == nil {
 			results.unsent.Outcome = x.outcome
 		}
-		return results.all(
+		return results.uniform(
 			dispatch.AttemptResult{Endpoint: e.Number, Outcome: x.outcome, ConnectionIdle: x.connectionIdle()},
 		)
 	}
@@ -120,22 +121,22 @@
 		result.RetryAfter = max(0, time.Until(retryAt))
 	}
 	switch {
-	case !time.Now().Before(until): // here the complete response counts, so all of it has to come in time
-		return results.all(withoutVerdict(result, dispatch.TimedOut))
+	case !time.Now().Before(until): // only a complete response counts, so all of it has to arrive in time
+		return results.uniform(withOutcome(result, dispatch.TimedOut))
 	case !isComplete:
-		return results.all(withoutVerdict(result, unreadOutcome(ctx)))
+		return results.uniform(withOutcome(result, unreadOutcome(ctx)))
 	}
 	switch x.response.StatusCode {
 	case http.StatusOK:
-		return results.each(result, body)
+		return results.perItem(result, body)
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		result.Outcome = dispatch.NotSent // by the protocol none of them has run
+		result.Outcome = dispatch.NotSent // none of them has run (protocol)
 	}
-	return results.all(result)
+	return results.uniform(result)
 }
 
-// batchBody is the body of a request for all items that have not ended meanwhile, and what has to hold when it is
-// written.
+// batchBody returns the body of a request for all items that have not ended yet, and a request with their permits and
+// their earliest write deadline.
 func batchBody(items []*Item) (req request, body []byte, err error) {
 	var entries []batchEntry
 	for _, item := range items {
@@ -159,10 +160,10 @@
 	return req, body, err
 }
 
-// each gives each written item what the response tells of it.
-func (r batchResults) each(result dispatch.AttemptResult, body []byte) []dispatch.AttemptResult {
-	result.Outcome, result.Final = dispatch.Errored, false // what the response leaves open may have run
-	results := r.all(result)
+// perItem returns for each written item the result that the response states.
+func (r batchResults) perItem(result dispatch.AttemptResult, body []byte) []dispatch.AttemptResult {
+	result.Outcome, result.Final = dispatch.Errored, false // an item without a known state may have run
+	results := r.uniform(result)
 	var statuses []batchStatus
 	if json.Unmarshal(body, &statuses) != nil {
 		return results
@@ -170,7 +171,7 @@
 	states := make(map[string]string, len(statuses))
 	for _, s := range statuses {
 		if state, isRepeated := states[s.ID]; isRepeated && state != s.State {
-			s.State = "" // nobody knows which is true: it may have run
+			s.State = "" // the states contradict each other: it may have run
 		}
 		states[s.ID] = s.State
 	}
@@ -183,7 +184,7 @@
 			results[i].Outcome, results[i].Final = dispatch.Served, true
 		case batchStateRejected:
 			results[i].Outcome = dispatch.Rejected
-		case batchStateOver:
+		case batchStateGone:
 			results[i].Outcome, results[i].Final = dispatch.NotSent, true
 		case batchStateExhausted:
 			results[i].Outcome = dispatch.NotSent
--- a/internal/endpoint/batch_test.go
+++ b/internal/endpoint/batch_test.go
@@ -12,67 +12,72 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// Messages of a batch share its fate, unless the response tells how each one fared.
+// Guards against a wrong outcome for a message of a batch: messages share the outcome of the call, unless the response
+// states the outcome of each.
 func TestBatchResponsesBecomeOutcomes(t *testing.T) {
-	each := func(outcomes ...dispatch.Outcome) (ends []dispatch.AttemptResult) {
+	results := func(outcomes ...dispatch.Outcome) (attempts []dispatch.AttemptResult) {
 		for _, o := range outcomes {
-			ends = append(ends, dispatch.AttemptResult{Outcome: o, Final: o == dispatch.Served})
+			attempts = append(attempts, dispatch.AttemptResult{Outcome: o, Final: o == dispatch.Served})
 		}
-		return ends
+		return attempts
 	}
-	wait := func(ends []dispatch.AttemptResult) []dispatch.AttemptResult {
-		for i := range ends {
-			ends[i].RetryAfter = 250 * time.Millisecond
+	withRetryAfter := func(attempts []dispatch.AttemptResult) []dispatch.AttemptResult {
+		for i := range attempts {
+			attempts[i].RetryAfter = 250 * time.Millisecond
 		}
-		return ends
+		return attempts
 	}
 	cut := st.Text(200, `[{"id":"a","state":"ok"}`)
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
 		want   []dispatch.AttemptResult
 	}{
-		"each its own": {
+		"a state for each": {
 			st.Text(200, `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
-			each(dispatch.Served, dispatch.Rejected, dispatch.Errored),
+			results(dispatch.Served, dispatch.Rejected, dispatch.Errored),
 		},
-		"with a wait": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"later"},{"id":"c","state":"later"}]`,
-			"X-RateLimit-Wait-Ms: 250"), wait(each(dispatch.Served, dispatch.Rejected, dispatch.Rejected))},
-		"spent": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"exhausted"},{"id":"c","state":"ok"}]`),
-			each(dispatch.Served, dispatch.NotSent, dispatch.Served)},
+		"Retry-After": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"later"},{"id":"c","state":"later"}]`,
+			"X-RateLimit-Wait-Ms: 250"),
+			withRetryAfter(results(dispatch.Served, dispatch.Rejected, dispatch.Rejected))},
+		"exhausted": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"exhausted"},{"id":"c","state":"ok"}]`),
+			results(dispatch.Served, dispatch.NotSent, dispatch.Served)},
 		"one left out": {
 			st.Text(200, `[{"id":"a","state":"ok"},{"id":"c","state":"ok"}]`),
-			each(dispatch.Served, dispatch.Errored, dispatch.Served),
+			results(dispatch.Served, dispatch.Errored, dispatch.Served),
 		},
 		"named twice": {
 			st.Text(200, `[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"},`+
 				`{"id":"b","state":"later"},{"id":"c","state":"ok"}]`),
-			each(dispatch.Errored, dispatch.Rejected, dispatch.Served),
+			results(dispatch.Errored, dispatch.Rejected, dispatch.Served),
 		},
 		"unknown state": {
 			st.Text(200, `[{"id":"a","state":"fine"}]`),
-			each(dispatch.Errored, dispatch.Errored, dispatch.Errored),
+			results(dispatch.Errored, dispatch.Errored, dispatch.Errored),
 		},
-		"no JSON":  {st.Text(200, `<html>`), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
-		"cut JSON": {cut, each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"no JSON":  {st.Text(200, `<html>`), results(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"cut JSON": {cut, results(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
 		"cut body": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}]")
 			return false
-		}, each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
+		}, results(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
 		"cut head": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 			return false
-		}, each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
-		"told to wait": {
+		}, results(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
+		"rate limited": {
 			st.Status(429, "X-RateLimit-Wait-Ms: 250"),
-			wait(each(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)),
+			withRetryAfter(results(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)),
 		},
-		"turned away": {st.Status(503), each(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)},
-		"over slots":  {st.Status(503, "X-Over-Slots: 1"), each(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
-		"too many":    {st.Status(413), each(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
-		"all failed":  {st.Status(500), each(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"unavailable": {st.Status(503), results(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)},
+		"over slots": {
+			st.Status(503, "X-Over-Slots: 1"),
+			results(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent),
+		},
+		"too large":  {st.Status(413), results(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
+		"all failed": {st.Status(500), results(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
 		"reset": {
 			st.Reset,
-			each(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken),
+			results(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken),
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -84,10 +89,10 @@
 			if !slices.Equal(got, c.want) {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
-			parts := e.Next(t).Entries(t)
-			if len(parts) != 3 || parts[0].ID != "a" || parts[0].Key != "k" || string(parts[0].Body) != "\x00\xff\"" ||
-				parts[2].ID != "c" {
-				t.Errorf("the endpoint got %+v", parts)
+			entries := e.Next(t).Entries(t)
+			if len(entries) != 3 || entries[0].ID != "a" || entries[0].Key != "k" ||
+				string(entries[0].Body) != "\x00\xff\"" || entries[2].ID != "c" {
+				t.Errorf("the endpoint got %+v", entries)
 			}
 		})
 	}
--- a/internal/endpoint/call_test.go
+++ b/internal/endpoint/call_test.go
@@ -31,6 +31,7 @@
 	return p.callSingle(ctx, ctx, e, &Item{ID: "id", Key: "key", Body: []byte(body)}, timeout)
 }
 
+// Guards against a wrong outcome for a response, in particular for one that is incomplete or invalid.
 func TestResponsesBecomeOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
@@ -47,32 +48,35 @@
 			},
 		},
 		"error": {st.Status(500), dispatch.AttemptResult{Outcome: dispatch.Errored}},
-		"wait": {
+		"rate limited": {
 			st.Status(429, "X-RateLimit-Wait-Ms: 250"),
 			dispatch.AttemptResult{Outcome: dispatch.Rejected, RetryAfter: 250 * time.Millisecond},
 		},
-		"table full":  {st.Status(503, "Connection: close"), dispatch.AttemptResult{Outcome: dispatch.ConnectFailed}},
-		"turned away": {st.Status(503), dispatch.AttemptResult{Outcome: dispatch.Rejected}},
-		"over slots":  {st.Status(503, "X-Over-Slots: 1"), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
-		"no attempts": {st.Status(504), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
-		"over":        {st.Status(410), dispatch.AttemptResult{Outcome: dispatch.NotSent, Final: true}},
-		"redirect":    {st.Status(307, "Location: /elsewhere"), dispatch.AttemptResult{Outcome: dispatch.Errored}},
-		"reset":       {st.Reset, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
-		// Delivered as soon as the first line is written, whatever breaks then.
+		"connection limit": {
+			st.Status(503, "Connection: close"),
+			dispatch.AttemptResult{Outcome: dispatch.ConnectFailed},
+		},
+		"unavailable":     {st.Status(503), dispatch.AttemptResult{Outcome: dispatch.Rejected}},
+		"over slots":      {st.Status(503, "X-Over-Slots: 1"), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
+		"gateway timeout": {st.Status(504), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
+		"gone":            {st.Status(410), dispatch.AttemptResult{Outcome: dispatch.NotSent, Final: true}},
+		"redirect":        {st.Status(307, "Location: /elsewhere"), dispatch.AttemptResult{Outcome: dispatch.Errored}},
+		"reset":           {st.Reset, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
+		// A status line of 200 confirms the delivery, whatever fails afterwards.
 		"cut after 200": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 			return false
 		}, dispatch.AttemptResult{Outcome: dispatch.Served, Final: true}},
-		"a number like 200": {func(_ st.Call, c net.Conn) bool {
+		"status beginning with 200": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 2001 OK\r\n\r\n")
 			return false
 		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
-		// Half an answer does not prove that the call never ran.
-		"refusal cut": {func(_ st.Call, c net.Conn) bool {
+		// Half a response does not prove that the call never ran.
+		"503 cut": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 20\r\n\r\nhalf")
 			return false
 		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
-		"end cut": {func(_ st.Call, c net.Conn) bool {
+		"410 cut": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 410 Gone\r\nContent-Length: 20\r\n\r\nhalf")
 			return false
 		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
@@ -93,14 +97,14 @@
 				"Content-Length: 0\r\nContent-Length: 5\r\n\r\n")
 			return true
 		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
-		"interim answers without end": {func(_ st.Call, c net.Conn) bool {
+		"interim responses without end": {func(_ st.Call, c net.Conn) bool {
 			for {
 				if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 					return false
 				}
 			}
 		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
-		"cut before": {func(_ st.Call, c net.Conn) bool {
+		"cut before the status": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 ")
 			return false
 		}, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
@@ -121,34 +125,35 @@
 	}
 }
 
-// deadlineOf is the time that a call's deadline header names.
+// deadlineOf returns the time in the deadline header of a call.
 func deadlineOf(c st.Call) time.Duration {
 	ms, _ := strconv.Atoi(c.Header.Get("X-Deadline-Ms"))
 	return time.Duration(ms) * time.Millisecond
 }
 
-// The deadline header counts from when the call is written, however long the connection took.
+// Guards against a deadline header that does not account for the time that the connection took: it counts from when the
+// call is written.
 func TestDeadlineHeaderIsTheTimeLeftAtWriting(t *testing.T) {
 	t.Parallel()
 	const took = 50 * time.Millisecond
 	e := st.NewEndpoint(t, st.Status(200))
-	p, at := testPool(), &Endpoint{address: e.Addr}
+	p, target := testPool(), &Endpoint{address: e.Addr}
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-time.After(took); return nil }
-	callOnce(p, at, st.Timeout, "body")
+	callOnce(p, target, st.Timeout, "body")
 	if deadline := deadlineOf(e.Next(t)); deadline > st.Timeout-took {
 		t.Errorf("deadline %v", deadline)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Timeout)
 	defer cancel()
-	p.CloseIdle(at, 0)
-	p.callBatch(ctx, ctx, at, &batch{metrics: p.metrics}, []*Item{{ID: "a"}}, st.Timeout)
+	p.CloseIdle(target, 0)
+	p.callBatch(ctx, ctx, target, &batch{metrics: p.metrics}, []*Item{{ID: "a"}}, st.Timeout)
 	if deadline := deadlineOf(e.Next(t)); deadline > st.Timeout-took {
-		t.Errorf("deadline %v in a shared call", deadline)
+		t.Errorf("deadline %v in a batch call", deadline)
 	}
 }
 
-// A call on a connection that has served before is rejected for another cause than the number of connections, also
-// where the endpoint closes it then.
+// Guards against taking any rejection with "Connection: close" for a full connection table. A call on a connection that
+// has served before is rejected for another reason, even if the endpoint closes the connection then.
 func TestRejectionOnAUsedConnectionIsNoConnectFailure(t *testing.T) {
 	answers := []func(st.Call, net.Conn) bool{st.Status(200), st.Status(503, "Connection: close")}
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -156,16 +161,17 @@
 		answers = answers[1:]
 		return a(c, nc)
 	})
-	p, at := testPool(), &Endpoint{address: e.Addr}
+	p, target := testPool(), &Endpoint{address: e.Addr}
 	for _, want := range []dispatch.Outcome{dispatch.Served, dispatch.Rejected} {
-		if got := callOnce(p, at, st.Timeout, ""); got.Outcome != want || e.Next(t).Conn != 1 {
+		if got := callOnce(p, target, st.Timeout, ""); got.Outcome != want || e.Next(t).Conn != 1 {
 			t.Errorf("got %+v, want %v", got, want)
 		}
 	}
 }
 
-// A connection dropped while idle shows at the next call, which may have run. The result says how long the connection
-// had been idle, and connections idle for longer are not tried.
+// Guards against wrong results where connections are dropped while idle: that shows only at the next call, which may
+// have run. The result contains how long the connection had been idle, and connections that have been idle for longer
+// are not tried.
 func TestConnectionDroppedWhileIdle(t *testing.T) {
 	both, answer := make(chan struct{}, 2), make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -174,14 +180,14 @@
 		}
 		if c.Conn <= 2 {
 			both <- struct{}{}
-			<-answer // two connections are needed
+			<-answer // so that the two calls need two connections
 		}
 		return st.Status(200)(c, nc)
 	})
-	p, at := testPool(), &Endpoint{address: e.Addr}
+	p, target := testPool(), &Endpoint{address: e.Addr}
 	served := make(chan dispatch.AttemptResult, 2)
 	for range 2 {
-		go func() { served <- callOnce(p, at, st.Timeout, "") }()
+		go func() { served <- callOnce(p, target, st.Timeout, "") }()
 	}
 	for range 2 {
 		st.Receive(t, both)
@@ -192,20 +198,21 @@
 			t.Errorf("on a fresh connection: %+v", got)
 		}
 	}
-	got := callOnce(p, at, st.Timeout, "again")
+	got := callOnce(p, target, st.Timeout, "again")
 	if got.Outcome != dispatch.ConnectionBroken || got.ConnectionIdle <= 0 {
 		t.Errorf("on a dropped connection: %+v", got)
 	}
 	if n := p.idle.Load(); n != 0 {
 		t.Errorf("%d idle connections are left", n)
 	}
-	if got := callOnce(p, at, st.Timeout, "again"); !got.Final || got.ConnectionIdle != 0 {
+	if got := callOnce(p, target, st.Timeout, "again"); !got.Final || got.ConnectionIdle != 0 {
 		t.Errorf("the next call: %+v", got)
 	}
 }
 
-// A response that begins after the time told in its call is a timeout, though it is still read: the other side has
-// given the call up. A status line of 200 in time is true, however long the rest takes.
+// Guards against counting a late response: if it begins after the time stated in its call, the other side has abandoned
+// the call, so it is a timeout, though the response is still read. A status line of 200 in time is valid, however long
+// the rest takes.
 func TestLateResponseIsATimeout(t *testing.T) {
 	t.Parallel()
 	const deadline = 300 * time.Millisecond
@@ -217,9 +224,9 @@
 	}
 	both := `[{"id":"a","state":"ok"},{"id":"b","state":"ok"}]`
 	for name, c := range map[string]struct {
-		answer func(st.Call, net.Conn) bool
-		shared bool
-		want   dispatch.AttemptResult
+		answer  func(st.Call, net.Conn) bool
+		isBatch bool
+		want    dispatch.AttemptResult
 	}{
 		"served": {late(st.Status(200)), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
 		"cut": {
@@ -238,8 +245,8 @@
 			_, _ = io.WriteString(nc, "Content-Length: 0\r\n\r\n")
 			return true
 		}, false, dispatch.AttemptResult{Outcome: dispatch.Served, Final: true}},
-		"shared": {late(st.Text(200, both)), true, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
-		"shared, end late": {func(_ st.Call, nc net.Conn) bool {
+		"batch": {late(st.Text(200, both)), true, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
+		"batch, end late": {func(_ st.Call, nc net.Conn) bool {
 			_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(both))+"\r\n\r\n"+both[:9])
 			<-time.After(deadline + 50*time.Millisecond)
 			_, _ = io.WriteString(nc, both[9:])
@@ -248,15 +255,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			at, p := &Endpoint{address: st.NewEndpoint(t, c.answer).Addr}, testPool()
+			target, p := &Endpoint{address: st.NewEndpoint(t, c.answer).Addr}, testPool()
 			ctx, cancel := context.WithTimeout(context.Background(), st.Timeout)
 			defer cancel()
 			got := []dispatch.AttemptResult{}
-			if c.shared {
+			if c.isBatch {
 				items := []*Item{{ID: "a"}, {ID: "b"}}
-				got = p.callBatch(ctx, ctx, at, &batch{metrics: p.metrics}, items, deadline)
+				got = p.callBatch(ctx, ctx, target, &batch{metrics: p.metrics}, items, deadline)
 			} else {
-				got = append(got, p.callSingle(ctx, ctx, at, &Item{ID: "a"}, deadline))
+				got = append(got, p.callSingle(ctx, ctx, target, &Item{ID: "a"}, deadline))
 			}
 			for _, end := range got {
 				if end != c.want {
@@ -267,8 +274,8 @@
 	}
 }
 
-// A library may repeat a request with an Idempotency-Key by itself when a reused connection breaks; each would count as
-// a call that the dispatcher knows nothing of.
+// Guards against a call that is repeated automatically. An HTTP library may repeat a request with an Idempotency-Key
+// when a reused connection breaks, and each repetition counts as a call that the dispatcher does not know of.
 func TestBrokenCallIsNotRepeated(t *testing.T) {
 	for _, body := range []string{"body", ""} {
 		first := true
@@ -279,11 +286,11 @@
 			}
 			return st.Reset(c, nc)
 		})
-		p, at := testPool(), &Endpoint{address: e.Addr}
-		if got := callOnce(p, at, st.Timeout, body); got.Outcome != dispatch.Served {
+		p, target := testPool(), &Endpoint{address: e.Addr}
+		if got := callOnce(p, target, st.Timeout, body); got.Outcome != dispatch.Served {
 			t.Fatalf("first call: %+v", got)
 		}
-		if got := callOnce(p, at, st.Timeout, body); got.Outcome != dispatch.ConnectionBroken {
+		if got := callOnce(p, target, st.Timeout, body); got.Outcome != dispatch.ConnectionBroken {
 			t.Errorf("on a connection that breaks: %+v", got)
 		}
 		e.Next(t)
@@ -296,7 +303,8 @@
 	}
 }
 
-// A call whose last byte was not written has never run, however much of it was.
+// Guards against counting a call as one that may have run although its last byte was not written: it has never run,
+// however much of it was written.
 func TestResetBeforeTheLastByteIsAConnectFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -312,13 +320,14 @@
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	}()
-	// Far more than the sockets' buffers hold, so that the write is under way when the reset comes.
+	// This is far more than the buffers of the sockets hold, so that the write is in progress when the reset arrives.
 	got := callOnce(testPool(), &Endpoint{address: l.Addr().String()}, st.Timeout, strings.Repeat("x", 64<<20))
 	if got.Outcome != dispatch.ConnectFailed {
 		t.Errorf("got %+v", got)
 	}
 }
 
+// Guards against an outcome other than a failed connect where the endpoint refuses connections.
 func TestRefusedConnectionIsAConnectFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -335,7 +344,8 @@
 	}
 }
 
-// A timeout and a cancel close the connection: the endpoint holds a slot for as long as it is open.
+// Guards against a connection that stays open after a timeout or a cancel: the endpoint holds a slot for as long as it
+// is open.
 func TestTimeoutAndCancelCloseTheConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -343,14 +353,14 @@
 		closed <- struct{}{}
 		return false
 	})
-	p, at := testPool(), &Endpoint{address: e.Addr}
-	if got := callOnce(p, at, 30*time.Millisecond, ""); got.Outcome != dispatch.TimedOut {
-		t.Errorf("time-out: %+v", got)
+	p, target := testPool(), &Endpoint{address: e.Addr}
+	if got := callOnce(p, target, 30*time.Millisecond, ""); got.Outcome != dispatch.TimedOut {
+		t.Errorf("timeout: %+v", got)
 	}
 	st.Receive(t, closed)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan dispatch.AttemptResult, 1)
-	go func() { ended <- p.callSingle(ctx, ctx, at, &Item{ID: "id"}, st.Timeout) }()
+	go func() { ended <- p.callSingle(ctx, ctx, target, &Item{ID: "id"}, st.Timeout) }()
 	e.Next(t)
 	e.Next(t)
 	cancel()
@@ -360,20 +370,20 @@
 	st.Receive(t, closed)
 }
 
-// A call whose response begins with 200 has ended, and its slot is free, soon after: whether the rest of that response
-// ever comes is of no interest. A batch's response counts as a whole and is waited for.
-func TestTailOfADeliveryIsBounded(t *testing.T) {
+// Guards against a call that keeps its slot after its delivery is confirmed by a status line of 200, because the rest
+// of the response is slow or never arrives. A batch's response counts only as a whole, so it is waited for.
+func TestTimeForTheRestOfADeliveryIsBounded(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{
-		"in the line":  "HTTP/1.1 200",
-		"in the head":  "HTTP/1.1 200 OK\r\nContent-Le",
-		"in the body":  "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhal",
-		"drop by drop": "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
+		"stops in the status line": "HTTP/1.1 200",
+		"stops in the head":        "HTTP/1.1 200 OK\r\nContent-Le",
+		"stops in the body":        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhal",
+		"byte by byte":             "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := st.NewEndpoint(t, func(_ st.Call, c net.Conn) bool {
-				for _, _ = io.WriteString(c, text); name == "drop by drop"; time.Sleep(10 * time.Millisecond) {
+				for _, _ = io.WriteString(c, text); name == "byte by byte"; time.Sleep(10 * time.Millisecond) {
 					if _, err := c.Write([]byte("x")); err != nil {
 						return false
 					}
@@ -395,28 +405,29 @@
 				time.Second,
 			); ends[0].Outcome == dispatch.Served ||
 				ctx.Err() == nil {
-				t.Errorf("of a shared call: %+v, %v", ends, ctx.Err())
+				t.Errorf("batch call: %+v, %v", ends, ctx.Err())
 			}
 		})
 	}
-	slow := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool { // the next answer on the connection has all its time
+	slow := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool { // the next response has its full time
 		if c.ID == "id" && c.Body == "slow" {
 			time.Sleep(responseTailTimeout + 100*time.Millisecond)
 		}
 		return st.Status(200)(c, nc)
 	})
-	p, at := testPool(), &Endpoint{address: slow.Addr}
+	p, target := testPool(), &Endpoint{address: slow.Addr}
 	for _, body := range []string{"quick", "slow"} {
-		if got := callOnce(p, at, st.Timeout, body); got.Outcome != dispatch.Served {
+		if got := callOnce(p, target, st.Timeout, body); got.Outcome != dispatch.Served {
 			t.Errorf("%s: %+v", body, got)
 		}
 		if c := slow.Next(t); c.Conn != 1 {
-			t.Errorf("%s: on connection %d", body, c.Conn)
+			t.Errorf("%s: used connection %d", body, c.Conn)
 		}
 	}
 }
 
-// What an abandoned call has written must not arrive later: its connection is reset, not ended in order.
+// Guards against bytes of an abandoned call that arrive later: its connection has to be reset, not closed in the
+// ordinary way.
 func TestAbandonedCallResetsItsConnection(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -438,24 +449,25 @@
 	p := NewPool(Options{ConnectTimeout: time.Second, MaxIdle: 3})
 	p.callSingle(ctx, ctx, &Endpoint{address: l.Addr().String()}, &Item{ID: "id"}, 50*time.Millisecond)
 	if err := st.Receive(t, ended); err == nil {
-		t.Error("the connection ended in order")
+		t.Error("the connection was closed without a reset")
 	}
 }
 
-// A call that cannot arrive in time is not written, though its timeout is not up: its connection is not waited for.
+// Guards against writing a call after the time until which it may start, though its timeout has not expired: it does
+// not wait for its connection any longer.
 func TestCallIsNotWrittenTooLate(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	p, at := testPool(), &Endpoint{address: e.Addr}
+	p, target := testPool(), &Endpoint{address: e.Addr}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Timeout)
 	defer cancel()
-	begin, end := context.WithTimeout(ctx, 10*time.Millisecond)
-	defer end()
-	p.dialer.Control = func(string, string, syscall.RawConn) error { <-begin.Done(); return nil }
-	if got := p.callSingle(ctx, begin, at, &Item{ID: "late"}, st.Timeout); got.Outcome != dispatch.ConnectFailed {
-		t.Errorf("begun too late: %+v", got)
+	start, cancelStart := context.WithTimeout(ctx, 10*time.Millisecond)
+	defer cancelStart()
+	p.dialer.Control = func(string, string, syscall.RawConn) error { <-start.Done(); return nil }
+	if got := p.callSingle(ctx, start, target, &Item{ID: "late"}, st.Timeout); got.Outcome != dispatch.ConnectFailed {
+		t.Errorf("started too late: %+v", got)
 	}
-	if got := callOnce(p, at, st.Timeout, "next"); got.Outcome != dispatch.Served {
+	if got := callOnce(p, target, st.Timeout, "next"); got.Outcome != dispatch.Served {
 		t.Errorf("the next call: %+v", got)
 	}
 	if c := e.Next(t); c.Body != "next" {
@@ -463,17 +475,18 @@
 	}
 }
 
-// A call that an invariant check stops is not written, and its connection serves the next one.
+// Guards against writing a call that an invariant check forbids, and against losing its connection, which has to serve
+// the next call.
 func TestCallStoppedByAnInvariantIsNotWritten(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := testPool()
-	at := &Endpoint{address: e.Addr, drainedAt: time.Now().Add(-time.Minute)}
-	if got := callOnce(p, at, time.Second, "stopped"); got.Outcome != dispatch.NotSent {
+	target := &Endpoint{address: e.Addr, drainedAt: time.Now().Add(-time.Minute)}
+	if got := callOnce(p, target, time.Second, "stopped"); got.Outcome != dispatch.NotSent {
 		t.Errorf("%+v", got)
 	}
-	at.drainedAt = time.Time{}
-	if got := callOnce(p, at, time.Second, "body"); got.Outcome != dispatch.Served {
+	target.drainedAt = time.Time{}
+	if got := callOnce(p, target, time.Second, "body"); got.Outcome != dispatch.Served {
 		t.Errorf("%+v", got)
 	}
 	if c := e.Next(t); c.Body != "body" || c.Conn != 1 {
--- a/internal/endpoint/conn.go
+++ b/internal/endpoint/conn.go
@@ -14,29 +14,32 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// MaxBody bounds the body of a request and of a response (protocol).
+// MaxBody is the maximum size of the body of a request and of a response, in bytes (protocol).
 const MaxBody = 64 << 10
 
 const (
-	// maxResponse bounds a response, head and body: an endpoint may send nonsense without an end.
+	// maxResponse is the maximum size of a response, head and body, in bytes: an endpoint may send invalid data without
+	// end.
 	maxResponse = MaxBody + 64<<10
-	// deliveredPrefix is how a response begins from which on the message is delivered, whatever becomes of the rest.
+	// deliveredPrefix is the beginning of a response that confirms the delivery of the message, whatever happens to the
+	// rest of the response.
 	deliveredPrefix = "HTTP/1.1 200"
-	// responseTailTimeout bounds the rest of a response whose status line has all that there is to know. The rest
-	// is of use only to the connection, and meanwhile the message's end is not recorded and its slot not free.
+	// responseTailTimeout bounds the time for the rest of a response whose status line already confirms the delivery.
+	// The rest only decides whether the connection can be kept, and until it is read the end of the message is not
+	// recorded and its slot not free.
 	responseTailTimeout = 500 * time.Millisecond
 	readBufferSize      = 1024
 )
 
-// Why a connection to an endpoint was closed with its call. The words are counted in the operators' figures.
+// The reasons for which a connection to an endpoint is closed together with its call. They are counted in the metrics.
 const (
-	DroppedAbandoned  = "recalled"   // a message of its call has ended, and the bytes may not have arrived
+	DroppedAbandoned  = "recalled"   // a message of its call has ended, and the call may not have arrived completely
 	DroppedUnwritten  = "unwritten"  // the call could not be written completely
-	DroppedUnread     = "unread"     // no readable head of a response came
-	DroppedIncomplete = "incomplete" // the response is incomplete, ends the connection, or has bytes behind it
+	DroppedUnread     = "unread"     // no valid head of a response was received
+	DroppedIncomplete = "incomplete" // the response is incomplete, ends the connection, or is followed by further bytes
 )
 
-var errResponseTooLong = errors.New("the response has no end")
+var errResponseTooLong = errors.New("the response exceeds the maximum size")
 
 // expired is a deadline that has passed: it interrupts reads and writes at once.
 var expired = time.Unix(1, 0)
@@ -47,55 +50,56 @@
 	reader    *bufio.Reader
 	address   string
 	idleSince time.Time
-	calls     int           // written on it
-	idleFor   time.Duration // before the present call
-
-	// The state of the present call.
-	budget       int         // bytes that the response may still take
-	firstBytes   []byte      // of the response
-	firstLineAt  time.Time   // when the first bytes said whether the message is delivered
-	release      func() bool // detaches the call's context; false if that has already interrupted the call
-	single       bool        // the call has one message: the first line says how it ended
-	callDeadline time.Time   // the zero time for none
+	calls     int           // how many have been written on it
+	idleFor   time.Duration // how long it was idle before the current call
+
+	// The state of the current call.
+	remainingBytes int         // how many bytes of the response may still be read
+	firstBytes     []byte      // the first bytes of the response
+	firstLineAt    time.Time   // when enough had been read to know whether the message is delivered
+	detachContext  func() bool // detaches the call's context; false if the context has already interrupted the call
+	single         bool        // the call has one message: the status line determines its outcome
+	callDeadline   time.Time   // the zero time for no deadline
 }
 
-// drop closes a connection whose call is abandoned. What was written and not received by the other side, which may be
-// cut off, is thrown away: it would arrive when the cut ends, after its message's end.
+// drop closes the connection with a reset, because its call is abandoned. The reset discards what was written and has
+// not been received by the other side: if the network is cut, it would be delivered when the cut ends, after the
+// message has ended.
 func (c *conn) drop(registry *metrics.Registry, reason string) {
 	registry.CountReason(metrics.ReasonDropped, reason)
-	c.release()
+	c.detachContext()
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the close is an ordinary one
+		_ = tcp.SetLinger(0) // if it fails, Close does not reset the connection
 	}
 	c.close()
 }
 
-// close closes the connection. Nothing is left to do where that fails.
+// close closes the connection. Errors are ignored, as nothing can be done about them.
 func (c *conn) close() { _ = c.Close() }
 
-// begin prepares the connection for a call that ctx interrupts and that has to be written by writeBy.
-func (c *conn) begin(ctx context.Context, writeBy time.Time, single bool) {
-	// A connection that takes no deadline fails in the write as well.
+// beginCall prepares the connection for a call that is interrupted by ctx and has to be written by writeBy.
+func (c *conn) beginCall(ctx context.Context, writeBy time.Time, single bool) {
+	// If it fails, the write fails as well.
 	_ = c.SetWriteDeadline(writeBy)
-	_ = c.SetReadDeadline(time.Time{}) // of the response before
+	_ = c.SetReadDeadline(time.Time{}) // clears the deadline of the previous response
 	c.single = single
 	c.callDeadline, _ = ctx.Deadline()
-	c.release = context.AfterFunc(ctx, func() { _ = c.SetDeadline(expired) })
+	c.detachContext = context.AfterFunc(ctx, func() { _ = c.SetDeadline(expired) })
 }
 
-// expectResponse resets what was read, as a call has been written.
+// expectResponse resets the state of the response, after a call has been written.
 func (c *conn) expectResponse() {
 	c.calls++
-	c.firstBytes, c.budget = c.firstBytes[:0], maxResponse
+	c.firstBytes, c.remainingBytes = c.firstBytes[:0], maxResponse
 }
 
-// Read reads from the connection, within the bounds of a response.
+// Read reads from the connection, up to the maximum size of a response.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.budget <= 0 {
+	if c.remainingBytes <= 0 {
 		return 0, errResponseTooLong
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.budget)])
-	c.budget -= n
+	n, err := c.Conn.Read(b[:min(len(b), c.remainingBytes)])
+	c.remainingBytes -= n
 	before := len(c.firstBytes)
 	c.firstBytes = append(c.firstBytes, b[:min(n, len(deliveredPrefix)+1-len(c.firstBytes))]...)
 	if before < len(deliveredPrefix) && c.hasFirstLine() {
@@ -105,24 +109,24 @@
 	return n, err
 }
 
-// limitTail bounds the time for the rest of a response whose status line says that the message is delivered.
+// limitTail bounds the time for the rest of a response whose status line confirms the delivery.
 func (c *conn) limitTail() {
 	tailBy := c.firstLineAt.Add(responseTailTimeout)
-	if c.single && c.saysDelivered() && (c.callDeadline.IsZero() || tailBy.Before(c.callDeadline)) {
-		_ = c.SetReadDeadline(tailBy) // without it the call's own deadline holds
+	if c.single && c.isDelivered() && (c.callDeadline.IsZero() || tailBy.Before(c.callDeadline)) {
+		_ = c.SetReadDeadline(tailBy) // if it fails, the call's own deadline applies
 	}
 }
 
 // hasFirstLine reports whether enough has been read to know whether the message is delivered.
 func (c *conn) hasFirstLine() bool { return len(c.firstBytes) >= len(deliveredPrefix) }
 
-// saysDelivered reports whether the response begins with a status line of 200.
-func (c *conn) saysDelivered() bool {
+// isDelivered reports whether the response begins with a status line of 200.
+func (c *conn) isDelivered() bool {
 	rest, ok := strings.CutPrefix(string(c.firstBytes), deliveredPrefix)
 	return ok && strings.Trim(rest, " \r\n") == ""
 }
 
-// isAcknowledged reports whether the other side's machine has confirmed all that was written.
+// isAcknowledged reports whether the TCP stack of the other side has acknowledged all that was written.
 func (c *conn) isAcknowledged() bool {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -8,26 +8,26 @@
 	"onyxdyke.example/onyxdyke/internal/invariant"
 )
 
-// Endpoint is an endpoint that calls go to, with the idle connections to it. It is safe for concurrent use.
+// Endpoint is an endpoint that receives calls, with the idle connections to it. It is safe for concurrent use.
 type Endpoint struct {
 	Number dispatch.EndpointID // the dispatcher's number; never changes
 	ID     string              // the id in discovery's list; never changes
 
 	mu        sync.Mutex
 	address   string
-	idle      []*conn         // the one used last at the end
-	drainedAt time.Time       // since when it drains or is gone, the zero time while it serves
-	scope     invariant.Scope // what a Retry-After of it binds
+	idle      []*conn         // the most recently used one last
+	drainedAt time.Time       // since when it is draining or deleted; the zero time while it serves
+	scope     invariant.Scope // what a Retry-After from it applies to
 }
 
-// SetAddress changes where the endpoint is reached. Connections to another address are not used again.
+// SetAddress changes the address of the endpoint. Connections to another address are not used again.
 func (e *Endpoint) SetAddress(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.address = address
 }
 
-// SetServing stores whether the endpoint serves. One that does not keeps the time at which that became known first.
+// SetServing stores whether the endpoint serves. If it does not, the time at which that first became known is kept.
 func (e *Endpoint) SetServing(serving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,14 +39,14 @@
 	}
 }
 
-// SetScope stores what a Retry-After of the endpoint binds.
+// SetScope stores what a Retry-After from the endpoint applies to.
 func (e *Endpoint) SetScope(scope invariant.Scope) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.scope = scope
 }
 
-// callTarget is what the invariant checks need to know of a call's endpoint.
+// callTarget returns what the invariant checks need to know about the endpoint of a call.
 func (e *Endpoint) callTarget() invariant.Target {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/endpoint/exchange.go
+++ b/internal/endpoint/exchange.go
@@ -16,28 +16,28 @@
 	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
-// userAgent is the name that the sender has had since its first release. Endpoints may know it: it stays.
+// userAgent is the name of the sender since its first release. Endpoints may depend on it, so it must not change.
 const userAgent = "saffronyard"
 
-var errEmptyCall = errors.New("no message is left for this call")
+var errEmptyCall = errors.New("all messages of the call ended before it was written")
 
-// request is a call as it is written.
+// request is a call in the form in which it is written.
 type request struct {
 	text    []byte
-	permits []invariant.SendPermit // of its messages
-	writeBy time.Time              // its last byte is written by then or never; the zero time for no bound
-	batch   *batch                 // nil if nobody else may end it
-	single  bool                   // it is a call for one message
+	permits []invariant.SendPermit // the send permits of its messages
+	writeBy time.Time              // after this time it is not written any more; the zero time for no bound
+	batch   *batch                 // nil for a call that is ended by its context only
+	single  bool                   // it has one message, and is not a batch
 }
 
-// requestHead is what differs between the heads of requests. An empty field is left out.
+// requestHead holds the fields in which the heads of requests differ. An empty field is left out.
 type requestHead struct {
 	path, contentType  string
 	messageID, key     string
 	remainingAtWriting time.Duration
 }
 
-// renderRequest is a request's text.
+// renderRequest returns the text of a request.
 func renderRequest(address string, head requestHead, body []byte) ([]byte, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+head.path, bytes.NewReader(body))
 	if err != nil {
@@ -59,37 +59,38 @@
 	return text.Bytes(), err
 }
 
-// remaining is how long an endpoint is told that its response is waited for, in whole milliseconds: what is left when
-// the call is written, as the connection may have taken its time.
+// remaining returns the time for the X-Deadline-Ms header: how long the sender still waits for the response, in whole
+// milliseconds. It is computed when the call is written, because opening the connection may have taken a while.
 func remaining(until time.Time) time.Duration {
 	return max(time.Millisecond, time.Until(until).Truncate(time.Millisecond))
 }
 
-// exchange is what became of a request.
+// exchange is the result of sending a request.
 type exchange struct {
-	response *http.Response   // its head has been read; nil if none came that can be read
+	response *http.Response   // its head has been read; nil if no valid one was received
 	conn     *conn            // nil if the request was not written completely
-	outcome  dispatch.Outcome // without a response; Served if its first line says so
+	outcome  dispatch.Outcome // set if response is nil; Served if the status line confirms the delivery
 }
 
-// exchange writes one request, rendered once there is a connection, and reads the head of the response. Without a
-// readable response it closes the connection. ctx ends the call, start only until its last byte is written.
+// exchange writes one request, which is rendered once there is a connection, and reads the head of the response. If
+// there is no valid head, it closes the connection. ctx ends the call at any time, start only until its last byte is
+// written.
 func (p *Pool) exchange(
 	ctx, start context.Context,
 	e *Endpoint,
 	render func(address string) (request, error),
 ) exchange {
-	// Nothing has been written yet: however it fails up to the last byte, the call never ran.
+	// Until the last byte is written, the call has not run, whatever fails.
 	c, err := p.get(start, e)
 	if err != nil {
 		return exchange{outcome: unwrittenOutcome(ctx, start)}
 	}
 	req, err := render(c.address)
-	if err != nil || start.Err() != nil { // the connection came too late for this call, but a further one may use it
+	if err != nil || start.Err() != nil { // the connection is too late for this call, but a later call may use it
 		p.put(e, c)
 		return exchange{outcome: unwrittenOutcome(ctx, start)}
 	}
-	for c.idleFor > 0 && !netconn.IsQuiet(c.Conn) { // what has arrived would be read as the response to this call
+	for c.idleFor > 0 && !netconn.IsQuiet(c.Conn) { // else stale bytes would be read as the response
 		c.close()
 		if c, err = p.get(start, e); err != nil {
 			return exchange{outcome: unwrittenOutcome(ctx, start)}
@@ -103,19 +104,19 @@
 	if !req.writeBy.IsZero() {
 		writeBy = req.writeBy
 	}
-	c.begin(ctx, writeBy, req.single)
+	c.beginCall(ctx, writeBy, req.single)
 	return p.transmit(ctx, e, c, req)
 }
 
 // transmit writes a request on a connection and reads the head of the response.
 func (p *Pool) transmit(ctx context.Context, e *Endpoint, c *conn, req request) exchange {
-	req.batch.use(c, false)
-	defer req.batch.use(nil, false) // before a further call can have the connection
+	req.batch.setConn(c, false)
+	defer req.batch.setConn(nil, false) // runs before another call can use the connection
 	if _, err := c.Write(req.text); err != nil {
 		c.drop(p.metrics, DroppedUnwritten)
 		return exchange{outcome: dispatch.ConnectFailed}
 	}
-	req.batch.use(c, true)
+	req.batch.setConn(c, true)
 	p.metrics.MessagesForwarded(len(req.permits))
 	c.expectResponse()
 	response, err := readHead(c.reader) //nolint:bodyclose // the callers read its body with readBody
@@ -124,15 +125,15 @@
 	}
 	c.drop(p.metrics, DroppedUnread)
 	switch {
-	case c.saysDelivered():
+	case c.isDelivered():
 		return exchange{conn: c, outcome: dispatch.Served}
 	case c.idleFor > 0 && ctx.Err() == nil && len(c.firstBytes) == 0:
-		p.CloseIdle(e, c.idleFor) // those idle for longer were dropped by the other side as well
+		p.CloseIdle(e, c.idleFor) // the other side has dropped those idle for longer as well
 	}
 	return exchange{conn: c, outcome: unreadOutcome(ctx)}
 }
 
-// unwrittenOutcome is the outcome of a call that was not written for want of a connection in time.
+// unwrittenOutcome returns the outcome of a call that was not written because no connection was ready in time.
 func unwrittenOutcome(ctx, start context.Context) dispatch.Outcome {
 	if ctx.Err() == nil && errors.Is(start.Err(), context.Canceled) {
 		return dispatch.NotSent // aborted before it was written
@@ -140,7 +141,7 @@
 	return dispatch.ConnectFailed
 }
 
-// unreadOutcome is the outcome of a call whose response is incomplete: it may have run.
+// unreadOutcome returns the outcome of a call whose response is incomplete: the call may have run.
 func unreadOutcome(ctx context.Context) dispatch.Outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -151,7 +152,7 @@
 	return dispatch.ConnectionBroken
 }
 
-// readHead reads the head of a response, passing over interim ones.
+// readHead reads the head of a response and skips interim (1xx) responses.
 func readHead(r *bufio.Reader) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(r, &http.Request{Method: http.MethodPost})
@@ -159,7 +160,7 @@
 		case err != nil:
 			return nil, err
 		case response.ProtoMajor != 1:
-			return nil, fmt.Errorf("a response of %s", response.Proto)
+			return nil, fmt.Errorf("unexpected protocol %s in the response", response.Proto)
 		case response.StatusCode >= http.StatusOK:
 			return response, nil
 		}
@@ -170,7 +171,7 @@
 func (p *Pool) readBody(e *Endpoint, c *conn, response *http.Response) (body []byte, isComplete bool) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxBody+1))
 	isComplete = err == nil && len(body) <= MaxBody
-	if !isComplete || response.Close || c.reader.Buffered() > 0 || !c.release() {
+	if !isComplete || response.Close || c.reader.Buffered() > 0 || !c.detachContext() {
 		c.drop(p.metrics, DroppedIncomplete)
 	} else {
 		p.put(e, c)
--- a/internal/endpoint/pool.go
+++ b/internal/endpoint/pool.go
@@ -15,26 +15,26 @@
 	"onyxdyke.example/onyxdyke/internal/netconn"
 )
 
-// Options are what a pool needs to know.
+// Options configures a Pool.
 type Options struct {
 	ConnectTimeout time.Duration
-	// IdleTimeout is when an endpoint closes an idle connection at the latest.
+	// IdleTimeout is how long an endpoint keeps an idle connection open at most.
 	IdleTimeout      time.Duration
-	MaxIdle          int      // idle connections in all: descriptors are few
-	LoadReportFields []string // the names that count in a load report
+	MaxIdle          int      // idle connections to all endpoints together: descriptors are scarce
+	LoadReportFields []string // the fields of a load report that are read
 	Invariants       *invariant.Checker
 	Metrics          *metrics.Registry
-	// Control is called for each socket before it connects; nil for none.
+	// Control is called for each socket before it connects; it may be nil.
 	Control func(network, address string, c syscall.RawConn) error
 }
 
 // Pool opens, keeps and closes connections to endpoints, and makes calls on them. It is safe for concurrent use.
 type Pool struct {
 	connectTimeout time.Duration
-	keepFor        time.Duration
+	maxIdleTime    time.Duration
 	maxIdle        atomic.Int64
 	idle           atomic.Int64
-	keepsNone      atomic.Bool
+	discardsIdle   atomic.Bool
 	reportFields   []string
 	dialer         net.Dialer
 	invariants     *invariant.Checker
@@ -42,13 +42,13 @@
 	onRetryAfter   func(e *Endpoint, wait time.Duration)
 }
 
-// NewPool makes a pool without connections.
+// NewPool returns a pool without connections.
 func NewPool(o Options) *Pool {
 	p := &Pool{
 		connectTimeout: o.ConnectTimeout,
-		// What is written to a connection that the endpoint has closed is a reset that may have run: ours are closed a
-		// good deal before.
-		keepFor:      o.IdleTimeout * 9 / 10,
+		// Writing to a connection that the endpoint has closed ends in a reset, after which the call may have run. So
+		// the pool closes its connections well before the endpoint does.
+		maxIdleTime:  o.IdleTimeout * 9 / 10,
 		reportFields: o.LoadReportFields,
 		dialer:       net.Dialer{Control: o.Control},
 		invariants:   o.Invariants,
@@ -65,23 +65,23 @@
 	return p
 }
 
-// OnRetryAfter makes notify hear of each Retry-After in a response whose rest is still to come. It is called before the
-// first call.
+// OnRetryAfter sets the function that is called for each Retry-After in a response head while the rest of the response
+// has not arrived yet. It must be set before the first call.
 func (p *Pool) OnRetryAfter(notify func(e *Endpoint, wait time.Duration)) { p.onRetryAfter = notify }
 
-// SetMaxIdle changes how many idle connections are kept in all.
+// SetMaxIdle sets how many idle connections are kept to all endpoints together.
 func (p *Pool) SetMaxIdle(connections int) { p.maxIdle.Store(int64(connections)) }
 
-// KeepIdle says whether connections are kept after their calls.
-func (p *Pool) KeepIdle(keep bool) { p.keepsNone.Store(!keep) }
+// KeepIdle sets whether connections are kept after their calls.
+func (p *Pool) KeepIdle(keep bool) { p.discardsIdle.Store(!keep) }
 
-// IdleConnections is how many idle connections there are.
+// IdleConnections returns the number of idle connections.
 func (p *Pool) IdleConnections() int { return int(p.idle.Load()) }
 
-// MaxIdle is how many idle connections are kept in all.
+// MaxIdle returns how many idle connections are kept to all endpoints together.
 func (p *Pool) MaxIdle() int { return int(p.maxIdle.Load()) }
 
-// get takes the idle connection used last, or opens one.
+// get returns the most recently used idle connection, or opens one.
 func (p *Pool) get(ctx context.Context, e *Endpoint) (*conn, error) {
 	if c := p.takeIdle(e); c != nil {
 		return c, nil
@@ -98,11 +98,11 @@
 		if address = e.currentAddress(); c.address == address {
 			return c, nil
 		}
-		c.close() // the endpoint has moved meanwhile, and whose the old address is now is not known
+		c.close() // the address has changed meanwhile, and the old one may belong to another endpoint now
 	}
 }
 
-// takeIdle is an idle connection that can be used, nil if there is none. Those that cannot are closed.
+// takeIdle returns an idle connection that can be used, or nil if there is none. It closes those that cannot be used.
 func (p *Pool) takeIdle(e *Endpoint) *conn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,7 +110,7 @@
 		c := e.idle[n]
 		e.idle = e.idle[:n]
 		p.idle.Add(-1)
-		if c.address == e.address && time.Since(c.idleSince) < p.keepFor && netconn.IsQuiet(c.Conn) {
+		if c.address == e.address && time.Since(c.idleSince) < p.maxIdleTime && netconn.IsQuiet(c.Conn) {
 			c.idleFor = time.Since(c.idleSince)
 			return c
 		}
@@ -123,7 +123,7 @@
 func (p *Pool) put(e *Endpoint, c *conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if c.address != e.address || p.keepsNone.Load() || p.idle.Load() >= p.maxIdle.Load() {
+	if c.address != e.address || p.discardsIdle.Load() || p.idle.Load() >= p.maxIdle.Load() {
 		c.close()
 		return
 	}
@@ -132,7 +132,7 @@
 	e.idle = append(e.idle, c)
 }
 
-// CloseIdle closes the connections to an endpoint that have been idle for a time.
+// CloseIdle closes the connections to an endpoint that have been idle for at least idleFor.
 func (p *Pool) CloseIdle(e *Endpoint, idleFor time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,5 +146,5 @@
 	})
 }
 
-// CloseExpired closes the connections to an endpoint that have been idle for as long as they are kept.
-func (p *Pool) CloseExpired(e *Endpoint) { p.CloseIdle(e, p.keepFor) }
+// CloseExpired closes the connections to an endpoint that have been idle for the maximum time.
+func (p *Pool) CloseExpired(e *Endpoint) { p.CloseIdle(e, p.maxIdleTime) }
--- a/internal/endpoint/response.go
+++ b/internal/endpoint/response.go
@@ -17,11 +17,12 @@
 	headerNoSlot      = "X-Over-Slots"
 	reportQuotaLeft   = "x0"
 	reportRateLimit   = "x1"
-	maxRetryAfterMsec = 1e9 // more than any sender waits
+	maxRetryAfterMsec = 1e9 // longer than any sender waits
 )
 
-// interpretHead is what a response's head says. Where it holds a Retry-After and its rest is still to come, that is
-// passed on at once, and its end returned as retryAt; else that is the zero time.
+// interpretHead returns the result that the head of a response states. If the head has a Retry-After and the rest of
+// the response is still to come, interpretHead reports the Retry-After at once and returns the time at which it ends as
+// retryAt; otherwise retryAt is the zero time.
 func (p *Pool) interpretHead(
 	e *Endpoint,
 	c *conn,
@@ -44,7 +45,7 @@
 	return result, retryAt
 }
 
-// outcomeOf is the outcome that a status stands for (protocol), and whether the message needs no further call.
+// outcomeOf returns the outcome for a status (protocol), and whether the message needs no further call.
 func outcomeOf(c *conn, response *http.Response) (outcome dispatch.Outcome, isFinal bool) {
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -66,8 +67,8 @@
 	case response.Header.Get(headerNoSlot) == "1":
 		return dispatch.NotSent
 	case c.calls == 1 && response.Close:
-		// An endpoint with all the connections that it takes rejects a further one like this. It says nothing of the
-		// destination's limit; to the dispatcher it is a connect that failed.
+		// An endpoint that has reached its limit of connections rejects a further one in this way. That does not
+		// indicate the limit of the destination, so for the dispatcher it is a failed connect.
 		return dispatch.ConnectFailed
 	}
 	return dispatch.Rejected
@@ -81,7 +82,7 @@
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// loadReport reads the fields of a load report that are known.
+// loadReport returns the known fields of a load report.
 func (p *Pool) loadReport(response *http.Response) map[string]float64 {
 	report := map[string]float64{}
 	for _, part := range strings.Split(response.Header.Get(headerLoadReport), ",") {
--- a/internal/endpoint/single.go
+++ b/internal/endpoint/single.go
@@ -10,10 +10,11 @@
 
 const singlePath = "/hook"
 
-// callSingle makes one attempt with one message and says how it ended. It never makes a second one: an endpoint
-// counts each call whose last byte has arrived. ctx ends it early, its deadline being the timeout; start does until
-// the last byte is written. A response that begins after the time told in the call is late, however soon the timeout
-// is noticed: the endpoint's side has given the call up, and does not count the message as delivered.
+// callSingle makes one attempt with one message and returns its result. It never makes a second attempt: an endpoint
+// counts each call whose last byte has arrived. ctx ends the attempt early, its deadline being the timeout; start does
+// so until the last byte is written. A response that begins after the time stated in the call is late, even if the
+// timeout has not been noticed yet: the endpoint has abandoned the call by then, and does not count the message as
+// delivered.
 func (p *Pool) callSingle(
 	ctx, start context.Context,
 	e *Endpoint,
@@ -38,22 +39,22 @@
 	}
 	result, retryAt := p.interpretHead(e, x.conn, x.response)
 	result.ConnectionIdle = x.connectionIdle()
-	// A status line of 200 is true whatever follows, if it comes in time. Any other response counts only if it is
-	// complete: that a call never ran is not to be concluded from half a response.
+	// A status line of 200 is valid whatever follows, if it arrives in time. Any other response counts only if it is
+	// complete: half a response does not prove that the call never ran.
 	_, isComplete := p.readBody(e, x.conn, x.response)
 	if !retryAt.IsZero() {
 		result.RetryAfter = max(0, time.Until(retryAt))
 	}
 	switch {
 	case isLate:
-		return withoutVerdict(result, dispatch.TimedOut)
+		return withOutcome(result, dispatch.TimedOut)
 	case !isComplete && result.Outcome != dispatch.Served:
-		return withoutVerdict(result, unreadOutcome(ctx))
+		return withOutcome(result, unreadOutcome(ctx))
 	}
 	return result
 }
 
-// connectionIdle is how long the connection had been idle before the call, 0 if the call was not written.
+// connectionIdle returns how long the connection had been idle before the call, 0 if the call was not written.
 func (x exchange) connectionIdle() time.Duration {
 	if x.conn == nil {
 		return 0
@@ -61,8 +62,9 @@
 	return x.conn.idleFor
 }
 
-// withoutVerdict is a result of which only the Retry-After and the connection's idle time are to be believed.
-func withoutVerdict(r dispatch.AttemptResult, outcome dispatch.Outcome) dispatch.AttemptResult {
+// withOutcome returns a result with the given outcome that takes only the endpoint, the Retry-After and the
+// connection's idle time from r. The response is late or incomplete, so nothing else in it counts.
+func withOutcome(r dispatch.AttemptResult, outcome dispatch.Outcome) dispatch.AttemptResult {
 	return dispatch.AttemptResult{Endpoint: r.Endpoint, Outcome: outcome, RetryAfter: r.RetryAfter,
 		ConnectionIdle: r.ConnectionIdle}
 }
