--- a/internal/endpoint/call.go
+++ b/internal/endpoint/call.go
@@ -18,7 +18,7 @@
 	Permit invariant.SendPermit
 
 	Timeout     time.Duration // bounds the duration of the attempt
-	StartWithin time.Duration // bounds the time until it is written; 0 for Timeout
+	StartWithin time.Duration // bounds the time until it is written; 0 means Timeout
 	LastAttempt bool          // its deadline is reached at the timeout, so it is not sent again
 
 	startBy time.Time // when StartWithin is over
--- a/internal/endpoint/pool.go
+++ b/internal/endpoint/pool.go
@@ -31,10 +31,10 @@
 // Pool opens, keeps and closes connections to endpoints, and makes calls on them. It is safe for concurrent use.
 type Pool struct {
 	connectTimeout time.Duration
-	maxIdleTime    time.Duration
-	maxIdle        atomic.Int64
-	idle           atomic.Int64
-	discardsIdle   atomic.Bool
+	maxIdleTime    time.Duration // how long a connection is kept idle
+	maxIdle        atomic.Int64  // how many idle connections are kept
+	idle           atomic.Int64  // how many idle connections there are
+	discardsIdle   atomic.Bool   // connections are closed after their calls
 	reportFields   []string
 	dialer         net.Dialer
 	invariants     *invariant.Checker
--- a/internal/ingress/clientconn.go
+++ b/internal/ingress/clientconn.go
@@ -56,7 +56,7 @@
 	isAborted           atomic.Bool // nothing is read any more
 	hasHandler          atomic.Bool // a handler has been called for its request
 	hasBegun            atomic.Bool // a part of a request has been read since the last response
-	isUnanswered        atomic.Bool // a request has been read completely, and its response not written yet
+	isUnanswered        atomic.Bool // a request has been read completely, and its response not begun
 	hasWritten          atomic.Bool // a response, or a part of one, has been written
 	finishBy            atomic.Pointer[time.Time]
 	reason              atomic.Pointer[string] // why it is closed; nil if its client or net/http closes it
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -37,7 +37,7 @@
 	open                int
 	idle                map[*clientConn]time.Time // without a request, and the time since which
 	partial             map[*clientConn]time.Time // with an incomplete request, and the time since which
-	served              map[*clientConn]bool      // have had a response: their further requests are never aborted
+	served              map[*clientConn]bool      // have had a response: a further request is never evicted
 	isEvictionScheduled bool                      // no connection could be evicted, and a timer tries again
 	isDraining          bool
 }
--- a/internal/netconn/netconn.go
+++ b/internal/netconn/netconn.go
@@ -1,4 +1,4 @@
-// Package netconn inspects connections without reading from them, tells the errors of accept apart, and shares a
+// Package netconn inspects connections without reading from them, classifies the errors of accept, and shares a
 // listener among processes.
 //
 // The package has no state. The pool of connections to endpoints, the discovery client, the clients' listener, the
