--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -17,7 +17,7 @@
 	rules := submitted.Rules
 	if rules == nil {
 		if submitted.Class < 0 || submitted.Class >= len(d.settings.Classes) {
-			d.act(Fail{Message: submitted.ID}) // it is not known whether it may be repeated
+			d.emit(Fail{Message: submitted.ID}) // it is not known whether it may be repeated
 			return
 		}
 		rules = &Rules{Class: d.settings.Classes[submitted.Class], MaxAttempts: d.settings.MaxAttempts}
@@ -26,7 +26,7 @@
 		Message:      submitted,
 		class:        &rules.Class,
 		maxAttempts:  rules.MaxAttempts,
-		destination:  d.destinationByID(submitted.Destination),
+		destination:  d.ensureDestination(submitted.Destination),
 		mayHaveRun:   submitted.MayHaveRun,
 		firstRunAt:   submitted.FirstRunAt,
 		firstRunZone: submitted.FirstRunZone,
@@ -41,7 +41,7 @@
 	}
 	d.arrivals.add(1, d.now)
 	if !submitted.Resumed {
-		d.newInBatch++
+		d.newInStep++
 	}
 	d.joinKeyQueue(m)
 	d.countTenantMessage(m.Tenant)
@@ -61,9 +61,10 @@
 	}
 }
 
-// failHopeless fails, in time, what cannot be served any more: the time left is too short for the quickest
-// call served there, no attempt is left, or a repeat would not be allowed.
-func (d *Dispatcher) failHopeless() {
+// failUndeliverable fails each message that cannot be delivered any more: the time left is shorter than the
+// quickest call served by its route, it has used up its attempts, or it may not be repeated. A message is
+// failed as soon as that is certain, not at its deadline.
+func (d *Dispatcher) failUndeliverable() {
 	for _, m := range append([]*message(nil), d.pending...) {
 		if m.inFlight > 0 {
 			continue
@@ -71,7 +72,7 @@
 		latestStart := d.latestStart(m, m.likelyRoute())
 		exhausted := m.maxAttempts > 0 && m.attemptCount() >= m.maxAttempts
 		if d.now >= latestStart || exhausted || !d.mayRepeat(m) {
-			d.act(Fail{Message: m.ID})
+			d.emit(Fail{Message: m.ID})
 			d.closeMessage(m)
 			continue
 		}
@@ -85,7 +86,7 @@
 // before were accepted, also if the bound has become lower since.
 func (d *Dispatcher) shedLoad() {
 	threshold := shedThreshold * float64(d.settings.MaxPendingMessages)
-	for ; d.newInBatch > 0 && threshold > 0 && float64(len(d.pending)) > threshold; d.newInBatch-- {
+	for ; d.newInStep > 0 && threshold > 0 && float64(len(d.pending)) > threshold; d.newInStep-- {
 		victim := d.shedVictim()
 		if victim == nil {
 			return
@@ -94,7 +95,7 @@
 		if d.settings.SendsRetryAfter {
 			retryAfter = d.settings.MaxRetryAfter
 		}
-		d.act(Reject{Message: victim.ID, RetryAfter: retryAfter})
+		d.emit(Reject{Message: victim.ID, RetryAfter: retryAfter})
 		d.closeMessage(victim)
 	}
 }
--- a/internal/dispatch/circuitbreaker.go
+++ b/internal/dispatch/circuitbreaker.go
@@ -33,7 +33,7 @@
 	consecutiveFailures int           // calls in a row that were not served
 	outageStartedAt     time.Duration
 	rateBefore          float64       // our calls a second before the outage
-	reopensAt           time.Duration // announced end of the outage, 0 if there is none
+	announcedEndAt      time.Duration // announced end of the outage, 0 if there is none
 	probesInFlight      int           // calls in flight that were sent during this outage
 	lastProbeAt         time.Duration
 }
@@ -46,8 +46,8 @@
 		d.wakeAt(r.backoff.until)
 		return false
 	}
-	if r.breaker.state == unavailable && r.breaker.reopensAt > 0 {
-		d.reopenAsAnnounced(r)
+	if r.breaker.state == unavailable && r.breaker.announcedEndAt > 0 {
+		d.endOutageAsAnnounced(r)
 	}
 	if r.breaker.state == unavailable && r.breaker.probesInFlight > 0 {
 		if next := r.breaker.lastProbeAt + r.silenceTimeout(); d.now < next {
@@ -105,7 +105,7 @@
 		b.outageStartedAt = d.now
 	}
 	d.setState(r, unavailable)
-	b.probesInFlight, b.reopensAt = 0, 0
+	b.probesInFlight, b.announcedEndAt = 0, 0
 	r.limiter.set(d.jitter(), d.now)
 	r.window.size = 1
 	d.logRoute(r, "circuit open: calls fail, are rejected or go unanswered; only probes are sent")
--- a/internal/dispatch/concurrency.go
+++ b/internal/dispatch/concurrency.go
@@ -105,15 +105,15 @@
 func (d *Dispatcher) overdueAfter(c *call) time.Duration {
 	r := c.route
 	d.overallEstimator.optimum() // brings its median up to date
-	usual := d.overallEstimator.median
+	usualLatency := d.overallEstimator.median
 	if r.estimator.samples >= minSamples {
-		usual = r.estimator.median
+		usualLatency = r.estimator.median
 	} else if d.overallEstimator.samples < minSamples || r.traffic.lastServedSentAt <= c.sentAt {
 		return r.silenceTimeout()
 	}
-	slow := time.Duration(slowFactor * r.traffic.latency * float64(time.Second))
-	usual = max(overdueFactor*usual, slow, probeInterval)
-	return min(r.silenceTimeout(), usual<<min(r.window.cancelledCalls, overdueDoublings))
+	slowLatency := time.Duration(slowFactor * r.traffic.latency * float64(time.Second))
+	usualLatency = max(overdueFactor*usualLatency, slowLatency, probeInterval)
+	return min(r.silenceTimeout(), usualLatency<<min(r.window.cancelledCalls, overdueDoublings))
 }
 
 // cancelOverdue cancels overdue calls while messages wait for slots, the longest overdue first. A call
@@ -131,7 +131,7 @@
 		d.cancelledInFlight++
 		for _, m := range victim.messages {
 			if last := len(m.attempts) - 1; !m.attempts[last].ended {
-				d.act(Cancel{Message: m.ID, Attempt: last})
+				d.emit(Cancel{Message: m.ID, Attempt: last})
 			}
 		}
 	}
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -30,7 +30,7 @@
 // idleTimeout is how long an idle connection to e is kept.
 func (d *Dispatcher) idleTimeout(e *endpoint) time.Duration {
 	timeout := *d.kindIdleTimeout(e)
-	if d.hasOwnEvidence(e.route) {
+	if d.hasEnoughOwnCalls(e.route) {
 		timeout = d.settings.IdleConnectionTimeout
 	}
 	return max(0, timeout-e.idleTimeoutCut)
@@ -46,7 +46,7 @@
 		case e.inFlight > 0 || d.now >= e.idleSince+d.settings.IdleConnectionTimeout:
 			continue // it is in use, or the endpoint has closed it
 		case d.now >= closeAt:
-			d.act(CloseIdle{Endpoint: e.ID})
+			d.emit(CloseIdle{Endpoint: e.ID})
 			e.idleSince = 0
 			continue
 		case timeout < d.settings.IdleConnectionTimeout:
@@ -82,7 +82,7 @@
 	r := e.route
 	accepts := r.breaker.state == healthy && d.now >= r.backoff.until &&
 		r.window.inFlight < d.concurrencyLimit(r)
-	freedNow := d.sparsity() > 0 && e.freedConnections > 0 && e.freedAt == d.now
+	freedNow := d.trafficSparsity() > 0 && e.freedConnections > 0 && e.freedAt == d.now
 	return freedNow && accepts && d.now-r.backoff.rejectedAt > d.settings.OverloadWindow
 }
 
@@ -97,8 +97,8 @@
 func (d *Dispatcher) lengthenIdleTimeout(e *endpoint) {
 	share := math.Sqrt(smallFleet / float64(max(smallFleet, d.settings.Senders))) // other senders add theirs
 	growth := time.Duration(idleTimeoutGrowth * share * float64(d.settings.IdleConnectionTimeout))
-	ofKind := d.kindIdleTimeout(e)
-	*ofKind = min(d.settings.IdleConnectionTimeout, *ofKind+growth)
+	kindTimeout := d.kindIdleTimeout(e)
+	*kindTimeout = min(d.settings.IdleConnectionTimeout, *kindTimeout+growth)
 	e.idleTimeoutCut = max(0, e.idleTimeoutCut-growth)
 }
 
@@ -113,7 +113,7 @@
 	if wasIdle <= 0 || !previous.outcomeUnknown || seconds >= slowFactor*e.route.estimator.mean {
 		return
 	}
-	ofKind := d.kindIdleTimeout(e)
-	*ofKind = min(*ofKind, wasIdle/2)
-	e.idleTimeoutCut = max(e.idleTimeoutCut, d.settings.IdleConnectionTimeout-*ofKind)
+	kindTimeout := d.kindIdleTimeout(e)
+	*kindTimeout = min(*kindTimeout, wasIdle/2)
+	e.idleTimeoutCut = max(e.idleTimeoutCut, d.settings.IdleConnectionTimeout-*kindTimeout)
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -27,7 +27,7 @@
 	now           time.Duration
 	nextWake      time.Duration // earliest time at which something is to be decided
 	actions       []Action
-	newInBatch    int      // messages submitted in it, resumed ones not counted
+	newInStep     int      // messages submitted in it, resumed ones not counted
 	changedRoutes []*route // routes whose circuit has changed state in it
 
 	timerAt     time.Duration // the earliest timer that is set, never if none is
@@ -83,12 +83,12 @@
 // Step takes in all events of a batch, then decides once. The actions are to be carried out in order.
 // Time never goes back; a batch dated before the last is taken as of the last.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
-	d.startBatch(max(now, d.now))
+	d.startStep(max(now, d.now))
 	for _, event := range events {
 		d.handleEvent(event)
 	}
 	d.watchEndpointList()
-	d.failHopeless()
+	d.failUndeliverable()
 	d.shedLoad()
 	d.sendPending()
 	d.closeIdleConnections()
@@ -97,8 +97,8 @@
 	return d.actions
 }
 
-func (d *Dispatcher) startBatch(now time.Duration) {
-	d.now, d.nextWake, d.actions, d.newInBatch = now, never, nil, 0
+func (d *Dispatcher) startStep(now time.Duration) {
+	d.now, d.nextWake, d.actions, d.newInStep = now, never, nil, 0
 	if d.startedAt == -never {
 		d.startedAt = now
 	}
@@ -148,7 +148,7 @@
 func (d *Dispatcher) watchEndpointList() {
 	if d.watchListAt <= d.now {
 		d.watchListAt = never
-		d.act(WatchEndpointList{})
+		d.emit(WatchEndpointList{})
 	}
 	d.wakeAt(d.watchListAt)
 }
@@ -157,7 +157,7 @@
 func (d *Dispatcher) setTimer() {
 	if d.nextWake < d.timerAt {
 		d.timerAt = max(d.nextWake, d.now+d.settings.StepInterval)
-		d.act(SetTimer{At: d.timerAt})
+		d.emit(SetTimer{At: d.timerAt})
 	}
 }
 
@@ -171,7 +171,7 @@
 	d.tenantRates = append(d.tenantRates, added...)[:len(s.Tenants)]
 }
 
-func (d *Dispatcher) act(a Action) { d.actions = append(d.actions, a) }
+func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
 // wakeAt makes sure that a batch comes at t or before.
 func (d *Dispatcher) wakeAt(t time.Duration) { d.nextWake = min(d.nextWake, t) }
@@ -182,5 +182,5 @@
 		return
 	}
 	r.lastLoggedAt = d.now
-	d.act(Log{Line: fmt.Sprintf("%s %s", r.name(), text)})
+	d.emit(Log{Line: fmt.Sprintf("%s %s", r.name(), text)})
 }
--- a/internal/dispatch/endpointlist.go
+++ b/internal/dispatch/endpointlist.go
@@ -10,13 +10,13 @@
 		return
 	}
 	listed := map[EndpointID]bool{}
-	for _, line := range update.Endpoints {
-		listed[line.ID] = line.Ready
-		d.removeEndpoint(line.ID)
-		if line.Ready {
-			d.addEndpoint(line)
+	for _, entry := range update.Endpoints {
+		listed[entry.ID] = entry.Ready
+		d.removeEndpoint(entry.ID)
+		if entry.Ready {
+			d.addEndpoint(entry)
 		} else {
-			d.abortUnsent(d.endpoints[line.ID])
+			d.abortUnsent(d.endpoints[entry.ID])
 		}
 	}
 	if !update.Full {
@@ -33,33 +33,33 @@
 }
 
 // addEndpoint lists an endpoint with its destination.
-func (d *Dispatcher) addEndpoint(line Endpoint) {
-	line.Kind, line.Zone = max(0, line.Kind), max(0, line.Zone)
-	dest := d.destinationByID(line.Destination)
-	e := d.endpoints[line.ID]
-	if e == nil || e.Destination != line.Destination {
+func (d *Dispatcher) addEndpoint(entry Endpoint) {
+	entry.Kind, entry.Zone = max(0, entry.Kind), max(0, entry.Zone)
+	dest := d.ensureDestination(entry.Destination)
+	e := d.endpoints[entry.ID]
+	if e == nil || e.Destination != entry.Destination {
 		if e == nil {
 			e = &endpoint{connectFailedAt: longAgo}
-			d.endpoints[line.ID] = e
+			d.endpoints[entry.ID] = e
 		}
 		// What was learnt of its former route does not hold for this destination.
-		e.route = d.routeFor(line, dest)
+		e.route = d.routeFor(entry, dest)
 	}
-	e.Endpoint = line
+	e.Endpoint = entry
 	e.route.maxBatchSize = d.maxBatchSize(e)
-	if d.settings.RatingIsRateLimit && isPositiveFinite(line.Rating) {
-		d.updateRateLimit(e.route, line.Rating)
+	if d.settings.RatingIsRateLimit && isPositiveFinite(entry.Rating) {
+		d.updateRateLimit(e.route, entry.Rating)
 	}
 	dest.endpoints = append(dest.endpoints, e)
 }
 
 // routeFor is the route of an endpoint that is new to its destination.
-func (d *Dispatcher) routeFor(line Endpoint, dest *destination) *route {
-	if line.Kind < len(d.settings.Kinds) && d.settings.Kinds[line.Kind].PerEndpoint {
-		return d.newRoute(line, true)
+func (d *Dispatcher) routeFor(entry Endpoint, dest *destination) *route {
+	if entry.Kind < len(d.settings.Kinds) && d.settings.Kinds[entry.Kind].PerEndpoint {
+		return d.newRoute(entry, true)
 	}
 	if dest.shared == nil {
-		dest.shared = d.newRoute(line, false)
+		dest.shared = d.newRoute(entry, false)
 	}
 	return dest.shared
 }
@@ -67,7 +67,7 @@
 // removeEndpoint takes an endpoint out of its destination. What is known of it stays.
 func (d *Dispatcher) removeEndpoint(id EndpointID) {
 	if e := d.endpoints[id]; e != nil {
-		dest := d.destinationByID(e.Destination)
+		dest := d.ensureDestination(e.Destination)
 		dest.endpoints = remove(dest.endpoints, e)
 	}
 }
@@ -76,12 +76,12 @@
 // allow no calls.
 func (d *Dispatcher) abortUnsent(e *endpoint) {
 	if e != nil && e.inFlight > 0 {
-		d.act(AbortUnsent{Endpoint: e.ID})
+		d.emit(AbortUnsent{Endpoint: e.ID})
 	}
 }
 
-// destinationByID is the destination of that number, which becomes known if it is not.
-func (d *Dispatcher) destinationByID(id DestinationID) *destination {
+// ensureDestination is the destination of that number, which becomes known if it is not.
+func (d *Dispatcher) ensureDestination(id DestinationID) *destination {
 	dest := d.destinations[id]
 	if dest == nil {
 		dest = &destination{}
--- a/internal/dispatch/estimator.go
+++ b/internal/dispatch/estimator.go
@@ -15,8 +15,8 @@
 
 // Our own terms (design).
 const (
-	// agingFactor is how much less all samples weigh with each new one: about 200 count.
-	agingFactor = 1.005
+	// decayFactor is how much less all samples weigh with each new one: about 200 count.
+	decayFactor = 1.005
 	// nearOptimumFactor: bounds with an Ê within this factor of the least are as good; the longest is taken.
 	nearOptimumFactor = 1.1
 	// answeredShare is the share of the answered calls that τ must not cut short, with
@@ -56,7 +56,7 @@
 		q.addUnanswered(weight)
 		return
 	}
-	q.age()
+	q.decaySamples()
 	bucket := int(latency * bucketCount / tauMax)
 	for len(q.buckets) <= bucket {
 		q.buckets = append(q.buckets, histogramBucket{})
@@ -71,17 +71,17 @@
 
 // addUnanswered takes in a first attempt that was not answered within its time left.
 func (q *timeoutEstimator) addUnanswered(weight float64) {
-	q.age()
+	q.decaySamples()
 	q.unansweredWeight += weight
 }
 
-// age lowers the weight of all samples, as a new one comes.
-func (q *timeoutEstimator) age() {
+// decaySamples lowers the weight of all samples, as a new one comes.
+func (q *timeoutEstimator) decaySamples() {
 	for i := range q.buckets {
-		q.buckets[i].weight /= agingFactor
-		q.buckets[i].sum /= agingFactor
+		q.buckets[i].weight /= decayFactor
+		q.buckets[i].sum /= decayFactor
 	}
-	q.unansweredWeight /= agingFactor
+	q.unansweredWeight /= decayFactor
 	q.needsUpdate = true
 }
 
@@ -104,7 +104,7 @@
 	for _, bucket := range q.buckets {
 		total += bucket.weight
 	}
-	longest, floor := q.longestOptimum(total, q.leastExpectedTime(total))
+	longest, floor := q.longestNearOptimum(total, q.leastExpectedTime(total))
 	if q.samples < minSamples {
 		floor = max(floor, tauInitial)
 	}
@@ -127,9 +127,9 @@
 	return least
 }
 
-// longestOptimum is the longest bound whose Ê is near the least, and the bound below which answered calls
+// longestNearOptimum is the longest bound whose Ê is near the least, and the bound below which answered calls
 // would be cut. It brings the median and the mean up to date.
-func (q *timeoutEstimator) longestOptimum(total, least float64) (longest, floor time.Duration) {
+func (q *timeoutEstimator) longestNearOptimum(total, least float64) (longest, floor time.Duration) {
 	longest = tauInitial
 	answered := total - q.unansweredWeight
 	weight, sum := 0.0, 0.0
@@ -172,8 +172,8 @@
 	return q.optimumOrInitial()
 }
 
-// expire doubles τ, once for all calls that were in flight at the last doubling.
-func (q *timeoutEstimator) expire(sentAt, now time.Duration) {
+// recordTimeout doubles τ, once for all calls that were in flight at the last doubling.
+func (q *timeoutEstimator) recordTimeout(sentAt, now time.Duration) {
 	if q.doubledTau == 0 || sentAt >= q.doubledAt {
 		q.doubledTau, q.doubledAt = min(2*q.tau(), tauMax), now
 	}
--- a/internal/dispatch/estimator_test.go
+++ b/internal/dispatch/estimator_test.go
@@ -14,7 +14,7 @@
 		var times, weights []float64
 		late, w := 0.0, 1.0
 		for range 60 + rnd.Intn(200) {
-			w *= agingFactor
+			w *= decayFactor
 			if rnd.Intn(12) == 0 {
 				o.addUnanswered(explorationWeight)
 				late += w * explorationWeight
@@ -76,13 +76,13 @@
 	if o.tau() != tauInitial {
 		t.Fatalf("before any sample τ = %v", o.tau())
 	}
-	o.expire(time.Second, 5*time.Second)
-	o.expire(time.Second, 5*time.Second) // was in flight at the doubling
+	o.recordTimeout(time.Second, 5*time.Second)
+	o.recordTimeout(time.Second, 5*time.Second) // was in flight at the doubling
 	if o.tau() != 2*tauInitial {
 		t.Fatalf("τ after an expiry = %v", o.tau())
 	}
 	for range 10 {
-		o.expire(time.Hour, time.Hour)
+		o.recordTimeout(time.Hour, time.Hour)
 	}
 	if o.tau() != tauMax {
 		t.Fatalf("τ exceeds its bound: %v", o.tau())
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -11,8 +11,9 @@
 // smallFleet is the number of senders up to which each sees enough of every endpoint by itself.
 const smallFleet = 4
 
-// sparsity is how far the senders are so many that each sees little of any endpoint: 0 for few, towards 1.
-func (d *Dispatcher) sparsity() float64 {
+// trafficSparsity returns how small a part of an endpoint's traffic one sender sees, by the number of
+// senders: 0 for up to smallFleet senders, towards 1 for many.
+func (d *Dispatcher) trafficSparsity() float64 {
 	return 1 - smallFleet/float64(max(smallFleet, d.settings.Senders))
 }
 
@@ -38,12 +39,12 @@
 	return (counter.at(d.now) + 1) / (observed + timePerMessage)
 }
 
-// hasOwnEvidence reports whether r gets enough of our calls to judge it by them alone, and so large a part
+// hasEnoughOwnCalls reports whether r gets enough of our calls to judge it by them alone, and so large a part
 // of all that it takes that only a few senders can say so. Places for connections are scarce: eighty idle
 // ones fill them.
-func (d *Dispatcher) hasOwnEvidence(r *route) bool {
+func (d *Dispatcher) hasEnoughOwnCalls(r *route) bool {
 	limit := r.limiter.limit
 	hasLargeShare := limit > 0 && smallFleet*d.smoothedRate(r.traffic.sentCalls) >= limit
-	isMajor := d.settings.Senders <= smallFleet || hasLargeShare
-	return isMajor && d.failureThreshold(r) >= maxFailureThreshold/2
+	isMajorSender := d.settings.Senders <= smallFleet || hasLargeShare
+	return isMajorSender && d.failureThreshold(r) >= maxFailureThreshold/2
 }
--- a/internal/dispatch/message.go
+++ b/internal/dispatch/message.go
@@ -47,7 +47,7 @@
 	messages       []*message
 	sentAt         time.Duration
 	connectionIdle time.Duration // how long its connection had been idle, 0 for a new one
-	unresolved     int           // messages without a result
+	pendingResults int           // messages without a result
 	isProbe        bool          // sent during an outage
 	healthRecorded bool          // its outcome has been recorded with its route and endpoint
 	cancelled      bool
--- a/internal/dispatch/outage.go
+++ b/internal/dispatch/outage.go
@@ -29,7 +29,7 @@
 		outages = append(outages, r.outage())
 	}
 	d.changedRoutes = d.changedRoutes[:0]
-	d.act(PersistOutages{Outages: outages})
+	d.emit(PersistOutages{Outages: outages})
 }
 
 // outage is the state of r to be persisted.
@@ -69,8 +69,8 @@
 func (d *Dispatcher) restoreOutages(outages []Outage) {
 	for _, outage := range outages {
 		r := d.routeOfOutage(outage)
-		isWarm := outage.WarmingUp && d.now-outage.Since > d.settings.SlowStartDuration
-		if r == nil || outage.Resolved || isWarm {
+		hasRecovered := outage.WarmingUp && d.now-outage.Since > d.settings.SlowStartDuration
+		if r == nil || outage.Resolved || hasRecovered {
 			continue
 		}
 		r.breaker.state = unavailable
--- a/internal/dispatch/priority.go
+++ b/internal/dispatch/priority.go
@@ -61,19 +61,19 @@
 	if !isWeighed || m.Class < 0 || m.Class >= len(d.classGoodputs) {
 		return 1
 	}
-	total, shares, own := 0.0, 0.0, 0.0
+	total, shares, ownClass := 0.0, 0.0, 0.0
 	for i := range d.classGoodputs {
 		goodput := &d.classGoodputs[i]
-		first := max(d.settings.Classes[i].PriorityWeight, minClassWeight)
-		ended := goodput.ended.at(d.now) + first
-		served := goodput.served.at(d.now) + first
+		initialWeight := max(d.settings.Classes[i].PriorityWeight, minClassWeight)
+		ended := goodput.ended.at(d.now) + initialWeight
+		served := goodput.served.at(d.now) + initialWeight
 		share := math.Exp(-worstClassSharpness * served / ended)
 		total, shares = total+ended, shares+share
 		if i == m.Class {
-			own = share / ended
+			ownClass = share / ended
 		}
 	}
-	return 1 + d.settings.WorstClassWeight/d.settings.TotalWeight*total*own/shares
+	return 1 + d.settings.WorstClassWeight/d.settings.TotalWeight*total*ownClass/shares
 }
 
 // recordClassGoodput counts m, which has ended, with its class.
--- a/internal/dispatch/repeat.go
+++ b/internal/dispatch/repeat.go
@@ -30,8 +30,8 @@
 	return latest
 }
 
-// mayRestart reports whether m may be sent again if it is sent now and times out after tau.
-func (d *Dispatcher) mayRestart(m *message, r *route, tau time.Duration) bool {
+// mayRetryAfterTimeout reports whether m may be sent again if it is sent now and times out after tau.
+func (d *Dispatcher) mayRetryAfterTimeout(m *message, r *route, tau time.Duration) bool {
 	if m.maxAttempts > 0 && m.attemptCount()+1 >= m.maxAttempts {
 		return false
 	}
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -20,7 +20,7 @@
 	a.outcomeUnknown = result.Outcome == TimedOut || result.Outcome == ConnectionBroken
 	result.Elapsed = max(0, result.Elapsed)
 	m.inFlight--
-	if a.call.unresolved--; a.call.unresolved == 0 {
+	if a.call.pendingResults--; a.call.pendingResults == 0 {
 		d.finishCall(a.call, result.Outcome)
 	}
 	d.applyLimits(m.destination, a.call.route, result)
@@ -31,7 +31,7 @@
 		d.recordHealth(m, a.call, result)
 	}
 	d.updateEstimators(a, result)
-	d.recordRun(m, result.Outcome)
+	d.updateMayHaveRun(m, result.Outcome)
 	if result.Final || m.closed {
 		m.served = result.Outcome == Served
 		d.closeMessage(m)
@@ -94,8 +94,8 @@
 	}
 }
 
-// recordRun books whether the last attempt of m may have run.
-func (d *Dispatcher) recordRun(m *message, outcome Outcome) {
+// updateMayHaveRun books whether the last attempt of m may have run.
+func (d *Dispatcher) updateMayHaveRun(m *message, outcome Outcome) {
 	switch outcome {
 	case NotStarted:
 		m.PriorAttempts-- // it does not count as an attempt
@@ -121,7 +121,7 @@
 	case result.Outcome == TimedOut && a.untilDeadline && a.sampleWeight > 0:
 		estimator.addUnanswered(a.sampleWeight)
 	case result.Outcome == TimedOut && !a.untilDeadline:
-		estimator.expire(a.call.sentAt, d.now)
+		estimator.recordTimeout(a.call.sentAt, d.now)
 	}
 }
 
@@ -164,7 +164,7 @@
 	r.traffic.recordServed(d.now, c.sentAt)
 	r.breaker.consecutiveFailures, r.backoff.step, r.window.cancelledCalls = 0, 0, 0
 	if r.breaker.state == unavailable {
-		if d.hasOwnEvidence(r) {
+		if d.hasEnoughOwnCalls(r) {
 			e.idleTimeoutCut = 0 // it was an outage: its connects did not fail for lack of places
 		}
 		d.startSlowStart(r, 0)
@@ -191,6 +191,6 @@
 		d.openCircuit(r) // closed for longer than any limit is counted over: it recovers slowly
 	}
 	if r.breaker.state == unavailable {
-		r.breaker.reopensAt = r.backoff.until
+		r.breaker.announcedEndAt = r.backoff.until
 	}
 }
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -70,9 +70,9 @@
 	lastServedSentAt  time.Duration // latest sending of a call that was served
 }
 
-func (d *Dispatcher) newRoute(line Endpoint, perEndpoint bool) *route {
+func (d *Dispatcher) newRoute(entry Endpoint, perEndpoint bool) *route {
 	r := &route{
-		destination:  line.Destination,
+		destination:  entry.Destination,
 		perEndpoint:  perEndpoint,
 		lastLoggedAt: longAgo,
 		traffic:      traffic{lastServedAt: d.now},
@@ -81,7 +81,7 @@
 		backoff:      backoff{rejectedAt: longAgo},
 	}
 	if perEndpoint {
-		r.endpoint = line.ID
+		r.endpoint = entry.ID
 	}
 	d.routes = append(d.routes, r)
 	return r
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -90,10 +90,10 @@
 // precedes orders two messages of one destination. In an outage a message that may be repeated probes the
 // destination, as one that may not is lost with its call.
 func precedes(next, best offer) bool {
-	nextIsLost := next.message.class.Effect == NonIdempotent
-	bestIsLost := best.message.class.Effect == NonIdempotent
-	if next.endpoint.route.breaker.state == unavailable && nextIsLost != bestIsLost {
-		return bestIsLost
+	nextIsNonIdempotent := next.message.class.Effect == NonIdempotent
+	bestIsNonIdempotent := best.message.class.Effect == NonIdempotent
+	if next.endpoint.route.breaker.state == unavailable && nextIsNonIdempotent != bestIsNonIdempotent {
+		return bestIsNonIdempotent
 	}
 	return next.priority > best.priority
 }
@@ -162,7 +162,7 @@
 // costs of zones.
 func (d *Dispatcher) endpointCost(m *message, e *endpoint) float64 {
 	latency := e.latency
-	if sparsity := d.sparsity(); sparsity > 0 { // hardly a call each: the route's figures say more
+	if sparsity := d.trafficSparsity(); sparsity > 0 { // hardly a call each: the route's figures say more
 		latency += sparsity * (e.route.traffic.latency - latency)
 		connectFailure := math.Exp(-(d.now - e.connectFailedAt).Seconds() / connectFailureSpan.Seconds())
 		latency = max(latency, minSelectionLatency) *
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -71,14 +71,14 @@
 	}
 	m.addAttempt(a)
 	m.destination.waiting = remove(m.destination.waiting, m)
-	d.act(Send{Message: m.ID, Endpoint: c.endpoint.ID, Timeout: a.timeout, StartWithin: max(0, startWithin)})
+	d.emit(Send{Message: m.ID, Endpoint: c.endpoint.ID, Timeout: a.timeout, StartWithin: max(0, startWithin)})
 }
 
 // addAttempt books an attempt that is in flight.
 func (m *message) addAttempt(a attempt) {
 	m.attempts = append(m.attempts, a)
 	m.inFlight++
-	a.call.unresolved++
+	a.call.pendingResults++
 	a.call.messages = append(a.call.messages, m)
 }
 
@@ -98,7 +98,7 @@
 	if m.class.Effect == IdempotentByKey {
 		tau = min(tau, m.class.IdempotencyWindow/2) // a repeat needs time to be served in the window
 	}
-	if !d.mayRestart(m, c.route, tau) || tau >= timeLeft {
+	if !d.mayRetryAfterTimeout(m, c.route, tau) || tau >= timeLeft {
 		return a
 	}
 	if isFirst && !c.isProbe && d.randomBelow(explorationInterval) == 0 {
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -6,11 +6,11 @@
 	// fleetProbeBudget is the number of calls that all senders together may send anywhere in the time of a
 	// slow start: any destination bears so few.
 	fleetProbeBudget = 24
-	// awareLoadShare is the load that the senders that saw failures may add to that of the others, as a
+	// informedLoadShare is the load that the senders that saw failures may add to that of the others, as a
 	// share.
-	awareLoadShare = 0.3
-	// minUnawareExponent keeps that share finite at the very start of an outage.
-	minUnawareExponent = 1e-9
+	informedLoadShare = 0.3
+	// minInformedRatio keeps that share finite at the very start of an outage.
+	minInformedRatio = 1e-9
 )
 
 // startSlowStart ends an outage: r recovers from now on.
@@ -18,16 +18,17 @@
 	d.setState(r, warmingUp)
 	r.window.size = 1
 	r.limiter.set(tokens, d.now)
-	r.breaker.reopensAt = 0
+	r.breaker.announcedEndAt = 0
 	r.breaker.failureRate = min(r.breaker.failureRate, degradedFailureRate)
 	d.logRoute(r, "calls are served again; slow start")
 }
 
-// reopenAsAnnounced ends an outage whose announced end has come: a probe would only cost the waiting messages
-// its time. But all senders have heard the same end, and one call each at once may be more than a recovering
-// destination bears.
-func (d *Dispatcher) reopenAsAnnounced(r *route) {
-	d.startSlowStart(r, 1-d.sparsity()*(d.jitter()+0.5))
+// endOutageAsAnnounced ends an outage at the end that the destination announced, without a probe, which would
+// only delay the waiting messages. All senders may have received the same end, and one call from each at the
+// same time may be more than a recovering destination can handle, so among many senders each begins with a
+// random part of a token.
+func (d *Dispatcher) endOutageAsAnnounced(r *route) {
+	d.startSlowStart(r, 1-d.trafficSparsity()*(d.jitter()+0.5))
 	r.breaker.consecutiveFailures = 0
 }
 
@@ -43,8 +44,8 @@
 	if b.state == warmingUp && d.settings.SlowStartDuration > 0 {
 		capacity += (1 - capacity) * min(1, (d.now-b.since).Seconds()/duration)
 	}
-	exponent := b.rateBefore * (d.now - b.outageStartedAt).Seconds()
-	unaware := awareLoadShare / max(math.Expm1(exponent), minUnawareExponent)
-	least := fleetProbeBudget / max(duration, 1) / float64(max(1, d.settings.Senders))
-	return max(least, b.rateBefore*max(max(1, d.settings.CollapseLoadFactor)*capacity, unaware))
+	expectedCalls := b.rateBefore * (d.now - b.outageStartedAt).Seconds()
+	informedShare := informedLoadShare / max(math.Expm1(expectedCalls), minInformedRatio)
+	lowestRate := fleetProbeBudget / max(duration, 1) / float64(max(1, d.settings.Senders))
+	return max(lowestRate, b.rateBefore*max(max(1, d.settings.CollapseLoadFactor)*capacity, informedShare))
 }
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -268,7 +268,7 @@
 		ConsecutiveFailures: r.breaker.consecutiveFailures,
 		OutageStartedAt:     r.breaker.outageStartedAt,
 		RateBefore:          r.breaker.rateBefore,
-		ReopensAt:           r.breaker.reopensAt,
+		ReopensAt:           r.breaker.announcedEndAt,
 		LastProbeAt:         r.breaker.lastProbeAt,
 	}
 }
@@ -301,6 +301,6 @@
 	r.breaker.consecutiveFailures = s.ConsecutiveFailures
 	r.breaker.outageStartedAt = s.OutageStartedAt
 	r.breaker.rateBefore = s.RateBefore
-	r.breaker.reopensAt = s.ReopensAt
+	r.breaker.announcedEndAt = s.ReopensAt
 	r.breaker.lastProbeAt = s.LastProbeAt
 }
