--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -6,9 +6,8 @@
 // PersistOutages and Log.
 type Action interface{ action() }
 
-// Send calls an endpoint with a message and gives the attempt up after Timeout. A call that has to wait
-// for its connection is started within StartWithin or not at all: if it were written later it would arrive
-// too late.
+// Send calls an endpoint with a message and gives the attempt up after Timeout. A call that has to wait for
+// its connection is started within StartWithin or not at all, as it would arrive too late.
 type Send struct {
 	Message     MessageID
 	Endpoint    EndpointID
@@ -22,29 +21,31 @@
 	RetryAfter time.Duration
 }
 
-// Fail ends a message and promises nothing.
+// Fail ends a message that will not be delivered any more. Unlike a rejected message it may have run.
 type Fail struct{ Message MessageID }
 
-// Cancel stops waiting for an attempt; it ends as Cancelled or as it would have.
+// Cancel stops waiting for an attempt. The attempt ends as Cancelled, or with another outcome if that is
+// known first.
 type Cancel struct {
 	Message MessageID
 	Attempt int
 }
 
-// AbortUnsent stops the calls to an endpoint that have not been written yet, as they may wait for a
-// connection for long: they end as NotSent. Those that have been written go on.
+// AbortUnsent aborts the calls to an endpoint that have not been written yet: they end as NotSent. Such calls
+// may otherwise wait for a connection for a long time. Calls that have been written continue.
 type AbortUnsent struct{ Endpoint EndpointID }
 
 // CloseIdle closes the idle connections to an endpoint.
 type CloseIdle struct{ Endpoint EndpointID }
 
-// SetTimer asks for a TimerFired at clock time At.
+// SetTimer asks for a TimerFired event at clock time At.
 type SetTimer struct{ At time.Duration }
 
 // WatchEndpointList asks for the endpoint list and its changes.
 type WatchEndpointList struct{}
 
-// PersistOutages records the routes whose state has changed: in an outage, in slow start, or healthy again.
+// PersistOutages asks to store the routes whose state has changed: in an outage, in slow start, or healthy
+// again.
 type PersistOutages struct{ Outages []Outage }
 
 // Log is a line for the operators.
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// shedThreshold is the share of MaxPendingMessages from which messages are rejected.
+	// shedThreshold is the share of MaxPendingMessages above which messages are rejected.
 	shedThreshold = 0.95
-	// minServedRate is added to a route's served rate (calls a second) in the estimate of a queue's wait.
+	// minServedRate is added to a route's served rate (calls a second), which may be 0, in the estimate of a
+	// queue's wait.
 	minServedRate = 0.1
 )
 
-// admit takes a message on.
+// admit adds a submitted message to the pending ones. It fails a message of a class that the settings lack.
 func (d *Dispatcher) admit(submitted Message) {
 	rules := submitted.Rules
 	if rules == nil {
@@ -47,7 +48,7 @@
 	d.countTenantMessage(m.Tenant)
 }
 
-// closeMessage ends a message; its attempts may still be in flight.
+// closeMessage ends a message. Its attempts may still be in flight; it is forgotten when there are none.
 func (d *Dispatcher) closeMessage(m *message) {
 	if !m.closed {
 		m.closed = true
@@ -81,9 +82,10 @@
 	d.dropKeyQueues()
 }
 
-// shedLoad rejects messages while there are nearly MaxPendingMessages: their clients can come back, and
-// others would be turned away unseen. At most one goes for each that has come in this batch: those pending
-// before were accepted, also if the bound has become lower since.
+// shedLoad rejects messages while the number of pending ones is close to MaxPendingMessages. A client can
+// submit a rejected message again, whereas at MaxPendingMessages submissions are refused before the
+// dispatcher can choose among them. At most one message is rejected for each that was submitted in this step:
+// those that were pending before have been accepted, even if the limit was lowered since.
 func (d *Dispatcher) shedLoad() {
 	threshold := shedThreshold * float64(d.settings.MaxPendingMessages)
 	for ; d.newInStep > 0 && threshold > 0 && float64(len(d.pending)) > threshold; d.newInStep-- {
@@ -100,8 +102,8 @@
 	}
 }
 
-// shedVictim is the newest message of the destination with the longest wait, of a tenant beyond its quota
-// first. It is nil if every message may have run.
+// shedVictim returns the message to reject: the newest message of the destination with the longest expected
+// wait, preferably of a tenant beyond its quota. It returns nil if every waiting message may have run.
 func (d *Dispatcher) shedVictim() *message {
 	var victim *message
 	longest := 0.0
@@ -118,7 +120,7 @@
 	return victim
 }
 
-// inheritAttempt books an attempt that another process of this sender has in flight, as if this one had
+// inheritAttempt adds an attempt that another process of this sender has in flight, as if this process had
 // sent it.
 func (d *Dispatcher) inheritAttempt(m *message, inFlight *InFlightAttempt) {
 	c := d.inheritedCalls[inFlight.Call]
@@ -128,7 +130,7 @@
 	m.addAttempt(attempt{call: c, timeout: inFlight.Timeout, untilDeadline: true})
 }
 
-// inheritCall books a call that another process of this sender has in flight.
+// inheritCall adds a call that another process of this sender has in flight.
 func (d *Dispatcher) inheritCall(inFlight *InFlightAttempt) *call {
 	e := d.endpoints[inFlight.Endpoint]
 	r := e.route
--- a/internal/dispatch/concurrency.go
+++ b/internal/dispatch/concurrency.go
@@ -6,16 +6,18 @@
 )
 
 const (
-	// destinationCallShare is the share of the slots for calls that one destination stays under (design).
+	// destinationCallShare is the share of all call slots (MaxConcurrentCalls) that the calls of one
+	// destination stay below.
 	destinationCallShare = 0.75
-	// windowDecay is what the window loses by a call served while less than half of it is in use.
+	// windowDecay is subtracted from the window for each call served while less than half of it is in use.
 	windowDecay = 0.25
 	// overdueFactor is the age of an unanswered call, as a multiple of the median latency, from which it
 	// may be cancelled.
 	overdueFactor = 8
 	// slowFactor is the recent latency, as a multiple of the usual one, from which a destination is slow.
 	slowFactor = 3
-	// overdueDoublings is how often that age doubles at most, as calls are cancelled.
+	// overdueDoublings is the maximum number of times that the age from which a call may be cancelled
+	// doubles, as calls are cancelled.
 	overdueDoublings = 4
 )
 
@@ -25,20 +27,20 @@
 	size           float64
 	halvedAt       time.Duration
 	inFlight       int     // calls
-	unanswered     []*call // calls in flight, in order of sending
-	cancelledCalls int     // calls cancelled since one was served
+	unanswered     []*call // calls in flight, in the order in which they were sent
+	cancelledCalls int     // calls cancelled since the last one that was served
 }
 
-// halve cuts the window, once for all calls that were in flight at the last cut.
+// halve halves the window, at most once for all calls that were in flight at the last halving.
 func (w *concurrencyWindow) halve(sentAt, now time.Duration) {
 	if sentAt >= w.halvedAt {
 		w.size, w.halvedAt = max(1, w.size/2), now
 	}
 }
 
-// recordServed grows the window by a call served. A window that is not in use says nothing about what the
-// destination bears: it grows in use only, and decays out of it, so that a destination that falls silent
-// takes few slots before that shows.
+// recordServed adjusts the window for a call served. The window grows only while at least half of it is in
+// use, as otherwise it does not show how many calls the destination can handle. It shrinks while less is in
+// use, so that a destination that stops answering occupies few slots before that is noticed.
 func (w *concurrencyWindow) recordServed(maxCalls float64) {
 	if used := float64(w.inFlight + 1); 2*used >= w.size {
 		w.size = min(w.size+1, max(1, maxCalls))
@@ -47,12 +49,13 @@
 	}
 }
 
-// maxCallsPerDestination is how many calls one destination may have in flight at most (design).
+// maxCallsPerDestination returns how many calls one destination may have in flight at most.
 func (d *Dispatcher) maxCallsPerDestination() float64 {
 	return math.Ceil(destinationCallShare*float64(d.settings.MaxConcurrentCalls)) - 1
 }
 
-// concurrencyLimit is how many calls r may have in flight. A failing, slow or silent one keeps half.
+// concurrencyLimit returns how many calls r may have in flight: its window, up to the maximum for one
+// destination, or up to half of that if r is failing, slow or silent.
 func (d *Dispatcher) concurrencyLimit(r *route) int {
 	limit := d.maxCallsPerDestination()
 	isSlow := r.traffic.latency > slowFactor*r.estimator.mean && r.estimator.mean > 0
@@ -62,14 +65,14 @@
 	return max(1, int(min(limit, r.window.size)))
 }
 
-// isFull reports whether r has as many calls in flight as its window and its state allow. In an outage probes
-// are counted instead.
+// isFull reports whether r has as many calls in flight as its window and its state allow. In an outage it
+// returns false, and acceptsCall limits the number of probes instead.
 func (d *Dispatcher) isFull(r *route) bool {
 	return r.breaker.state != unavailable && r.window.inFlight >= d.concurrencyLimit(r)
 }
 
-// isSilent reports whether nothing was served since the oldest of n or more unanswered calls was sent,
-// long ago.
+// isSilent reports whether r has n or more unanswered calls, the oldest of them was sent longer ago than the
+// silence timeout, and no call was served since it was sent.
 func (d *Dispatcher) isSilent(r *route, n int) bool {
 	if len(r.window.unanswered) < n {
 		return false
@@ -78,10 +81,10 @@
 	return r.traffic.lastServedAt <= oldest.sentAt && d.now-oldest.sentAt > r.silenceTimeout()
 }
 
-// mayExceedWindow reports whether one more call may go beside those that r has in flight, as all of them
-// are overdue: one that may not be repeated holds its place to its deadline, and at an endpoint that hangs
-// a few of them would keep all others out of the destination. The additional call goes to an endpoint that
-// has none.
+// mayExceedWindow reports whether r may have one more call in flight than its window allows, because all its
+// calls in flight are overdue. A call that may not be repeated stays in flight until its deadline, and at an
+// endpoint that hangs a few of them would block all other calls to the destination. The additional call goes
+// to an endpoint that has none in flight.
 func (d *Dispatcher) mayExceedWindow(r *route) bool {
 	for _, c := range r.window.unanswered {
 		if overdueAt := c.sentAt + d.overdueAfter(c); d.now < overdueAt {
@@ -92,19 +95,21 @@
 	return r.window.inFlight < int(d.maxCallsPerDestination())
 }
 
-// silenceTimeout is how old an unanswered call may be before it counts as silence. Calls that came back
-// from a hang lengthen the timeout; silence is judged as if they had not.
+// silenceTimeout returns how old an unanswered call may be before r counts as silent. Calls that were
+// answered after a hang lengthen the optimal timeout; the bound of tauInitial keeps them from lengthening the
+// silence timeout, too.
 func (r *route) silenceTimeout() time.Duration {
 	return min(r.estimator.optimumOrInitial(), tauInitial)
 }
 
-// overdueAfter is the age from which a call may be cancelled for its slot: some times the usual latency,
-// which for a route with few samples is that of all routes, if a call sent later was served there already.
-// It doubles with each call cancelled there until one is served: what becomes slow then gets the time to
-// show it.
+// overdueAfter returns the age from which c may be cancelled to free its slot. It is a multiple of the
+// route's usual latency, or of the usual latency over all routes if the route has few samples and a call sent
+// after c was served there already; without such a latency it is the silence timeout, which is also its
+// maximum. The age doubles with each call cancelled at the route until one is served there: a destination
+// that has become slow then gets the time to answer, which shows its new latency.
 func (d *Dispatcher) overdueAfter(c *call) time.Duration {
 	r := c.route
-	d.overallEstimator.optimum() // brings its median up to date
+	d.overallEstimator.optimum() // updates its median
 	usualLatency := d.overallEstimator.median
 	if r.estimator.samples >= minSamples {
 		usualLatency = r.estimator.median
@@ -116,9 +121,9 @@
 	return min(r.silenceTimeout(), usualLatency<<min(r.window.cancelledCalls, overdueDoublings))
 }
 
-// cancelOverdue cancels overdue calls while messages wait for slots, the longest overdue first. A call
-// that may not be repeated holds its slot to the deadline otherwise, and a few destinations that hang, or
-// calls lost here and there, would take all slots. The cost is that a call may be cancelled which would
+// cancelOverdue cancels overdue calls while messages wait for slots, the longest overdue first. Otherwise a
+// call that may not be repeated holds its slot until its deadline, and a few destinations that hang, or
+// single calls that are never answered, would occupy all slots. The cost is that a cancelled call might still
 // have been answered.
 func (d *Dispatcher) cancelOverdue(waiting int) {
 	for d.settings.CanCancelAttempts && d.cancelledInFlight < waiting {
@@ -137,7 +142,8 @@
 	}
 }
 
-// longestOverdue is the call that is the longest overdue and not cancelled, nil if there is none.
+// longestOverdue returns the call that has been overdue for the longest time, cancelled ones aside. It
+// returns nil if there is none.
 func (d *Dispatcher) longestOverdue() *call {
 	var victim *call
 	longest := time.Duration(0)
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -6,19 +6,21 @@
 	"time"
 )
 
-// How long idle connections are kept. How many connections an endpoint takes is not known: it shows in
-// connects that fail, and none is kept there then. What a sender with few calls sees at one endpoint holds
-// for the kind of destination, as others see the same; a sender with many calls has seen for itself.
+// This file decides how long idle connections are kept. How many connections an endpoint accepts is not
+// known until a connect fails; then no idle connections to it are kept. A sender with few calls applies
+// what it sees at one endpoint to all destinations of that kind, as the other senders see the same. A sender
+// with many calls to a route relies on what it has seen there itself.
 
 const (
-	// idleTimeoutDivisor is how many times shorter idle connections are kept where a connect fails.
+	// idleTimeoutDivisor divides the idle timeout for a kind of destination when a connect there fails.
 	idleTimeoutDivisor = 4
-	// idleTimeoutGrowth is the share of the full idle timeout by which they are kept longer again, by call
-	// served.
+	// idleTimeoutGrowth is the share of the full idle timeout by which each call served lengthens a shortened
+	// idle timeout again.
 	idleTimeoutGrowth = 0.002
 )
 
-// kindIdleTimeout is the idle timeout of connections to destinations of e's kind.
+// kindIdleTimeout returns the idle timeout of connections to destinations of e's kind, as a pointer so that
+// callers can change it. With many senders it starts as a fraction of the full idle timeout.
 func (d *Dispatcher) kindIdleTimeout(e *endpoint) *time.Duration {
 	for len(d.idleTimeouts) <= e.Kind {
 		senders := time.Duration(max(smallFleet, d.settings.Senders))
@@ -27,7 +29,7 @@
 	return &d.idleTimeouts[e.Kind]
 }
 
-// idleTimeout is how long an idle connection to e is kept.
+// idleTimeout returns how long an idle connection to e is kept.
 func (d *Dispatcher) idleTimeout(e *endpoint) time.Duration {
 	timeout := *d.kindIdleTimeout(e)
 	if d.hasEnoughOwnCalls(e.route) {
@@ -36,7 +38,7 @@
 	return max(0, timeout-e.idleTimeoutCut)
 }
 
-// closeIdleConnections closes connections that have been idle for longer than they are kept.
+// closeIdleConnections closes the connections that have been idle for longer than their idle timeout.
 func (d *Dispatcher) closeIdleConnections() {
 	remaining := d.idleEndpoints[:0]
 	for _, e := range d.idleEndpoints {
@@ -44,7 +46,7 @@
 		closeAt := e.idleSince + timeout
 		switch {
 		case e.inFlight > 0 || d.now >= e.idleSince+d.settings.IdleConnectionTimeout:
-			continue // it is in use, or the endpoint has closed it
+			continue // in use, or already closed by the endpoint
 		case d.now >= closeAt:
 			d.emit(CloseIdle{Endpoint: e.ID})
 			e.idleSince = 0
@@ -57,7 +59,7 @@
 	d.idleEndpoints = remaining
 }
 
-// releaseConnection books that a call to e has ended.
+// releaseConnection records that a call to e has ended and its connection is free or closed.
 func (d *Dispatcher) releaseConnection(e *endpoint, served bool) {
 	e.inFlight--
 	if served {
@@ -74,10 +76,11 @@
 	}
 }
 
-// canReuseConnection reports whether the next call to e may go on a connection that has just served one.
-// It takes that one's place, so that e has no more at once than before, and where places are scarce there
-// is hardly another: neither the pace nor the backoff after a failed connect is of use. Not where calls
-// are rejected, as there they are counted.
+// canReuseConnection reports whether the next call to e may use a connection on which a call has just been
+// served. Such a call takes the place of the one before, so e has no more connections in use than before.
+// Where connections are scarce it is hardly possible to open another, so a delay by the rate limiter or by
+// the backoff after a failed connect would gain nothing. It returns false if the route has rejected a call
+// recently, as such a route counts the calls that it gets.
 func (d *Dispatcher) canReuseConnection(e *endpoint) bool {
 	r := e.route
 	accepts := r.breaker.state == healthy && d.now >= r.backoff.until &&
@@ -86,24 +89,26 @@
 	return freedNow && accepts && d.now-r.backoff.rejectedAt > d.settings.OverloadWindow
 }
 
-// recordConnectFailure shortens the idle timeouts: e may have as many connections as it takes.
+// recordConnectFailure shortens the idle timeouts, as e may have as many connections as it accepts.
 func (d *Dispatcher) recordConnectFailure(e *endpoint) {
 	e.connectFailedAt = d.now
 	*d.kindIdleTimeout(e) /= idleTimeoutDivisor
 	e.idleTimeoutCut = d.settings.IdleConnectionTimeout
 }
 
-// lengthenIdleTimeout lengthens the idle timeouts for a call served.
+// lengthenIdleTimeout lengthens the idle timeouts after a call was served.
 func (d *Dispatcher) lengthenIdleTimeout(e *endpoint) {
-	share := math.Sqrt(smallFleet / float64(max(smallFleet, d.settings.Senders))) // other senders add theirs
+	// The other senders lengthen their idle timeouts, too, so each of many does so more slowly.
+	share := math.Sqrt(smallFleet / float64(max(smallFleet, d.settings.Senders)))
 	growth := time.Duration(idleTimeoutGrowth * share * float64(d.settings.IdleConnectionTimeout))
 	kindTimeout := d.kindIdleTimeout(e)
 	*kindTimeout = min(d.settings.IdleConnectionTimeout, *kindTimeout+growth)
 	e.idleTimeoutCut = max(0, e.idleTimeoutCut-growth)
 }
 
-// detectDroppedConnection shortens the idle timeouts where m was served fast (after so many seconds) once an
-// attempt on a connection that had been idle was not: such connections are dropped unnoticed.
+// detectDroppedConnection shortens the idle timeouts if a connection seems to have been dropped unnoticed
+// while it was idle: the previous attempt of m used an idle connection and its outcome is unknown, but this
+// attempt was served in a normal time (seconds).
 func (d *Dispatcher) detectDroppedConnection(m *message, e *endpoint, seconds float64) {
 	if len(m.attempts) < 2 {
 		return
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// never is a time that does not come; -never one that has long passed.
+	// never is a time that is never reached; -never is before all others.
 	never = time.Duration(math.MaxInt64)
-	// longAgo is a time before all others that can still be subtracted from any time.
+	// longAgo is a time in the distant past that can be subtracted from any time without an overflow.
 	longAgo = -never / 2
-	// listRetryInterval is the delay before a failed request for the endpoint list is repeated.
+	// listRetryInterval is the delay before the endpoint list is requested again after a failed request.
 	listRetryInterval = time.Second
 	// logInterval is the least time between two log lines about one route.
 	logInterval = 5 * time.Second
@@ -21,29 +21,29 @@
 type Dispatcher struct {
 	settings    Settings
 	randomState uint64
-	startedAt   time.Duration // time of the first batch
+	startedAt   time.Duration // time of the first step
 
-	// The batch at hand.
+	// State of the current step.
 	now           time.Duration
-	nextWake      time.Duration // earliest time at which something is to be decided
+	nextWake      time.Duration // earliest time at which another step is needed
 	actions       []Action
-	newInStep     int      // messages submitted in it, resumed ones not counted
-	changedRoutes []*route // routes whose circuit has changed state in it
+	newInStep     int      // messages submitted in this step, resumed ones not counted
+	changedRoutes []*route // routes whose circuit has changed state in this step
 
-	timerAt     time.Duration // the earliest timer that is set, never if none is
-	watchListAt time.Duration // when to ask for the endpoint list, never if not at all
+	timerAt     time.Duration // time of the earliest timer that is set, never if none is
+	watchListAt time.Duration // when to request the endpoint list, never if no request is due
 
-	messages          map[MessageID]*message // until they and their attempts have ended
+	messages          map[MessageID]*message // those that have not ended or have attempts in flight
 	pending           []*message             // those that have not ended, in order of arrival
 	keyQueues         map[uint64]*keyQueue   // by ordering key
-	settlingKeyQueues []*keyQueue            // that may be dropped once they are empty and have settled
+	settlingKeyQueues []*keyQueue            // those to delete once they are empty and have settled
 	callsInFlight     int
-	cancelledInFlight int              // calls in flight that are cancelled
-	inheritedCalls    map[uint64]*call // calls of another process that are in flight, by its number
+	cancelledInFlight int              // calls in flight that have been cancelled
+	inheritedCalls    map[uint64]*call // calls in flight of another process, by its number for them
 
 	endpoints        map[EndpointID]*endpoint
 	destinations     map[DestinationID]*destination
-	destinationOrder []*destination // in order of first mention
+	destinationOrder []*destination // in the order in which they became known
 	routes           []*route
 
 	overallEstimator     timeoutEstimator // over all routes, for the usual latency of this sender
@@ -51,14 +51,14 @@
 	tenantRates          []tenantRate
 	tenantRatesDecayedAt time.Duration
 	classGoodputs        []classGoodput
-	idleEndpoints        []*endpoint     // those that may have an idle connection
+	idleEndpoints        []*endpoint     // endpoints that may have an idle connection
 	idleTimeouts         []time.Duration // of idle connections, by kind of destination
 
-	storageFailing    bool // nothing may be sent: it could not be recorded
-	endpointListStale bool // nothing may be sent: its endpoint may be draining by now
+	storageFailing    bool // nothing may be sent, as it could not be recorded
+	endpointListStale bool // nothing may be sent, as its endpoint may be draining by now
 }
 
-// New returns the Dispatcher of one sender that knows nothing yet but its settings.
+// New returns a Dispatcher for one sender, with its settings and a seed for its random numbers.
 func New(s Settings, seed uint64) *Dispatcher {
 	d := &Dispatcher{
 		settings:      s,
@@ -80,8 +80,8 @@
 	return d
 }
 
-// Step takes in all events of a batch, then decides once. The actions are to be carried out in order.
-// Time never goes back; a batch dated before the last is taken as of the last.
+// Step handles all events, then decides once. The caller must carry out the actions in order. Time never goes
+// back: a step with a time before that of the last step takes place at the time of the last.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
 	d.startStep(max(now, d.now))
 	for _, event := range events {
@@ -136,15 +136,15 @@
 	}
 }
 
-// handleTimer clears the timer that has fired. The caller's clock may be coarser than ours: a timer that
-// fires a little early is the one set.
+// handleTimer clears the timer that has fired. The caller's clock may have a coarser resolution than the
+// dispatcher's times, so a TimerFired that comes up to StepInterval early counts as that of the timer set.
 func (d *Dispatcher) handleTimer() {
 	if d.timerAt <= d.now+d.settings.StepInterval {
 		d.timerAt = never
 	}
 }
 
-// watchEndpointList asks for the endpoint list when that is due.
+// watchEndpointList requests the endpoint list when a request is due.
 func (d *Dispatcher) watchEndpointList() {
 	if d.watchListAt <= d.now {
 		d.watchListAt = never
@@ -153,7 +153,7 @@
 	d.wakeAt(d.watchListAt)
 }
 
-// setTimer asks for a timer, unless one is set that fires early enough.
+// setTimer requests a timer for the next step that is needed, unless one is set that fires early enough.
 func (d *Dispatcher) setTimer() {
 	if d.nextWake < d.timerAt {
 		d.timerAt = max(d.nextWake, d.now+d.settings.StepInterval)
@@ -161,7 +161,8 @@
 	}
 }
 
-// updateSettings replaces the settings. What was learnt stays, and pending messages have their own rules.
+// updateSettings replaces the settings. What the dispatcher has learnt is kept, and pending messages keep the
+// rules of their admission.
 func (d *Dispatcher) updateSettings(s Settings) {
 	d.settings = s
 	if len(s.Classes) != len(d.classGoodputs) {
@@ -171,12 +172,13 @@
 	d.tenantRates = append(d.tenantRates, added...)[:len(s.Tenants)]
 }
 
+// emit adds an action to those that this step returns.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// wakeAt makes sure that a batch comes at t or before.
+// wakeAt makes sure that there is another step at t or before.
 func (d *Dispatcher) wakeAt(t time.Duration) { d.nextWake = min(d.nextWake, t) }
 
-// logRoute writes a log line about a route, at most one in logInterval.
+// logRoute logs a line about a route, at most one in logInterval.
 func (d *Dispatcher) logRoute(r *route, text string) {
 	if d.now-r.lastLoggedAt < logInterval {
 		return
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -6,12 +6,13 @@
 // failures, rate limit, outages). It does no I/O, reads no clock and starts no goroutine. Its callers are
 // the sender's event loop and the simulator's adapter.
 //
-// A sender makes one Dispatcher with New and calls Step with every batch of events. Step takes in all
-// events, then decides once, and returns the actions in the order in which they are to be carried out. The
-// time is the batch's: it may start anywhere and never goes back. A Dispatcher is deterministic: it draws
-// randomness from its seed only, so the same events give the same actions. It is not for concurrent use;
-// separate Dispatchers share nothing. The caller owns what it passes in and what it gets back.
+// A sender makes one Dispatcher with New and passes all events to Step, several at a time. Step handles all
+// of its events, then decides once, and returns the actions in the order in which the caller must carry
+// them out. The caller passes the time to Step: it may start at any value and never goes back. A Dispatcher
+// is deterministic: its only source of randomness is its seed, so the same events give the same actions. It
+// is not safe for concurrent use; separate Dispatchers share no state. The caller owns what it passes in and
+// what it gets back.
 //
-// Snapshot and Restore hand what a Dispatcher has learnt to its successor in another process of the same
+// Snapshot and Restore pass what a Dispatcher has learnt to its successor in another process of the same
 // sender.
 package dispatch
--- a/internal/dispatch/endpointlist.go
+++ b/internal/dispatch/endpointlist.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// updateEndpointList takes in the list, or asks for it again later if that has failed. An endpoint that is
-// draining or gone gets no new call from this batch on.
+// updateEndpointList applies an update of the endpoint list. If the request for it failed, it schedules the
+// next request. An endpoint that is draining or gone gets no new call from this step on.
 func (d *Dispatcher) updateEndpointList(update EndpointListUpdate) {
 	if update.Failed {
 		if d.settings.PollsEndpointList {
@@ -32,7 +32,7 @@
 	}
 }
 
-// addEndpoint lists an endpoint with its destination.
+// addEndpoint adds an endpoint of the list to its destination.
 func (d *Dispatcher) addEndpoint(entry Endpoint) {
 	entry.Kind, entry.Zone = max(0, entry.Kind), max(0, entry.Zone)
 	dest := d.ensureDestination(entry.Destination)
@@ -42,7 +42,7 @@
 			e = &endpoint{connectFailedAt: longAgo}
 			d.endpoints[entry.ID] = e
 		}
-		// What was learnt of its former route does not hold for this destination.
+		// What was learnt of its former route does not apply to this destination.
 		e.route = d.routeFor(entry, dest)
 	}
 	e.Endpoint = entry
@@ -53,7 +53,7 @@
 	dest.endpoints = append(dest.endpoints, e)
 }
 
-// routeFor is the route of an endpoint that is new to its destination.
+// routeFor returns the route of an endpoint that is new to its destination.
 func (d *Dispatcher) routeFor(entry Endpoint, dest *destination) *route {
 	if entry.Kind < len(d.settings.Kinds) && d.settings.Kinds[entry.Kind].PerEndpoint {
 		return d.newRoute(entry, true)
@@ -64,7 +64,7 @@
 	return dest.shared
 }
 
-// removeEndpoint takes an endpoint out of its destination. What is known of it stays.
+// removeEndpoint removes an endpoint from its destination. What is known of the endpoint is kept.
 func (d *Dispatcher) removeEndpoint(id EndpointID) {
 	if e := d.endpoints[id]; e != nil {
 		dest := d.ensureDestination(e.Destination)
@@ -72,15 +72,15 @@
 	}
 }
 
-// abortUnsent stops the calls to e that are not written yet: by the time that they are, e may be draining or
-// allow no calls.
+// abortUnsent aborts the calls to e that have not been written yet: by the time they are written, e may be
+// draining or allow no calls.
 func (d *Dispatcher) abortUnsent(e *endpoint) {
 	if e != nil && e.inFlight > 0 {
 		d.emit(AbortUnsent{Endpoint: e.ID})
 	}
 }
 
-// ensureDestination is the destination of that number, which becomes known if it is not.
+// ensureDestination returns the destination with the given ID. It adds the destination if it is not known.
 func (d *Dispatcher) ensureDestination(id DestinationID) *destination {
 	dest := d.destinations[id]
 	if dest == nil {
@@ -91,7 +91,7 @@
 	return dest
 }
 
-// maxBatchSize is how many messages may share a call to e.
+// maxBatchSize returns how many messages may share a call to e.
 func (d *Dispatcher) maxBatchSize(e *endpoint) int {
 	if e.Kind < len(d.settings.Kinds) {
 		return max(1, d.settings.Kinds[e.Kind].MaxBatchSize)
@@ -99,7 +99,8 @@
 	return 1
 }
 
-// EjectedEndpoints counts the listed endpoints that get no traffic now but single probes.
+// EjectedEndpoints returns the number of listed endpoints that are in an outage and get no calls but single
+// probes.
 func (d *Dispatcher) EjectedEndpoints() int {
 	ejected := 0
 	for _, dest := range d.destinationOrder {
