--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// MessageID names a message. It is the caller's; the package only returns it.
+// MessageID identifies a message. The caller chooses it; the package only returns it.
 type MessageID uint64
 
-// EndpointID names an endpoint. It is the caller's; the package only returns it.
+// EndpointID identifies an endpoint. The caller chooses it; the package only returns it.
 type EndpointID uint32
 
-// DestinationID names the receiver of a message.
+// DestinationID identifies the receiver of a message.
 type DestinationID uint32
 
 // Event is one of Message, AttemptResult, RetryAfterReceived, OutagesRestored, StorageStatus,
 // EndpointListStale, MessageCancelled, EndpointListUpdate, SettingsChanged and TimerFired.
 type Event interface{ event() }
 
-// Message submits a message. The dispatcher ends it exactly once; one of a class that the settings lack is
-// failed at once.
+// Message submits a message. The dispatcher ends it exactly once. It fails a message at once if the settings
+// lack its class.
 type Message struct {
 	ID          MessageID
 	Class       int
@@ -28,19 +28,19 @@
 	// The history of a message that an earlier process had; zero for a new one.
 	PriorAttempts int              // attempts already made
 	MayHaveRun    bool             // at least one of them may have run
-	FirstRunAt    time.Duration    // when the first that may have run was sent
-	FirstRunZone  int              // the zone that it was sent to
-	Rules         *Rules           // those of its admission; nil for those of the settings
-	InFlight      *InFlightAttempt // an attempt in flight, after those; its endpoint must be in the list
-	NotBefore     time.Duration    // no attempt until this clock time (backoff after a failed one)
-	Resumed       bool             // an earlier process admitted it: it is not rejected to shed load
+	FirstRunAt    time.Duration    // when the first attempt that may have run was sent
+	FirstRunZone  int              // the zone that this attempt was sent to
+	Rules         *Rules           // the rules of its admission; nil for those of the settings
+	InFlight      *InFlightAttempt // an attempt in flight, not among the prior ones, to a listed endpoint
+	NotBefore     time.Duration    // no attempt before this clock time (backoff after a failed one)
+	Resumed       bool             // admitted by an earlier process, and so not rejected to shed load
 }
 
 // InFlightAttempt is an attempt that another process of the same sender has in flight. It ends with an
-// AttemptResult of number 0.
+// AttemptResult whose Attempt is 0.
 type InFlightAttempt struct {
 	Endpoint EndpointID
-	Call     uint64 // attempts that share one call have the same
+	Call     uint64 // the same for all attempts that share one call
 	SentAt   time.Duration
 	Timeout  time.Duration
 }
@@ -48,8 +48,8 @@
 // Outcome is how an attempt ended. Its values and names are stored and must not change.
 type Outcome uint8
 
-// The outcomes. Rejected, ConnectFailed, NotSent and NotStarted prove that the attempt never ran.
-// NotStarted is no attempt at all: the sender could not record that it was about to be made.
+// The outcomes. Rejected, ConnectFailed, NotSent and NotStarted prove that the attempt never ran. NotStarted
+// does not count as an attempt: the sender could not record that it was about to make one.
 const (
 	Served Outcome = iota
 	Errored
@@ -74,7 +74,7 @@
 	NotStarted:       "not_begun",
 }
 
-// String is the outcome's name in logs and metrics.
+// String returns the outcome's name in logs and metrics.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -82,33 +82,33 @@
 	return "unknown"
 }
 
-// AttemptResult ends an attempt.
+// AttemptResult reports how an attempt ended.
 type AttemptResult struct {
 	Message        MessageID
 	Attempt        int // 0 for the first attempt of the message
 	Endpoint       EndpointID
 	Outcome        Outcome
-	Elapsed        time.Duration // since it was sent
+	Elapsed        time.Duration // time since the attempt was sent
 	ConnectionIdle time.Duration // how long its connection had been idle; 0 for a new one or if unknown
 	Final          bool          // the message needs no further result
-	RetryAfter     time.Duration // no calls for so long from now on; 0 if the answer did not say
+	RetryAfter     time.Duration // no calls are allowed for so long from now on; 0 if not given
 	HasLoadReport  bool          // QuotaLeft and RateLimit were reported
 	QuotaLeft      float64       // share of the destination's quota that is left
 	RateLimit      float64       // its rate limit in calls a second, 0 if it has none
 }
 
-// RetryAfterReceived says that an endpoint allows no calls for so long, in an answer that is not complete
-// yet.
+// RetryAfterReceived reports that an endpoint allows no calls for RetryAfter, by an answer that is not
+// complete yet.
 type RetryAfterReceived struct {
 	Endpoint   EndpointID
 	RetryAfter time.Duration
 }
 
-// StorageStatus says whether the sender can record what it does. While it cannot, nothing is sent.
+// StorageStatus reports whether the sender is unable to record what it does. While it is, nothing is sent.
 type StorageStatus struct{ Failing bool }
 
-// EndpointListStale says whether the list may have changed unnoticed, as its source is unreachable. While
-// it is stale, nothing is sent.
+// EndpointListStale reports whether the endpoint list may have changed unnoticed, as its source cannot be
+// reached. While it is stale, nothing is sent.
 type EndpointListStale struct{ Stale bool }
 
 // MessageCancelled withdraws a message.
@@ -121,7 +121,7 @@
 	Endpoints []Endpoint
 }
 
-// Endpoint is an entry of the list. It says nothing of health.
+// Endpoint is an entry of the endpoint list. It does not include the endpoint's health.
 type Endpoint struct {
 	ID          EndpointID
 	Destination DestinationID
@@ -134,11 +134,11 @@
 // SettingsChanged replaces the settings. Pending messages keep the rules of their admission.
 type SettingsChanged struct{ Settings }
 
-// OutagesRestored gives a new Dispatcher the outages that an earlier one last asked to persist. The endpoint
-// list must have come before, and no message.
+// OutagesRestored gives a new Dispatcher the outages that an earlier one asked to persist last. It must come
+// after the first endpoint list and before any message.
 type OutagesRestored struct{ Outages []Outage }
 
-// TimerFired says that the time of a SetTimer has come.
+// TimerFired reports that the time of a SetTimer has been reached.
 type TimerFired struct{}
 
 func (Message) event()            {}
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -4,11 +4,11 @@
 	"math"
 )
 
-// What follows from the number of senders. They share no state, so each goes by its own part of what all
-// do: what is harmless from one must be so from all at once, and one of many sees too little to find out
-// by itself.
+// This file adapts decisions to the number of senders. The senders share no state, so each decides by its
+// own part of the traffic. What one sender does must be harmless even if all senders do it at once, and one
+// of many senders sees too few calls to find a limit by itself.
 
-// smallFleet is the number of senders up to which each sees enough of every endpoint by itself.
+// smallFleet is the number of senders up to which each sender sees enough calls to every endpoint by itself.
 const smallFleet = 4
 
 // trafficSparsity returns how small a part of an endpoint's traffic one sender sees, by the number of
@@ -17,21 +17,22 @@
 	return 1 - smallFleet/float64(max(smallFleet, d.settings.Senders))
 }
 
-// fairShare is our equal share of a limit.
+// fairShare returns this sender's equal share of a limit.
 func (d *Dispatcher) fairShare(limit float64) float64 {
 	return limit / float64(max(1, d.settings.Senders))
 }
 
-// initialPace is the pace at which we begin: our fair share of a limit; among many senders, where that is
-// far below one call and few have messages there at a time, up to a call in the span that limits are
-// counted over.
+// initialPace returns the pace with which this sender begins: its fair share of the limit. Among many senders
+// that share is far below one call, and only few of them have messages for the route at the same time, so
+// there the pace is up to one call in backoffMax, the span over which limits are counted.
 func (d *Dispatcher) initialPace(limit float64) float64 {
 	senders := float64(max(1, d.settings.Senders))
 	return min(limit, max(d.fairShare(limit), min(1, senders/fleetProbeBudget)/backoffMax.Seconds()))
 }
 
-// smoothedRate is the rate of what was counted at a route over arrivalSpan: that, and one more in the time
-// that a route takes to get one in the mean, so that a sender that has seen few yet is not misled by them.
+// smoothedRate returns the rate (a second) of what counter has counted at a route over arrivalSpan. It adds
+// one to the count, and to the span the mean time in which a route gets one message, so that the rate is not
+// misleading when this sender has seen little yet.
 func (d *Dispatcher) smoothedRate(counter decayingCounter) float64 {
 	observed := arrivalSpan.Seconds() * (1 - math.Exp(-(d.now-d.startedAt).Seconds()/arrivalSpan.Seconds()))
 	expectedArrivals := d.arrivals.at(d.now) + 1
@@ -39,9 +40,9 @@
 	return (counter.at(d.now) + 1) / (observed + timePerMessage)
 }
 
-// hasEnoughOwnCalls reports whether r gets enough of our calls to judge it by them alone, and so large a part
-// of all that it takes that only a few senders can say so. Places for connections are scarce: eighty idle
-// ones fill them.
+// hasEnoughOwnCalls reports whether this sender makes enough calls to r to judge r by them alone, and so
+// large a part of all calls that r allows that only a few senders can do the same. The second condition is
+// needed because connections are scarce: eighty idle ones are as many as an endpoint accepts.
 func (d *Dispatcher) hasEnoughOwnCalls(r *route) bool {
 	limit := r.limiter.limit
 	hasLargeShare := limit > 0 && smallFleet*d.smoothedRate(r.traffic.sentCalls) >= limit
--- a/internal/dispatch/message.go
+++ b/internal/dispatch/message.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// message is a submitted message, until it and all its attempts have ended.
+// message is a submitted message. It is kept until it and all its attempts have ended.
 type message struct {
 	Message
 	class         *Class
-	maxAttempts   int // 0 for no bound
+	maxAttempts   int // 0 for no limit
 	destination   *destination
-	keyQueue      *keyQueue // nil if it is not ordered
+	keyQueue      *keyQueue // nil if the message is not ordered
 	attempts      []attempt
 	inFlight      int  // attempts without a result
-	closed        bool // it has ended; attempts may still be in flight
+	closed        bool // the message has ended; attempts may still be in flight
 	served        bool
 	mayHaveRun    bool          // an attempt may have run
-	firstRunAt    time.Duration // when the first that may have run was sent
-	firstRunZone  int           // the zone that it was sent to
+	firstRunAt    time.Duration // when the first attempt that may have run was sent
+	firstRunZone  int           // the zone that this attempt was sent to
 	notBefore     time.Duration // backoff after a failed attempt
-	connectFailed bool          // its last attempt found no place for a connection
+	connectFailed bool          // no connection could be made for its last attempt
 }
 
 // attempt is one attempt to deliver a message.
 type attempt struct {
 	call           *call
 	timeout        time.Duration
-	untilDeadline  bool    // its timeout is the message's time left, not τ
+	untilDeadline  bool    // its timeout is the message's time left, not τ (see timeoutEstimator)
 	sampleWeight   float64 // weight of its latency sample, 0 if it gives none
 	ended          bool
 	outcomeUnknown bool // it ended by a timeout or a broken connection
 }
 
-// keyQueue is the order of the messages with one key. Only the first of them may be sent.
+// keyQueue holds the messages with one ordering key, in order. Only the first of them may be sent.
 type keyQueue struct {
 	key         uint64
 	messages    []*message
-	settleUntil time.Duration // until then an attempt of unknown outcome may still run
+	settleUntil time.Duration // an attempt of unknown outcome may still run until then
 }
 
 // call is one call in flight to an endpoint. Several messages may share it.
@@ -53,13 +53,13 @@
 	cancelled      bool
 }
 
-// lastCall is the call of the message's last attempt.
+// lastCall returns the call of the message's last attempt.
 func (m *message) lastCall() *call { return m.attempts[len(m.attempts)-1].call }
 
-// attemptCount counts the attempts made, those before a restart included.
+// attemptCount returns the number of attempts made, including those before a restart of the sender.
 func (m *message) attemptCount() int { return m.PriorAttempts + len(m.attempts) }
 
-// likelyRoute is the route that m was sent to last, or the first of its destination.
+// likelyRoute returns the route that m was sent to last, or the first route of its destination.
 func (m *message) likelyRoute() *route {
 	if len(m.attempts) > 0 {
 		return m.lastCall().route
@@ -73,14 +73,16 @@
 	return m.destination.endpoints[0].route
 }
 
-// recordNeverRan takes back that m may have run, if only its last attempt could have.
+// recordNeverRan records that the last attempt of m never ran: m may have run only if an earlier one may
+// have.
 func (m *message) recordNeverRan() {
 	if m.firstRunAt == m.lastCall().sentAt {
 		m.mayHaveRun = false
 	}
 }
 
-// isHeadOfKeyQueue reports whether no other message of m's key goes first.
+// isHeadOfKeyQueue reports whether m is the next message of its key, and no earlier one of the key may still
+// run.
 func (d *Dispatcher) isHeadOfKeyQueue(m *message) bool {
 	q := m.keyQueue
 	if q == nil {
@@ -96,7 +98,7 @@
 	return true
 }
 
-// joinKeyQueue puts an ordered message at the end of its key's queue.
+// joinKeyQueue adds an ordered message to the end of its key's queue.
 func (d *Dispatcher) joinKeyQueue(m *message) {
 	if !m.class.Ordered || m.Key == 0 {
 		return
@@ -113,10 +115,10 @@
 	}
 }
 
-// settle keeps later messages of the key back until a time.
+// settle delays the first attempts of the key's later messages until a time.
 func (q *keyQueue) settle(until time.Duration) { q.settleUntil = max(q.settleUntil, until) }
 
-// leaveKeyQueue takes m, which has ended, out of its key's queue.
+// leaveKeyQueue removes m, which has ended, from its key's queue.
 func (d *Dispatcher) leaveKeyQueue(m *message) {
 	if m.keyQueue == nil {
 		return
@@ -125,7 +127,7 @@
 	d.settlingKeyQueues = append(d.settlingKeyQueues, m.keyQueue)
 }
 
-// dropKeyQueues forgets the key queues that are empty and have settled.
+// dropKeyQueues deletes the key queues that are empty and have settled.
 func (d *Dispatcher) dropKeyQueues() {
 	for len(d.settlingKeyQueues) > 0 {
 		q := d.settlingKeyQueues[0]
@@ -139,7 +141,7 @@
 	}
 }
 
-// remove returns the list without x. The given list stays as it is.
+// remove returns the list without x. It does not change the list that it is given.
 func remove[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return append(list[:i:i], list[i+1:]...)
--- a/internal/dispatch/outage.go
+++ b/internal/dispatch/outage.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Outages outlive a process. A destination that recovers from an outage bears little from those that saw
-// it fail: a sender that is restarted in between has many messages for it, and would otherwise send them
-// all at once. So each change of a circuit's state is persisted, and the next process begins with the
-// states last persisted.
+// This file persists outages so that they survive a restart of the process. A destination that recovers from
+// an outage can handle only few calls from the senders that saw it fail. A sender that is restarted in the
+// meantime has many messages for it and would otherwise send them all at once. So each change of a circuit's
+// state is persisted, and the next process begins with the states that were persisted last.
 
 // Outage is the state of a route that is in an outage or in the slow start after one.
 type Outage struct {
 	Destination DestinationID
-	Endpoint    EndpointID    // only with PerEndpoint
+	Endpoint    EndpointID    // set only with PerEndpoint
 	PerEndpoint bool          // the endpoint is a route of its own
 	Resolved    bool          // the route is healthy again; the fields below are not set
-	WarmingUp   bool          // it is in its slow start
+	WarmingUp   bool          // the route is in its slow start
 	Since       time.Duration // clock time at which that state began
 	StartedAt   time.Duration // clock time at which the outage began
-	RateBefore  float64       // our calls a second before it
+	RateBefore  float64       // this sender's calls a second before the outage
 }
 
-// persistOutages asks to record the routes whose circuit has changed state in this batch.
+// persistOutages asks to store the state of the routes whose circuit has changed state in this step.
 func (d *Dispatcher) persistOutages() {
 	if len(d.changedRoutes) == 0 {
 		return
@@ -32,7 +32,7 @@
 	d.emit(PersistOutages{Outages: outages})
 }
 
-// outage is the state of r to be persisted.
+// outage returns the state of r to be persisted.
 func (r *route) outage() Outage {
 	outage := Outage{
 		Destination: r.destination,
@@ -49,7 +49,7 @@
 	return outage
 }
 
-// routeOfOutage is the route that an outage is of, nil if it is not known.
+// routeOfOutage returns the route that an outage belongs to, nil if the route is not known.
 func (d *Dispatcher) routeOfOutage(outage Outage) *route {
 	if !outage.PerEndpoint {
 		if dest := d.destinations[outage.Destination]; dest != nil {
@@ -64,8 +64,8 @@
 	return e.route
 }
 
-// restoreOutages begins with the states that an earlier Dispatcher persisted. A route whose slow start
-// began long ago has recovered by now.
+// restoreOutages restores the states that an earlier Dispatcher persisted. It skips a route whose slow start
+// began so long ago that the route has recovered by now.
 func (d *Dispatcher) restoreOutages(outages []Outage) {
 	for _, outage := range outages {
 		r := d.routeOfOutage(outage)
