--- a/internal/dispatch/circuitbreaker.go
+++ b/internal/dispatch/circuitbreaker.go
@@ -3,43 +3,45 @@
 import "time"
 
 const (
-	// degradedFailureRate is the share of failed calls from which half the window and a bounded rate hold.
+	// degradedFailureRate is the share of failed calls above which a route may have only half as many calls
+	// in flight, and its rate is bounded.
 	degradedFailureRate = 0.3
-	// outageFailureRate is the share of failed calls that is an outage.
+	// outageFailureRate is the share of failed calls above which a route is in an outage.
 	outageFailureRate = 0.65
-	// maxFailureThreshold is the number of failures in a row that are an outage, where as many calls come
-	// in an overload window.
+	// maxFailureThreshold is the number of failures in a row that mean an outage, on a route that gets at
+	// least as many calls in an overload window.
 	maxFailureThreshold = 8
-	// minFailureThreshold is that number where hardly any come.
+	// minFailureThreshold is that number on a route that gets hardly any calls.
 	minFailureThreshold = 2
 	// probeInterval is the least time between two probes.
 	probeInterval = 300 * time.Millisecond
 )
 
-// circuitState is the state of a route's circuit breaker. Its values are handed over and must not change.
+// circuitState is the state of a route's circuit breaker. Its values are part of the hand-over and must not
+// change.
 type circuitState uint8
 
 const (
 	healthy     circuitState = iota
-	unavailable              // the circuit is open in an outage: single probes, at the rate of a recovery
-	warmingUp                // it has recovered: slow start
+	unavailable              // an outage: the circuit is open, single probes up to the recovery rate
+	warmingUp                // the outage is over: slow start
 )
 
-// circuitBreaker keeps traffic from a route in an outage, and lets it return by a slow start.
+// circuitBreaker blocks calls to a route in an outage, and lets their rate rise slowly after it.
 type circuitBreaker struct {
 	state               circuitState
-	since               time.Duration // of the state
+	since               time.Duration // when the state began
 	failureRate         float64       // recent mean share of failed calls
 	consecutiveFailures int           // calls in a row that were not served
 	outageStartedAt     time.Duration
-	rateBefore          float64       // our calls a second before the outage
+	rateBefore          float64       // this sender's calls a second before the outage
 	announcedEndAt      time.Duration // announced end of the outage, 0 if there is none
 	probesInFlight      int           // calls in flight that were sent during this outage
 	lastProbeAt         time.Duration
 }
 
-// acceptsCall reports whether r may get a call now. If it may later, a batch comes then. It brings the
-// state of r's circuit up to date.
+// acceptsCall reports whether r may get a call now. If it may get one at a known later time, it schedules a
+// step for then. It updates the state of r's circuit first.
 func (d *Dispatcher) acceptsCall(r *route) bool {
 	d.updateCircuit(r)
 	if d.now < r.backoff.until {
@@ -61,7 +63,7 @@
 	return d.hasToken(r)
 }
 
-// updateCircuit ends a slow start in time, and begins an outage where calls go unanswered.
+// updateCircuit ends a slow start after its duration, and begins an outage if calls go unanswered.
 func (d *Dispatcher) updateCircuit(r *route) {
 	if r.breaker.state == warmingUp && d.now-r.breaker.since > d.settings.SlowStartDuration {
 		d.setState(r, healthy)
@@ -71,8 +73,9 @@
 	}
 }
 
-// checkOutage begins an outage after a call that was not served, if there have been enough of them.
-// Rejections come in a row where a rate limit is met, too: there it takes a while without a call served.
+// checkOutage begins an outage after a call that was not served, if enough calls have failed. A rate limit
+// causes rejections in a row, too, so rejections begin an outage only if no call was served for half an
+// overload window.
 func (d *Dispatcher) checkOutage(r *route, outcome Outcome) {
 	b := &r.breaker
 	threshold := d.failureThreshold(r)
@@ -84,22 +87,22 @@
 	}
 }
 
-// failureThreshold is how many failures in a row are an outage: as many calls as we make in an overload
-// window, for a sender with few there would not see eight fail before it is over; and more where senders
-// are few.
+// failureThreshold returns how many failures in a row mean an outage. It grows with the calls that this
+// sender makes in an overload window, as a sender with few calls would not see eight of them fail before the
+// outage is over. It is higher with few senders, and at most maxFailureThreshold.
 func (d *Dispatcher) failureThreshold(r *route) int {
 	callsInWindow := int(d.smoothedRate(r.traffic.sentCalls) * d.settings.OverloadWindow.Seconds())
 	threshold := max(minFailureThreshold+callsInWindow, fleetProbeBudget/max(1, d.settings.Senders))
 	return min(maxFailureThreshold, threshold)
 }
 
-// openCircuit begins an outage. Before a second one our own slow start held the rate down, so the rate before
-// the first is kept.
+// openCircuit begins an outage. If an outage begins again before the route was healthy, the slow start has
+// kept this sender's rate low, so the rate before the first outage is kept.
 func (d *Dispatcher) openCircuit(r *route) {
 	b := &r.breaker
 	if b.state == healthy {
 		b.rateBefore = max(d.smoothedRate(r.traffic.servedCalls), d.fairShare(r.limiter.limit))
-		if r.traffic.recentServed > maxFailureThreshold { // enough of them to go by the last seconds
+		if r.traffic.recentServed > maxFailureThreshold { // the rate of the last seconds is reliable
 			b.rateBefore = max(b.rateBefore, r.traffic.servedRate())
 		}
 		b.outageStartedAt = d.now
@@ -111,7 +114,7 @@
 	d.logRoute(r, "circuit open: calls fail, are rejected or go unanswered; only probes are sent")
 }
 
-// setState puts the circuit of r into another state, which is to be persisted at the end of the batch.
+// setState changes the state of r's circuit, and marks it to be persisted at the end of the step.
 func (d *Dispatcher) setState(r *route, to circuitState) {
 	r.breaker.state, r.breaker.since = to, d.now
 	for _, changed := range d.changedRoutes {
--- a/internal/dispatch/priority.go
+++ b/internal/dispatch/priority.go
@@ -6,38 +6,39 @@
 )
 
 const (
-	// minExpectedLatency (s) is the least time that a call is expected to hold its slot.
+	// minExpectedLatency (s) is the least time that a call is expected to occupy its slot.
 	minExpectedLatency = 0.05
-	// passedOverDelay is how long a message that is passed over is expected to wait.
+	// passedOverDelay is how long a message that is not sent now is expected to wait.
 	passedOverDelay = 2 * time.Second
-	// baseWeightShare is the share of a message's weight that counts beside its loss by waiting.
+	// baseWeightShare is the share of a message's weight that is added to the weight that it loses by
+	// waiting.
 	baseWeightShare = 0.1
-	// worstClassSharpness: classes whose goodput differs by less than its inverse share the worst class's
-	// weight.
+	// worstClassSharpness is how sharply the worst class is distinguished from the others: classes whose
+	// goodput differs by less than its inverse share the weight of the worst class.
 	worstClassSharpness = 10
-	// minClassWeight keeps a class without weight from dividing by zero.
+	// minClassWeight avoids a division by zero for a class without weight.
 	minClassWeight = 1e-9
 )
 
-// classGoodput is the weight of a class's messages that have ended, over arrivalSpan, and what of it was
-// served.
+// classGoodput counts the weight of a class's messages that have ended, over arrivalSpan, and the part of it
+// that was served.
 type classGoodput struct{ ended, served decayingCounter }
 
-// priority orders messages for a scarce slot: the weight that a message loses if it is passed over, and a
-// little of its weight, for the slot time that its call is likely to take. Calls lost since one was served
-// count against it.
+// priority returns the rank of m for a scarce slot: the weight that m loses if it is passed over, plus a
+// small share of its weight, divided by the time that its call is likely to occupy the slot. Calls in a row
+// that were neither served nor rejected lower it; their effect fades with the time since the last call.
 func (d *Dispatcher) priority(m *message, r *route) float64 {
 	seconds := max(r.traffic.latency, r.estimator.mean, minExpectedLatency)
 	servedAt := d.now + time.Duration(seconds*float64(time.Second))
 	weight := d.weightAt(m, servedAt)
 	sinceLastSent := (d.now - r.traffic.lastSentAt).Seconds()
-	losses := float64(r.traffic.consecutiveLosses) * math.Exp(-sinceLastSent/passedOverDelay.Seconds())
-	loss := weight - d.weightAt(m, servedAt+passedOverDelay) + baseWeightShare*weight
-	return loss * d.fairnessFactor(m) * (1 - r.breaker.failureRate) / (seconds * (1 + losses))
+	recentLosses := float64(r.traffic.consecutiveLosses) * math.Exp(-sinceLastSent/passedOverDelay.Seconds())
+	weightLoss := weight - d.weightAt(m, servedAt+passedOverDelay) + baseWeightShare*weight
+	return weightLoss * d.fairnessFactor(m) * (1 - r.breaker.failureRate) / (seconds * (1 + recentLosses))
 }
 
-// weightAt is the weight of m if it is served at a time: its class's priority weight until the latency
-// objective, less after it, and nothing from the deadline on.
+// weightAt returns the weight of m if it is served at a given time: its class's priority weight until the
+// latency objective, less after it, and 0 from the deadline on.
 func (d *Dispatcher) weightAt(m *message, at time.Duration) float64 {
 	c := m.class
 	late := at - (m.Deadline - c.Deadline) - c.LatencyObjective
@@ -53,9 +54,10 @@
 	return weight * (1 - (1-c.LateWeight)*late.Seconds()/(c.Deadline-c.LatencyObjective).Seconds())
 }
 
-// fairnessFactor is how much more than its weight a message counts. The settings weigh the worst-served
-// class beside the total, and a message is the larger a part of its class the less weight that has in all.
-// Which class is the worst is as seen here; one of which nothing has ended yet counts as served.
+// fairnessFactor returns the factor by which the priority of a message exceeds what its weight gives it. The
+// settings weigh the goodput of the worst-served class against the total goodput, and the less weight a class
+// has in all, the more one message adds to that class's goodput. The worst class is determined from the
+// messages of this sender alone; a class of which no message has ended yet counts as served.
 func (d *Dispatcher) fairnessFactor(m *message) float64 {
 	isWeighed := d.settings.WorstClassWeight > 0 && d.settings.TotalWeight > 0
 	if !isWeighed || m.Class < 0 || m.Class >= len(d.classGoodputs) {
@@ -76,9 +78,9 @@
 	return 1 + d.settings.WorstClassWeight/d.settings.TotalWeight*total*ownClass/shares
 }
 
-// recordClassGoodput counts m, which has ended, with its class.
+// recordClassGoodput adds m, which has ended, to the goodput of its class.
 func (d *Dispatcher) recordClassGoodput(m *message) {
-	if m.Class < 0 || m.Class >= len(d.classGoodputs) { // of settings that are no longer in force
+	if m.Class < 0 || m.Class >= len(d.classGoodputs) { // its class belongs to earlier settings
 		return
 	}
 	goodput := &d.classGoodputs[m.Class]
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -9,18 +9,19 @@
 const (
 	// tenantRateSpan is the span over which a tenant's recent rate is measured.
 	tenantRateSpan = 3 * time.Second
-	// longTermFactor is the span of its long-term rate, as a multiple of that.
+	// longTermFactor is the span of a tenant's long-term rate, as a multiple of tenantRateSpan.
 	longTermFactor = 10
-	// overQuotaFactor is a tenant's rate, as a multiple of its quota, from which it is beyond the quota.
+	// overQuotaFactor is the rate of a tenant, as a multiple of its quota, above which it is beyond the
+	// quota.
 	overQuotaFactor = 1.5
 	// minRate keeps ratios of rates finite.
 	minRate = 1e-9
 )
 
-// tenantRate is a tenant's messages a second, over tenantRateSpan and over longTermFactor times that.
+// tenantRate holds a tenant's messages a second, over tenantRateSpan and over longTermFactor times that.
 type tenantRate struct{ recent, longTerm float64 }
 
-// countTenantMessage counts a message of a tenant.
+// countTenantMessage adds a message to the rates of its tenant.
 func (d *Dispatcher) countTenantMessage(tenant int) {
 	if tenant < 0 || tenant >= len(d.tenantRates) {
 		return
@@ -39,8 +40,8 @@
 	}
 }
 
-// quotaFactor is the weight of a tenant's messages as a fraction: beyond its quota, the mean of those
-// within and those beyond.
+// quotaFactor returns the factor of the weight of a tenant's messages. It is 1 within the quota. Beyond it,
+// it is the mean over the messages within the quota, at 1, and those beyond it, at OverQuotaWeight.
 func (d *Dispatcher) quotaFactor(tenant int) float64 {
 	if tenant < 0 || tenant >= len(d.tenantRates) || d.settings.Senders == 0 {
 		return 1
@@ -53,8 +54,9 @@
 	return (1 + (used-1)*d.settings.OverQuotaWeight) / used
 }
 
-// quotaShare is our share of the tenants' quotas, judged by what they usually send us: that of the median
-// tenant, as one that surges must not widen its own share.
+// quotaShare returns this sender's share of the tenants' quotas, estimated from the rates at which the
+// tenants usually send to it. It takes the share of the median tenant, so that a tenant with a surge does not
+// raise its own share.
 func (d *Dispatcher) quotaShare() float64 {
 	shares := make([]float64, 0, len(d.tenantRates))
 	for i, rate := range d.tenantRates {
--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -6,60 +6,64 @@
 )
 
 const (
-	// paceIncrease is the growth of the pace by a call served, as a share of our fair share of the limit.
+	// paceIncrease is the growth of the pace for each call served, as a share of this sender's fair share of
+	// the limit.
 	paceIncrease = 0.1
-	// unreportedIncrease multiplies that growth where no limit is reported.
+	// unreportedIncrease multiplies that growth where answers do not report a limit.
 	unreportedIncrease = 2
-	// paceDecrease is the share of the pace that is left after a rejection, in a small fleet.
+	// paceDecrease is the factor by which a rejection lowers the pace, with up to smallFleet senders.
 	paceDecrease = 0.7
-	// isolatedRejectionFloor is the share of our fair share below which an isolated rejection leaves no pace.
+	// isolatedRejectionFloor is the least pace after an isolated rejection, as a share of this sender's fair
+	// share of the limit.
 	isolatedRejectionFloor = 0.9
-	// rejectionFloor is the same for rejections in a row.
+	// rejectionFloor is the same for several rejections in a row.
 	rejectionFloor = 0.5
 	// growthQuota is the share of the quota that must be left for the pace to grow.
 	growthQuota = 0.3
 	// degradedPaceFactor bounds the rate at a degraded destination, as a multiple of its served rate.
 	degradedPaceFactor = 1.5
-	// backoffInitial is the first backoff after a rejection that names none; it doubles.
+	// backoffInitial is the first backoff after a rejection without a Retry-After; it doubles with each
+	// further one.
 	backoffInitial = 100 * time.Millisecond
-	// backoffMax is the longest such backoff: about the span over which limits are counted.
+	// backoffMax is the longest such backoff: about the span over which destinations count their limits.
 	backoffMax = time.Second
-	// retryAfterMargin is added to the delay that a destination asks for.
+	// retryAfterMargin is added to the Retry-After of a destination.
 	retryAfterMargin = time.Millisecond
 )
 
-// rateLimiter is a token bucket. Its rate (pace) follows the destination's limit by additive increase and
+// rateLimiter is a token bucket. Its rate, the pace, follows the destination's limit by additive increase and
 // multiplicative decrease.
 type rateLimiter struct {
 	limit      float64 // calls a second that all senders may make, 0 if unknown
-	pace       float64 // our part of it
-	tokens     float64 // calls that the pace allows now
+	pace       float64 // calls a second that this sender allows itself
+	tokens     float64 // calls that may be started now
 	refilledAt time.Duration
 }
 
-// backoff closes a route for a time.
+// backoff blocks calls to a route until a time.
 type backoff struct {
 	until      time.Duration
-	step       time.Duration // the last backoff after a rejection that named none
-	rejectedAt time.Duration // the last rejection
+	step       time.Duration // the last backoff after a rejection without a Retry-After
+	rejectedAt time.Duration // time of the last rejection
 }
 
-// set gives the bucket a number of tokens.
+// set sets the number of tokens in the bucket.
 func (l *rateLimiter) set(tokens float64, now time.Duration) { l.tokens, l.refilledAt = tokens, now }
 
-// grow closes the route for the next longer backoff.
+// grow blocks the route for twice as long as the last time, within the bounds of the backoff.
 func (b *backoff) grow(now time.Duration) {
 	b.step = min(max(2*b.step, backoffInitial), backoffMax)
 	b.until = max(b.until, now+b.step)
 }
 
-// allowedRate is how many calls a second r may get now, and how many at once. A window alone does not bound
-// the rate of calls that fail fast, and a recovering destination bears few calls, rejected ones included.
+// allowedRate returns how many calls a second r may get now, and how many at once. The concurrency window
+// alone does not bound the rate of calls that fail fast, and a recovering destination can handle only few
+// calls, rejected ones included.
 func (d *Dispatcher) allowedRate(r *route) (rate, burst float64) {
 	rate, burst = math.Inf(1), math.Inf(1)
 	if r.limiter.limit > 0 {
 		rate, burst = r.limiter.pace, max(1, r.limiter.pace)
-		if r.maxBatchSize > 1 { // waiting messages share a call: one each would use up the limit
+		if r.maxBatchSize > 1 { // makes waiting messages share a call; one call each would use up the limit
 			burst = 1
 		}
 	}
@@ -85,7 +89,7 @@
 	r.limiter.refilledAt = d.now
 }
 
-// hasToken reports whether the rate allows a call now; if not, a batch comes when it does.
+// hasToken reports whether the rate allows a call now. If not, it schedules a step for when it does.
 func (d *Dispatcher) hasToken(r *route) bool {
 	d.refill(r)
 	if r.limiter.tokens >= 1 {
@@ -97,7 +101,8 @@
 	return false
 }
 
-// updateRateLimit takes in a limit that was reported. Our pace starts at our part of it.
+// updateRateLimit applies a limit that was reported or listed. The pace starts at initialPace and then
+// changes in proportion to the limit.
 func (d *Dispatcher) updateRateLimit(r *route, limit float64) {
 	if r.limiter.limit == 0 {
 		r.limiter.pace = d.initialPace(limit)
@@ -107,24 +112,25 @@
 	r.limiter.limit = limit
 }
 
-// increasePace raises the pace for a call served.
+// increasePace raises the pace after a call was served.
 func (d *Dispatcher) increasePace(r *route, limitReported bool) {
 	l := &r.limiter
 	step := paceIncrease * d.fairShare(l.limit)
 	if !limitReported {
-		step *= unreportedIncrease // there is no quota to use up: the listed rating is a capacity
+		step *= unreportedIncrease // the listed rating is a capacity, there is no quota to use up
 	}
 	maxPace := l.limit
-	if r.maxBatchSize > 1 { // more messages need no more calls
+	if r.maxBatchSize > 1 { // more messages do not need more calls
 		maxPace = d.initialPace(l.limit)
 	}
 	l.pace = min(maxPace, max(l.pace, isolatedRejectionFloor*d.fairShare(l.limit))+step)
 }
 
-// decreasePace lowers the pace after a rejection. The more senders there are the less does one call tell
-// each: all may be far above the limit, and where rejected calls use it up they keep one another out. So each
-// goes down until the backlog drains. One rejection among served calls is chance: a limit that is counted
-// over a short time is met by calls that come together, also while all of them are fewer than it allows.
+// decreasePace lowers the pace after a rejection. The more senders there are, the less each learns from one
+// call: all together may be far above the limit, and where rejected calls count against the limit, the
+// senders keep each other from being served. So each of many senders lowers its pace by more, until the
+// backlog drains. A single rejection among served calls is chance: a limit that is counted over a short time
+// is exceeded by calls that arrive together, even while all calls are fewer than it allows.
 func (d *Dispatcher) decreasePace(r *route) {
 	l := &r.limiter
 	senders := float64(max(smallFleet, d.settings.Senders))
@@ -134,11 +140,12 @@
 	}
 	l.pace = max(l.pace*paceDecrease*smallFleet/senders, d.fairShare(l.limit)*floor)
 	if senders > smallFleet {
-		l.set(d.jitter(), d.now) // others were rejected in the same moment
+		l.set(d.jitter(), d.now) // other senders were rejected at the same time
 	}
 }
 
-// applyRetryAfter closes a route of a destination for the delay that it asks for.
+// applyRetryAfter blocks a route of a destination for the delay that the destination asked for, and aborts
+// the route's calls that have not been written yet.
 func (d *Dispatcher) applyRetryAfter(dest *destination, r *route, delay time.Duration) {
 	r.backoff.until = max(r.backoff.until, d.now+delay+retryAfterMargin)
 	for _, e := range dest.endpoints {
@@ -148,5 +155,6 @@
 	}
 }
 
-// isPositiveFinite reports whether x may be a rate: a report or a list may hold anything.
+// isPositiveFinite reports whether x is valid as a rate, as reports and endpoint lists may contain any
+// number.
 func isPositiveFinite(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
--- a/internal/dispatch/repeat.go
+++ b/internal/dispatch/repeat.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// The rules of repetition: whether and until when an attempt may be sent, as an earlier one may have run.
+// This file holds the rules of idempotency: whether and until when a message may be sent again after an
+// attempt that may have run.
 
-// processPauseAllowance is how long the process may be paused between reading its clock and writing (the
-// operators' terms). A repeat has to arrive within its key's window all the same.
+// processPauseAllowance is how long the process may be paused between reading its clock and writing a call,
+// as the operators specify. A repeat must arrive within its key's idempotency window even then.
 const processPauseAllowance = 150 * time.Millisecond
 
-// mayRepeat reports whether no attempt may have run, or a repeat sent now does no harm.
+// mayRepeat reports whether m may be sent now, as far as earlier attempts are concerned: none of them may
+// have run, or a repeat does no harm.
 func (d *Dispatcher) mayRepeat(m *message) bool {
 	if !m.mayHaveRun || m.class.Effect == Idempotent {
 		return true
@@ -18,8 +20,9 @@
 	return m.class.Effect == IdempotentByKey && arrival < m.firstRunAt+m.class.IdempotencyWindow
 }
 
-// latestStart is the latest time at which a call of m to r may start: it takes as long as the quickest one
-// served there, and has to be over at m's deadline; a repeat has to be over while m's key is remembered.
+// latestStart returns the latest time at which a call of m to r may start. The call is assumed to take as
+// long as the quickest one served there, and must end before m's deadline. A repeat must also end while the
+// receiver remembers m's key.
 func (d *Dispatcher) latestStart(m *message, r *route) time.Duration {
 	minLatency := r.estimator.minLatency
 	latest := m.Deadline - max(minLatency, d.settings.StepInterval)
@@ -30,7 +33,8 @@
 	return latest
 }
 
-// mayRetryAfterTimeout reports whether m may be sent again if it is sent now and times out after tau.
+// mayRetryAfterTimeout reports whether m may be sent again if it is sent now and its attempt times out after
+// tau.
 func (d *Dispatcher) mayRetryAfterTimeout(m *message, r *route, tau time.Duration) bool {
 	if m.maxAttempts > 0 && m.attemptCount()+1 >= m.maxAttempts {
 		return false
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -6,11 +6,12 @@
 	// retryBackoff is the first backoff of a message after a failed attempt; it doubles with each further
 	// one.
 	retryBackoff = 150 * time.Millisecond
-	// retryBackoffDoublings is how often that backoff doubles at most.
+	// retryBackoffDoublings is the maximum number of times that this backoff doubles.
 	retryBackoffDoublings = 4
 )
 
-// handleResult takes in the result of an attempt.
+// handleResult applies the result of an attempt to its message, its call, and what is known of the route and
+// the endpoint.
 func (d *Dispatcher) handleResult(result AttemptResult) {
 	m, a := d.findAttempt(result)
 	if a == nil || a.ended {
@@ -42,7 +43,7 @@
 	}
 }
 
-// findAttempt is the attempt that a result is of, and its message; nil if they are not known.
+// findAttempt returns the attempt that a result belongs to and its message, nil if they are not known.
 func (d *Dispatcher) findAttempt(result AttemptResult) (*message, *attempt) {
 	m := d.messages[result.Message]
 	if m == nil || result.Attempt < 0 || result.Attempt >= len(m.attempts) {
@@ -51,8 +52,8 @@
 	return m, &m.attempts[result.Attempt]
 }
 
-// applyLimits takes in what an answer says of the destination's limits. Each result of a shared call may
-// name a later end of a delay.
+// applyLimits applies the rate limit and the Retry-After that came with an answer. It runs for each result of
+// a shared call, as a later one may give a longer delay.
 func (d *Dispatcher) applyLimits(dest *destination, r *route, result AttemptResult) {
 	if result.HasLoadReport && isPositiveFinite(result.RateLimit) {
 		d.updateRateLimit(r, result.RateLimit)
@@ -62,8 +63,8 @@
 	}
 }
 
-// requeue lets m wait for its next attempt, after a backoff unless the attempt took its time or says
-// nothing of the destination.
+// requeue puts m back among the waiting messages. The next attempt is delayed by a backoff, unless the last
+// one timed out, which took long enough, or its outcome does not reflect on the destination.
 func (d *Dispatcher) requeue(m *message, outcome Outcome, dropped bool) {
 	m.destination.waiting = append(m.destination.waiting, m)
 	m.connectFailed = outcome == ConnectFailed
@@ -72,15 +73,15 @@
 	}
 }
 
-// isDroppedConnection reports whether a call broke sooner than any call was served, on a connection that
-// had been idle: the connection was dropped meanwhile, which says nothing of the destination. The call may
-// have run, but its repeat need not wait.
+// isDroppedConnection reports whether a call failed because its connection had been dropped while idle: the
+// connection broke sooner than any call was served. This does not reflect on the destination. The call may
+// have run, but its repeat needs no backoff.
 func isDroppedConnection(r *route, result AttemptResult) bool {
 	return result.Outcome == ConnectionBroken && result.ConnectionIdle > 0 &&
 		result.Elapsed < r.estimator.minLatency
 }
 
-// finishCall frees what a call held when all its messages have their results.
+// finishCall releases the slot and the connection of a call when all its messages have their results.
 func (d *Dispatcher) finishCall(c *call, outcome Outcome) {
 	d.callsInFlight--
 	c.route.window.inFlight--
@@ -94,7 +95,8 @@
 	}
 }
 
-// updateMayHaveRun books whether the last attempt of m may have run.
+// updateMayHaveRun records whether the last attempt of m may have run. If it may still be running, later
+// messages with m's key are delayed.
 func (d *Dispatcher) updateMayHaveRun(m *message, outcome Outcome) {
 	switch outcome {
 	case NotStarted:
@@ -109,8 +111,9 @@
 	}
 }
 
-// updateEstimators gives the estimators their samples: served first attempts only (Karn); an expiry
-// doubles τ.
+// updateEstimators updates the latency estimators with the result of an attempt. It follows Karn's rule for
+// retransmission timeouts: only first attempts give samples, repeats do not, and a timeout doubles τ until
+// the next sample of a served attempt.
 func (d *Dispatcher) updateEstimators(a *attempt, result AttemptResult) {
 	estimator := &a.call.route.estimator
 	switch {
@@ -125,7 +128,7 @@
 	}
 }
 
-// recordHealth records the outcome of a call with its route and its endpoint.
+// recordHealth updates the failure statistics of the call's route and endpoint.
 func (d *Dispatcher) recordHealth(m *message, c *call, result AttemptResult) {
 	r, e := c.route, c.endpoint
 	failure := 0.0
@@ -153,7 +156,7 @@
 	d.checkOutage(r, result.Outcome)
 }
 
-// recordSuccess records a call that was served.
+// recordSuccess updates the route and the endpoint after a call was served.
 func (d *Dispatcher) recordSuccess(m *message, c *call, result AttemptResult) {
 	r, e := c.route, c.endpoint
 	seconds := result.Elapsed.Seconds()
@@ -165,7 +168,7 @@
 	r.breaker.consecutiveFailures, r.backoff.step, r.window.cancelledCalls = 0, 0, 0
 	if r.breaker.state == unavailable {
 		if d.hasEnoughOwnCalls(r) {
-			e.idleTimeoutCut = 0 // it was an outage: its connects did not fail for lack of places
+			e.idleTimeoutCut = 0 // connects failed in the outage, not for too many connections
 		}
 		d.startSlowStart(r, 0)
 	}
@@ -175,7 +178,8 @@
 	}
 }
 
-// recordRejection slows down the route, and closes it for a growing backoff if the answer named none.
+// recordRejection slows down the route after a rejection. It blocks the route for a growing backoff if the
+// answer had no Retry-After.
 func (d *Dispatcher) recordRejection(c *call, result AttemptResult) {
 	r := c.route
 	r.window.halve(c.sentAt, d.now)
@@ -188,7 +192,7 @@
 		return
 	}
 	if result.RetryAfter > d.settings.OverloadWindow && r.breaker.state != unavailable {
-		d.openCircuit(r) // closed for longer than any limit is counted over: it recovers slowly
+		d.openCircuit(r) // longer than any limit is counted over: an outage with a slow recovery
 	}
 	if r.breaker.state == unavailable {
 		r.breaker.announcedEndAt = r.backoff.until
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -20,31 +20,32 @@
 // destination is a receiver with its endpoints and the messages that wait for it.
 type destination struct {
 	endpoints []*endpoint
-	shared    *route // nil where each endpoint is a route of its own
+	shared    *route // nil if each endpoint is a route of its own
 	waiting   []*message
 }
 
-// endpoint is an endpoint of the list and what is known of it alone.
+// endpoint is an endpoint of the list with what is known of this endpoint alone.
 type endpoint struct {
 	Endpoint
 	route           *route
-	inFlight        int           // calls
-	latency         float64       // recent mean, s
+	inFlight        int           // calls in flight
+	latency         float64       // recent mean (s)
 	failureRate     float64       // recent mean share of failed calls
-	lastSentAt      time.Duration // batch of the last call to it
-	connectFailedAt time.Duration // the last connect that failed
-
-	idleSince      time.Duration // since when it has no call in flight, 0 if no connection may be open
-	idleTimeoutCut time.Duration // by so much its idle timeout is shorter than its kind's
-	freedAt        time.Duration // when a call was served last
-	// freedConnections are those that calls served then have left and that no further call has used.
+	lastSentAt      time.Duration // time of the step that sent the last call
+	connectFailedAt time.Duration // time of the last connect that failed
+
+	idleSince      time.Duration // when its last call ended, 0 if no idle connection may be open
+	idleTimeoutCut time.Duration // how much shorter its idle timeout is than that of its kind
+	freedAt        time.Duration // time of the step in which a call was served last
+	// freedConnections is the number of connections on which a call was served then and that no other call
+	// has used since.
 	freedConnections int
 }
 
-// route is what this sender has learnt of a destination, or of one endpoint where each is a route of its own.
+// route holds what this sender has learnt of a destination, or of one endpoint if each is a route of its own.
 type route struct {
 	destination  DestinationID
-	endpoint     EndpointID // only with perEndpoint
+	endpoint     EndpointID // set only with perEndpoint
 	perEndpoint  bool
 	maxBatchSize int // messages that may share one call
 	lastLoggedAt time.Duration
@@ -57,17 +58,17 @@
 	breaker   circuitBreaker
 }
 
-// traffic counts the calls of a route and how they fared.
+// traffic holds the statistics of a route's calls.
 type traffic struct {
 	sentCalls         decayingCounter
 	servedCalls       decayingCounter
 	recentServed      float64 // calls served, decaying over servedRateSpan
-	latency           float64 // recent mean, s
+	latency           float64 // recent mean (s)
 	consecutiveLosses int     // calls in a row that were neither served nor rejected
 	firstServedAt     time.Duration
 	lastServedAt      time.Duration
 	lastSentAt        time.Duration
-	lastServedSentAt  time.Duration // latest sending of a call that was served
+	lastServedSentAt  time.Duration // latest time at which a call that was served had been sent
 }
 
 func (d *Dispatcher) newRoute(entry Endpoint, perEndpoint bool) *route {
@@ -87,7 +88,7 @@
 	return r
 }
 
-// name is the route's name in the log.
+// name returns the route's name for log lines.
 func (r *route) name() string {
 	if r.perEndpoint {
 		return fmt.Sprintf("endpoint %d:", r.endpoint)
@@ -95,7 +96,7 @@
 	return fmt.Sprintf("destination %d:", r.destination)
 }
 
-// recordServed counts a call that was served.
+// recordServed updates the statistics for a call that was served.
 func (t *traffic) recordServed(now, sentAt time.Duration) {
 	if t.recentServed == 0 {
 		t.firstServedAt = now
@@ -107,13 +108,13 @@
 	t.consecutiveLosses = 0
 }
 
-// servedRate is the rate of calls served, as of the last of them, in calls a second.
+// servedRate returns the rate of calls served at the time of the last of them, in calls a second.
 func (t *traffic) servedRate() float64 {
 	observed := max(t.lastServedAt-t.firstServedAt, time.Second).Seconds()
 	return t.recentServed / (servedRateSpan.Seconds() * (1 - math.Exp(-observed/servedRateSpan.Seconds())))
 }
 
-// updateMean moves a mean towards a sample. The first sample starts it.
+// updateMean moves a mean towards a sample. The first sample sets it.
 func updateMean(mean *float64, sample, weight float64) {
 	if *mean == 0 {
 		*mean = sample
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -6,30 +6,32 @@
 )
 
 const (
-	// minSelectionLatency (s) is the least latency that an endpoint is taken to have.
+	// minSelectionLatency (s) is the least latency that is assumed of an endpoint.
 	minSelectionLatency = 0.02
-	// minSuccessRate is the least share of successes that an endpoint is taken to have.
+	// minSuccessRate is the least share of successes that is assumed of an endpoint.
 	minSuccessRate = 0.05
 	// zoneCostFactor scales the settings' costs of zones to the cost of an endpoint.
 	zoneCostFactor = 10
-	// rendezvousCost is the cost of a sender's last endpoint by rendezvous rank, beside its first.
+	// rendezvousCost is the additional cost of the endpoint that is last in a sender's rendezvous ranking,
+	// compared with the first.
 	rendezvousCost = 0.5
 	// connectFailureCost is the additional cost of an endpoint at which a connect has just failed.
 	connectFailureCost = 3
-	// connectFailureSpan is the span over which a failed connect is forgotten.
+	// connectFailureSpan is the time constant with which that cost decays.
 	connectFailureSpan = 5 * time.Second
 	// rendezvousRanks is the number of values that a rendezvous rank may have.
 	rendezvousRanks = 1000
 )
 
-// offer is a message of a destination that may be sent now, with its endpoint. It is empty without a message.
+// offer is a message of a destination that may be sent now, with its endpoint and priority. Its message is
+// nil if the destination has none to send.
 type offer struct {
 	message  *message
 	endpoint *endpoint
 	priority float64
 }
 
-// sendPending fills the free slots for calls, the message of the highest priority first.
+// sendPending fills the free call slots with pending messages, the one with the highest priority first.
 func (d *Dispatcher) sendPending() {
 	if d.storageFailing || d.endpointListStale {
 		return
@@ -52,7 +54,8 @@
 	}
 }
 
-// highestOffer is the index of the offer with the highest priority, and how many offers there are.
+// highestOffer returns the index of the offer with the highest priority, and the number of offers with a
+// message.
 func highestOffer(offers []offer) (best, count int) {
 	best = -1
 	for i := range offers {
@@ -67,7 +70,7 @@
 	return best, count
 }
 
-// bestOffer is the best of a destination's waiting messages that may be sent now.
+// bestOffer returns the offer of the best of a destination's waiting messages that may be sent now.
 func (d *Dispatcher) bestOffer(dest *destination) offer {
 	var best offer
 	if len(dest.waiting) == 0 || len(dest.endpoints) == 0 {
@@ -87,8 +90,9 @@
 	return best
 }
 
-// precedes orders two messages of one destination. In an outage a message that may be repeated probes the
-// destination, as one that may not is lost with its call.
+// precedes reports whether next is sent before best, for two messages of one destination. In an outage a
+// message that may be repeated is preferred as the probe: a non-idempotent one cannot be sent again if its
+// call fails.
 func precedes(next, best offer) bool {
 	nextIsNonIdempotent := next.message.class.Effect == NonIdempotent
 	bestIsNonIdempotent := best.message.class.Effect == NonIdempotent
@@ -98,12 +102,12 @@
 	return next.priority > best.priority
 }
 
-// availableEndpoints are the endpoints that may get a call now: those that are usable, and those with a
+// availableEndpoints returns the endpoints that may get a call now: those that are usable, and those with a
 // connection that the call may reuse.
 func (d *Dispatcher) availableEndpoints(dest *destination) (usable, reusable []*endpoint) {
 	sharedAccepts := dest.shared == nil || d.acceptsCall(dest.shared)
 	for _, e := range dest.endpoints {
-		// A further send to it in this batch would join the call that shares messages.
+		// Another Send to it in this step would join the call just started, which messages share.
 		joinsCall := d.maxBatchSize(e) > 1 && e.lastSentAt == d.now && e.inFlight > 0
 		if !joinsCall && d.canReuseConnection(e) {
 			reusable = append(reusable, e)
@@ -118,8 +122,8 @@
 	return usable, reusable
 }
 
-// endpointFor selects the endpoint for m, nil if it may not be sent now. A message that found no place for a
-// connection goes on one that can be reused, also within its backoff.
+// endpointFor returns the endpoint for m, nil if m may not be sent now. A message whose last attempt could
+// not connect may use a connection that can be reused even during its backoff.
 func (d *Dispatcher) endpointFor(m *message, usable, reusable []*endpoint) *endpoint {
 	ready := d.isReady(m)
 	if ready || m.connectFailed && d.isHeadOfKeyQueue(m) {
@@ -133,7 +137,7 @@
 	return d.selectEndpoint(m, usable)
 }
 
-// isReady reports whether m may be sent now, as far as m itself goes.
+// isReady reports whether m is past its backoff and the next message of its key.
 func (d *Dispatcher) isReady(m *message) bool {
 	if d.now < m.notBefore {
 		d.wakeAt(m.notBefore)
@@ -142,7 +146,7 @@
 	return d.isHeadOfKeyQueue(m)
 }
 
-// selectEndpoint is the endpoint of the lowest cost that m may go to, nil if there is none.
+// selectEndpoint returns the endpoint with the lowest cost to which m may be sent, nil if there is none.
 func (d *Dispatcher) selectEndpoint(m *message, candidates []*endpoint) *endpoint {
 	var best *endpoint
 	lowest := 0.0
@@ -158,11 +162,12 @@
 	return best
 }
 
-// endpointCost is the work that this sender has in flight at e, by its recent latency and failures, with the
-// costs of zones.
+// endpointCost returns the cost of sending m to e: the work that this sender has in flight at e, by the
+// recent latency and failures, multiplied by the costs of zones.
 func (d *Dispatcher) endpointCost(m *message, e *endpoint) float64 {
 	latency := e.latency
-	if sparsity := d.trafficSparsity(); sparsity > 0 { // hardly a call each: the route's figures say more
+	// With few calls to each endpoint, the mean latency of the route is more reliable.
+	if sparsity := d.trafficSparsity(); sparsity > 0 {
 		latency += sparsity * (e.route.traffic.latency - latency)
 		connectFailure := math.Exp(-(d.now - e.connectFailedAt).Seconds() / connectFailureSpan.Seconds())
 		latency = max(latency, minSelectionLatency) *
@@ -178,8 +183,9 @@
 	return cost
 }
 
-// rendezvousRank ranks e for this sender from 0 (first choice) to 1, differently for each sender (rendezvous
-// hashing): by the order of the list all of many senders would begin at the same endpoint.
+// rendezvousRank returns the rank of e for this sender, from 0 (first choice) to 1. The ranks differ between
+// senders (rendezvous hashing): if all senders followed the order of the list, they would all begin at the
+// same endpoint.
 func (d *Dispatcher) rendezvousRank(e *endpoint) float64 {
 	return float64(mix64(uint64(e.ID)<<32+uint64(d.settings.Number))%rendezvousRanks) / rendezvousRanks
 }
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -1,13 +1,15 @@
 package dispatch
 
 const (
-	// explorationInterval: one first attempt in so many has its time left as its timeout.
+	// explorationInterval is the number of first attempts of which one, at random, has its message's time
+	// left as its timeout, so that latencies above τ are sampled, too.
 	explorationInterval = 20
-	// explorationWeight is the weight of such an attempt's sample, as it stands for so many.
+	// explorationWeight is the weight of such an attempt's sample, as the attempt represents so many.
 	explorationWeight = 20
 )
 
-// sendCall starts a call with m, and with the best other messages that may share it.
+// sendCall starts a call with m, and with the waiting messages of the highest priority that may share the
+// call.
 func (d *Dispatcher) sendCall(m *message, e *endpoint) {
 	c := d.startCall(e)
 	d.sendAttempt(m, c)
@@ -38,7 +40,8 @@
 	}
 	if reusesConnection {
 		e.freedConnections--
-		// It does not wait for a token, so it takes none from those that do.
+		// A call on a reused connection does not wait for a token. The tokens must not fall below 0 for it,
+		// as that would delay the calls that do wait.
 		r.limiter.tokens -= min(1, max(0, r.limiter.tokens))
 	} else {
 		r.limiter.tokens--
@@ -49,7 +52,7 @@
 	return c
 }
 
-// nextForCall is the waiting message of the highest priority that may share a call to e, nil if there is
+// nextForCall returns the waiting message of the highest priority that may share a call to e, nil if there is
 // none.
 func (d *Dispatcher) nextForCall(dest *destination, e *endpoint) *message {
 	var next *message
@@ -62,7 +65,7 @@
 	return next
 }
 
-// sendAttempt starts an attempt of m with a call.
+// sendAttempt sends m as an attempt with call c.
 func (d *Dispatcher) sendAttempt(m *message, c *call) {
 	a := d.newAttempt(m, c)
 	startWithin := d.latestStart(m, c.route) - d.now
@@ -74,7 +77,7 @@
 	d.emit(Send{Message: m.ID, Endpoint: c.endpoint.ID, Timeout: a.timeout, StartWithin: max(0, startWithin)})
 }
 
-// addAttempt books an attempt that is in flight.
+// addAttempt adds an attempt that is in flight to m and to its call.
 func (m *message) addAttempt(a attempt) {
 	m.attempts = append(m.attempts, a)
 	m.inFlight++
@@ -82,8 +85,8 @@
 	a.call.messages = append(a.call.messages, m)
 }
 
-// newAttempt sets the timeout of an attempt: the estimator's τ where a restart then is allowed, else m's time
-// left.
+// newAttempt returns a new attempt of m with its timeout: the estimator's τ if m may be sent again after it,
+// else m's time left.
 func (d *Dispatcher) newAttempt(m *message, c *call) attempt {
 	timeLeft := m.Deadline - d.now
 	a := attempt{call: c, timeout: timeLeft, untilDeadline: true}
@@ -92,11 +95,11 @@
 		a.sampleWeight = 1
 	}
 	tau := c.route.estimator.tau()
-	if c.isProbe { // a doubled τ would leave an outage unobserved
+	if c.isProbe { // a doubled τ would delay the result of the probe too long
 		tau = max(c.route.silenceTimeout(), probeInterval)
 	}
 	if m.class.Effect == IdempotentByKey {
-		tau = min(tau, m.class.IdempotencyWindow/2) // a repeat needs time to be served in the window
+		tau = min(tau, m.class.IdempotencyWindow/2) // leaves time for a repeat in the window
 	}
 	if !d.mayRetryAfterTimeout(m, c.route, tau) || tau >= timeLeft {
 		return a
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Settings configures a sender at its start and whenever they change. Zero values mean "not stated".
+// Settings holds the settings of a sender, from its start or a later change. A zero value means that a
+// setting is not given.
 type Settings struct {
 	Senders               int           // senders in this deployment
 	Number                int           // this sender's index among them, from 0
@@ -12,10 +13,10 @@
 	MaxAttempts           int           // upper bound of attempts for one message
 	CanCancelAttempts     bool          // an attempt in flight may be cancelled
 	SendsRetryAfter       bool          // a rejection tells the client when to try again
-	MaxRetryAfter         time.Duration // the longest such delay that a client respects
-	IdleConnectionTimeout time.Duration // an endpoint closes a connection that is idle for so long
-	PollsEndpointList     bool          // the endpoint list comes only when it is requested
-	StepInterval          time.Duration // least time between two batches
+	MaxRetryAfter         time.Duration // the longest such delay that clients respect
+	IdleConnectionTimeout time.Duration // idle time after which an endpoint closes a connection
+	PollsEndpointList     bool          // the endpoint list is sent only on request
+	StepInterval          time.Duration // least time between two steps
 	OrderedKeySettleTime  time.Duration // pause of an ordered key after an attempt that may still run
 	CollapseLoadFactor    float64       // load, in capacities, at which a recovering destination collapses
 	SlowStartCapacity     float64       // share of its capacity that a recovered destination has at first
@@ -39,11 +40,12 @@
 	MaxBatchSize int  // messages that may share one call
 }
 
-// Effect says what a repeated delivery of a message does. Its values are stored and must not change.
+// Effect is the kind of effect that a repeated delivery of a message has. Its values are stored and must not
+// change.
 type Effect uint8
 
-// The effects: an Idempotent message may be repeated, one that is IdempotentByKey while the receiver
-// remembers its key, and a NonIdempotent one never.
+// The effects: an Idempotent message may always be repeated, an IdempotentByKey message while the receiver
+// remembers its key, and a NonIdempotent message never.
 const (
 	Idempotent Effect = iota
 	IdempotentByKey
@@ -52,24 +54,24 @@
 
 // Class is a class of message.
 type Class struct {
-	LatencyObjective time.Duration // a message served until then has its full weight
-	Deadline         time.Duration // from its submission; a message not served until then is failed
+	LatencyObjective time.Duration // a message served within it keeps its full weight
+	Deadline         time.Duration // from its submission; a message not served by then is failed
 	Effect           Effect
 	KeyScopedToZone  bool // a key is remembered by the endpoints of one zone only
-	// a key is remembered for so long after the first attempt that may have run
+	// how long a key is remembered after the first attempt that may have run
 	IdempotencyWindow time.Duration
 	Ordered           bool // messages with the same key are sent one after another
 	PriorityWeight    float64
-	LateWeight        float64 // share of the weight that is left at the deadline
+	LateWeight        float64 // share of the weight that remains at the deadline
 }
 
-// Tenant is one of those who share the service.
+// Tenant is one of the users that share the service.
 type Tenant struct {
 	Quota     float64 // share of the service
 	QuotaRate float64 // messages a second within its quota, over all senders
 }
 
-// Rules bind a message from its admission on, whatever the settings say later.
+// Rules are the rules that apply to a message from its admission on, even if the settings change later.
 type Rules struct {
 	Class
 	MaxAttempts int
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -3,17 +3,18 @@
 import "math"
 
 const (
-	// fleetProbeBudget is the number of calls that all senders together may send anywhere in the time of a
-	// slow start: any destination bears so few.
+	// fleetProbeBudget is the number of calls that all senders together may send to any destination in the
+	// time of a slow start: every destination can handle so few.
 	fleetProbeBudget = 24
-	// informedLoadShare is the load that the senders that saw failures may add to that of the others, as a
-	// share.
+	// informedLoadShare is the load that the senders that saw failures may add together, as a share of the
+	// load of the other senders.
 	informedLoadShare = 0.3
-	// minInformedRatio keeps that share finite at the very start of an outage.
+	// minInformedRatio is the least ratio of senders that saw failures to the other senders that is assumed.
+	// It keeps the quotient finite when an outage has just begun.
 	minInformedRatio = 1e-9
 )
 
-// startSlowStart ends an outage: r recovers from now on.
+// startSlowStart ends an outage and starts the slow start of r, with the given number of tokens.
 func (d *Dispatcher) startSlowStart(r *route, tokens float64) {
 	d.setState(r, warmingUp)
 	r.window.size = 1
@@ -32,11 +33,16 @@
 	r.breaker.consecutiveFailures = 0
 }
 
-// recoveryRate is our part of the calls a second that r bears in an outage, when it may recover at any
-// moment, and during its slow start. A sender's part is that of its usual traffic, whatever the number of
-// senders. Where we usually get no message in such a time, most other senders have seen no failure and
-// send as ever: the few who have may together send a share of that. Any destination bears a few calls from
-// all of us.
+// recoveryRate returns the calls a second that this sender may send to r in an outage, when r may recover at
+// any moment, and during its slow start. It is the sender's usual rate times the load that r can take at its
+// present capacity, so it does not depend on the number of senders.
+//
+// If this sender usually sends few calls in the time since the outage began, most other senders have not seen
+// a failure yet and send as usual. The senders that have seen one may together add informedLoadShare of that
+// load. If expectedCalls is the number of calls that a sender usually makes in that time, and they come at
+// random, the ratio of senders that saw a failure to the others is e^expectedCalls - 1.
+//
+// Every destination can handle a few calls from all senders together, so the rate has a lower bound.
 func (d *Dispatcher) recoveryRate(r *route) float64 {
 	b := &r.breaker
 	capacity := d.settings.SlowStartCapacity
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Snapshot is what a Dispatcher hands to its successor in another process of the same sender: what it
-// knows beside its messages and the endpoint list. It has plain exported fields, so that it can travel in
-// any encoding.
+// Snapshot is what a Dispatcher passes to its successor in another process of the same sender: all that it
+// has learnt, without its messages and the endpoint list. Its fields are plain and exported, so that it can
+// be encoded in any format.
 type Snapshot struct {
 	StartedAt    time.Duration
 	Arrivals     DecayingCount
@@ -20,13 +20,14 @@
 	Endpoints    []EndpointSnapshot
 }
 
-// TenantSnapshot is how many messages a second a tenant hands in.
+// TenantSnapshot holds how many messages a second a tenant submits.
 type TenantSnapshot struct {
 	RecentRate   float64
 	LongTermRate float64
 }
 
-// ClassSnapshot is the priority weight of a class's messages that have ended, and what of it was served.
+// ClassSnapshot holds the priority weight of a class's messages that have ended, and the part of it that was
+// served.
 type ClassSnapshot struct {
 	Ended  DecayingCount
 	Served DecayingCount
@@ -38,7 +39,7 @@
 	UpdatedAt time.Duration
 }
 
-// EstimatorSnapshot is a latency histogram and the timeout drawn from it.
+// EstimatorSnapshot holds a latency histogram and the timeouts computed from it.
 type EstimatorSnapshot struct {
 	BucketWeights    []float64
 	BucketSums       []float64
@@ -52,7 +53,7 @@
 	DoubledAt        time.Duration
 }
 
-// RouteSnapshot is what is known of a destination, or of one endpoint that is a route of its own.
+// RouteSnapshot holds what is known of a destination, or of one endpoint that is a route of its own.
 type RouteSnapshot struct {
 	Destination DestinationID
 	Endpoint    EndpointID
@@ -87,11 +88,11 @@
 	ConsecutiveFailures int
 	OutageStartedAt     time.Duration
 	RateBefore          float64
-	ReopensAt           time.Duration
+	ReopensAt           time.Duration // announced end of the outage
 	LastProbeAt         time.Duration
 }
 
-// EndpointSnapshot is what is known of one endpoint.
+// EndpointSnapshot holds what is known of one endpoint.
 type EndpointSnapshot struct {
 	Endpoint       EndpointID
 	Latency        float64
@@ -99,7 +100,8 @@
 	IdleTimeoutCut time.Duration
 }
 
-// Snapshot copies out what another Dispatcher needs to go on where this one stops. It changes no decision.
+// Snapshot returns what another Dispatcher needs to continue in place of this one. It does not affect any
+// decision of this one.
 func (d *Dispatcher) Snapshot() Snapshot {
 	s := Snapshot{
 		StartedAt:    d.startedAt,
@@ -140,7 +142,7 @@
 	return s
 }
 
-// BackoffUntil is until when messages wait after a failed attempt.
+// BackoffUntil returns the end of the backoff of each message that waits after a failed attempt.
 func (d *Dispatcher) BackoffUntil() map[MessageID]time.Duration {
 	until := map[MessageID]time.Duration{}
 	for _, m := range d.pending {
@@ -151,8 +153,8 @@
 	return until
 }
 
-// Restore takes in the snapshot of an earlier Dispatcher. The endpoint list must have come before, and no
-// message.
+// Restore restores the snapshot of an earlier Dispatcher. It must be called after the first endpoint list and
+// before any message.
 func (d *Dispatcher) Restore(s Snapshot) {
 	d.startedAt, d.randomState = s.StartedAt, s.Random
 	d.arrivals = s.Arrivals.restore()
@@ -180,7 +182,7 @@
 	}
 }
 
-// routeOfSnapshot is the route that a snapshot is of, nil if it is not known.
+// routeOfSnapshot returns the route that a snapshot belongs to, nil if the route is not known.
 func (d *Dispatcher) routeOfSnapshot(s RouteSnapshot) *route {
 	if !s.PerEndpoint {
 		if dest := d.destinations[s.Destination]; dest != nil {
@@ -273,8 +275,8 @@
 	}
 }
 
-// restore takes in a snapshot. Where the list has a rating, that stays the limit, and the pace keeps its
-// proportion. What depends on the calls in flight is left as it is.
+// restore restores a snapshot of the route. If the endpoint list has a rating, that remains the limit, and
+// the pace is scaled to it. What depends on the calls in flight is not changed.
 func (r *route) restore(s RouteSnapshot) {
 	if r.limiter.limit > 0 && s.Limit > 0 {
 		s.Pace *= r.limiter.limit / s.Limit
