--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -48,7 +48,7 @@
 	d.countTenantMessage(m.Tenant)
 }
 
-// closeMessage ends a message. Its attempts may still be in flight; it is forgotten when there are none.
+// closeMessage ends a message. It deletes the message once no attempt is in flight.
 func (d *Dispatcher) closeMessage(m *message) {
 	if !m.closed {
 		m.closed = true
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -89,7 +89,8 @@
 	return freedNow && accepts && d.now-r.backoff.rejectedAt > d.settings.OverloadWindow
 }
 
-// recordConnectFailure shortens the idle timeouts, as e may have as many connections as it accepts.
+// recordConnectFailure shortens the idle timeouts after a failed connect, as e may already have as many
+// connections as it accepts.
 func (d *Dispatcher) recordConnectFailure(e *endpoint) {
 	e.connectFailedAt = d.now
 	*d.kindIdleTimeout(e) /= idleTimeoutDivisor
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -42,7 +42,7 @@
 
 // hasEnoughOwnCalls reports whether this sender makes enough calls to r to judge r by them alone, and so
 // large a part of all calls that r allows that only a few senders can do the same. The second condition is
-// needed because connections are scarce: eighty idle ones are as many as an endpoint accepts.
+// needed because connections are scarce: eighty idle ones use up all that an endpoint accepts.
 func (d *Dispatcher) hasEnoughOwnCalls(r *route) bool {
 	limit := r.limiter.limit
 	hasLargeShare := limit > 0 && smallFleet*d.smoothedRate(r.traffic.sentCalls) >= limit
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -31,6 +31,7 @@
 	d.tenantRates[tenant].longTerm += 1 / (longTermFactor * tenantRateSpan.Seconds())
 }
 
+// decayTenantRates lowers the rates of all tenants for the time since it was called last.
 func (d *Dispatcher) decayTenantRates() {
 	elapsed := (d.now - d.tenantRatesDecayedAt).Seconds()
 	d.tenantRatesDecayedAt = d.now
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -71,6 +71,7 @@
 	lastServedSentAt  time.Duration // latest time at which a call that was served had been sent
 }
 
+// newRoute adds the route of an endpoint's destination, or of the endpoint alone if perEndpoint is set.
 func (d *Dispatcher) newRoute(entry Endpoint, perEndpoint bool) *route {
 	r := &route{
 		destination:  entry.Destination,
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -12,7 +12,7 @@
 	MaxPendingMessages    int           // upper bound of pending messages, sent or not
 	MaxAttempts           int           // upper bound of attempts for one message
 	CanCancelAttempts     bool          // an attempt in flight may be cancelled
-	SendsRetryAfter       bool          // a rejection tells the client when to try again
+	SendsRetryAfter       bool          // a rejection carries a delay after which the client may try again
 	MaxRetryAfter         time.Duration // the longest such delay that clients respect
 	IdleConnectionTimeout time.Duration // idle time after which an endpoint closes a connection
 	PollsEndpointList     bool          // the endpoint list is sent only on request
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -6,7 +6,7 @@
 )
 
 // Snapshot is what a Dispatcher passes to its successor in another process of the same sender: all that it
-// has learnt, without its messages and the endpoint list. Its fields are plain and exported, so that it can
+// has learnt, but not its messages and the endpoint list. Its fields are plain and exported, so that it can
 // be encoded in any format.
 type Snapshot struct {
 	StartedAt    time.Duration
@@ -33,7 +33,7 @@
 	Served DecayingCount
 }
 
-// DecayingCount is a count that decays, as of a time.
+// DecayingCount is the value of a count that decays, and the time at which it had that value.
 type DecayingCount struct {
 	Value     float64
 	UpdatedAt time.Duration
