--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -28,10 +28,10 @@
 }
 
 // abortUnsent ends the calls of a kind that have not been written yet.
-func (s *Sender) abortUnsent(which func(*inFlightCall) bool) {
+func (s *Sender) abortUnsent(matches func(*inFlightCall) bool) {
 	for _, m := range s.messages.byNumber {
 		for _, c := range m.calls {
-			if which(c) {
+			if matches(c) {
 				c.abortUnsent()
 			}
 		}
@@ -64,7 +64,7 @@
 // message with the latest deadline comes first.
 func (s *Sender) startCalls(ctx context.Context, now time.Duration, sends []dispatch.Send, written bool) {
 	var calls []*plannedCall
-	open := map[*listedEndpoint]*plannedCall{}
+	openCalls := map[*listedEndpoint]*plannedCall{}
 	for _, send := range sends {
 		m, to := s.messages.byNumber[send.Message], s.endpoint(send.Endpoint)
 		if m == nil || to == nil {
@@ -74,10 +74,10 @@
 		s.trace("attempt", m.ID, "attempt", m.priorAttempts+item.attempt, "endpoint", to.ID,
 			"timeout", send.Timeout, "written", written)
 		size := base64.StdEncoding.EncodedLen(len(m.Body)) + len(m.ID) + len(m.Key) + batchEntryBytes
-		call := open[to]
+		call := openCalls[to]
 		if call == nil || len(call.items) >= to.maxBatchSize || call.bytes+size > maxBatchBytes {
 			call = &plannedCall{to: to}
-			open[to], calls = call, append(calls, call)
+			openCalls[to], calls = call, append(calls, call)
 		}
 		call.items, call.bytes = append(call.items, item), call.bytes+size
 	}
@@ -106,11 +106,11 @@
 
 // startCall starts one call. The call's goroutine posts its results as events, and ends with ctx at the latest.
 func (s *Sender) startCall(ctx context.Context, to *listedEndpoint, items []callItem, written bool) {
-	parts := make([]*endpoint.Item, len(items))
+	endpointItems := make([]*endpoint.Item, len(items))
 	for i, item := range items {
-		parts[i] = item.Item
+		endpointItems[i] = item.Item
 	}
-	call := s.pool.NewCall(ctx, to.Endpoint, parts)
+	call := s.pool.NewCall(ctx, to.Endpoint, endpointItems)
 	s.lastCallNumber++
 	for _, item := range items {
 		item.message.calls[item.attempt] = &inFlightCall{
--- a/internal/sender/dispatch.go
+++ b/internal/sender/dispatch.go
@@ -18,7 +18,7 @@
 	ended := s.appendActions(now, actions)
 	written := s.flush()
 	s.announce(ended, events, written)
-	sends := s.carryOut(actions)
+	sends := s.executeActions(actions)
 	s.startCalls(ctx, now, sends, written)
 	s.notices.deliver()
 	s.publishMetrics()
@@ -72,8 +72,9 @@
 	}
 }
 
-// carryOut does what the dispatcher has decided, but for the sends, which it returns: their calls start after the rest.
-func (s *Sender) carryOut(actions []dispatch.Action) []dispatch.Send {
+// executeActions does what the dispatcher has decided, but for the sends, which it returns: their calls start after the
+// rest.
+func (s *Sender) executeActions(actions []dispatch.Action) []dispatch.Send {
 	var sends []dispatch.Send
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -37,7 +37,7 @@
 	if successor.TakesConnections() {
 		snapshot.Connections = s.releaseConnections()
 	}
-	s.upgrade.handedSnapshot, s.upgrade.handedBackoffUntil = snapshot.Dispatcher, snapshot.BackoffUntil
+	s.upgrade.handedOverSnapshot, s.upgrade.handedOverBackoffUntil = snapshot.Dispatcher, snapshot.BackoffUntil
 	s.log.Info("handing over", "pending", s.messages.pending, "calls", len(snapshot.InFlight))
 	s.closeJournal()
 	s.messages.pending, s.notices.pending = 0, nil
@@ -121,8 +121,8 @@
 func (s *Sender) reclaimOwnership(ctx context.Context, lock *os.File) {
 	snapshot := &handover.Snapshot{
 		InFlight:     s.inFlightAttempts(),
-		BackoffUntil: s.upgrade.handedBackoffUntil,
-		Dispatcher:   s.upgrade.handedSnapshot,
+		BackoffUntil: s.upgrade.handedOverBackoffUntil,
+		Dispatcher:   s.upgrade.handedOverSnapshot,
 	}
 	s.upgrade.lock = lock
 	if err := s.openJournal(ctx); err != nil {
@@ -133,19 +133,19 @@
 	s.upgrade.handedOver = false
 	s.dispatcher = dispatch.New(s.config.Settings, s.config.Seed)
 	s.pool.KeepIdle(true)
-	handed := s.messages.byID
+	handedOverMessages := s.messages.byID
 	s.messages.clear()
 	s.restoreState(ctx, snapshot, func(attempt handover.InFlightAttempt) *inFlightCall {
-		m := handed[attempt.ID.Message]
+		m := handedOverMessages[attempt.ID.Message]
 		c := *m.calls[attempt.ID.Attempt-m.priorAttempts] // the call itself is this process's as before
 		c.reportedEnd = nil
 		return &c
 	})
 	s.log.Warn("serving again after the successor's death", "pending", s.messages.pending)
 	s.upgrade.startAwaitingSuccessor(ctx)
-	s.dispatch(ctx, s.missedEvents(ctx, handed))
-	if !s.dispatchStopped && s.listening.open != nil {
-		s.listening.open()
+	s.dispatch(ctx, s.missedEvents(ctx, handedOverMessages))
+	if !s.dispatchStopped && s.clientListener.open != nil {
+		s.clientListener.open()
 	}
 }
 
@@ -161,10 +161,10 @@
 
 // missedEvents are the events since the hand-over that the dead successor may not have written to the journal: what
 // it has written is known from there, and is not handled twice.
-func (s *Sender) missedEvents(ctx context.Context, handed map[string]*message) []dispatch.Event {
+func (s *Sender) missedEvents(ctx context.Context, handedOverMessages map[string]*message) []dispatch.Event {
 	waiting := s.upgrade.takeForwarded()
 	events := []dispatch.Event{dispatch.EndpointListStale{Stale: s.discovery.IsListStale()}}
-	for _, m := range handed {
+	for _, m := range handedOverMessages {
 		for attempt, c := range m.calls {
 			if c.reportedEnd != nil {
 				end := attemptEnd{message: m, attempt: attempt, AttemptResult: *c.reportedEnd}
--- a/internal/sender/helpers_test.go
+++ b/internal/sender/helpers_test.go
@@ -377,7 +377,7 @@
 	if edit != nil {
 		edit(c)
 	}
-	s, err := NewIn(context.Background(), env, c, slog.New(slog.DiscardHandler))
+	s, err := NewInEnvironment(context.Background(), env, c, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sender/listening.go
+++ b/internal/sender/listening.go
@@ -11,48 +11,48 @@
 // ListenFunc opens a listener for clients.
 type ListenFunc = func() (net.Listener, error)
 
-// listening is how the loop gets its listener for clients, and hears that it has ended.
-type listening struct {
+// clientListener is how the loop gets its listener for clients, and hears that it has ended.
+type clientListener struct {
 	open   func() // starts to open a listener; nil before Run is that far
-	opened chan listenerOrError
+	opened chan listenResult
 	ended  chan error // nil where this process has closed it
 }
 
-// listenerOrError is a listener for clients, or why there is none.
-type listenerOrError struct {
+// listenResult is a listener for clients, or why there is none.
+type listenResult struct {
 	net.Listener
 	err error
 }
 
-func newListening() *listening {
-	return &listening{opened: make(chan listenerOrError, 1), ended: make(chan error, 1)}
+func newClientListener() *clientListener {
+	return &clientListener{opened: make(chan listenResult, 1), ended: make(chan error, 1)}
 }
 
 // startListening opens the listener for clients, unless the shutdown has been requested already: then the process
 // only ends what it has resumed. The goroutine ends by itself, at the latest some time after ctx; its result stays
 // unread then.
 func (s *Sender) startListening(ctx context.Context, listen ListenFunc) {
-	s.listening.open = func() {
-		go func() { s.listening.opened <- s.openListener(ctx, listen) }()
+	s.clientListener.open = func() {
+		go func() { s.clientListener.opened <- s.openListener(ctx, listen) }()
 	}
 	if ctx.Err() == nil {
-		s.listening.open()
+		s.clientListener.open()
 	}
 }
 
 // openListener opens a listener for clients. As long as it fails for a transient reason it tries again, until ctx ends.
-func (s *Sender) openListener(ctx context.Context, listen ListenFunc) listenerOrError {
+func (s *Sender) openListener(ctx context.Context, listen ListenFunc) listenResult {
 	var listener net.Listener
 	err := retry.OnTransient(ctx, s.log, "the clients' address", func() (err error) {
 		listener, err = listen()
 		return err
 	})
-	return listenerOrError{Listener: listener, err: err}
+	return listenResult{Listener: listener, err: err}
 }
 
 // handleListener serves an opened listener. After a shutdown request or a hand-over it is too late for that: new
 // clients are the next process's.
-func (s *Sender) handleListener(ctx context.Context, opened listenerOrError) {
+func (s *Sender) handleListener(ctx context.Context, opened listenResult) {
 	switch {
 	case opened.err != nil && ctx.Err() == nil:
 		s.shutdown.finish(fmt.Errorf("listen: %w", opened.err))
@@ -71,7 +71,7 @@
 		listener = s.env.WrapListener(listener)
 	}
 	limited := s.server.Limit(listener)
-	go func() { s.listening.ended <- s.server.Serve(limited) }()
+	go func() { s.clientListener.ended <- s.server.Serve(limited) }()
 	s.server.SetClosing(false)
 	s.server.SetReady()
 	s.log.Info("ready", "name", s.config.Name, "listen", listener.Addr().String(),
--- a/internal/sender/logwriter.go
+++ b/internal/sender/logwriter.go
@@ -22,10 +22,10 @@
 	dropped     atomic.Int64
 }
 
-// logLine is a line to be written or, with reached, a mark in the queue.
+// logLine is a line to be written or, with flushed, a mark in the queue.
 type logLine struct {
 	text    []byte
-	reached chan struct{} // closed when all lines before it are written
+	flushed chan struct{} // closed when all lines before it are written
 }
 
 // newLogWriter starts a writer. Its goroutine ends with the process only: a write that blocks cannot be ended.
@@ -37,8 +37,8 @@
 
 func (w *logWriter) run() {
 	for line := range w.lines {
-		if line.reached != nil {
-			close(line.reached)
+		if line.flushed != nil {
+			close(line.flushed)
 			continue
 		}
 		// Where a write fails there is nobody left to report that to.
@@ -62,14 +62,14 @@
 // flush waits until what is queued has been written, at most for logFlushTimeout.
 func (w *logWriter) flush() {
 	timeout := time.After(logFlushTimeout)
-	mark := logLine{reached: make(chan struct{})}
+	mark := logLine{flushed: make(chan struct{})}
 	select {
 	case w.lines <- mark:
 	case <-timeout:
 		return
 	}
 	select {
-	case <-mark.reached:
+	case <-mark.flushed:
 	case <-timeout:
 	}
 }
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -71,7 +71,7 @@
 	case packetEvent:
 		return s.handlePredecessorPacket(ctx, e)
 	case linkLostEvent:
-		return s.handleCallEnd(callEndedEvent{ends: s.predecessorLost(e.link)})
+		return s.handleCallEnd(callEndedEvent{ends: s.handlePredecessorLoss(e.link)})
 	case lockAcquiredEvent: // this process holds the lock already
 		if e.lock != nil {
 			_ = e.lock.Close() // a directory: nothing was written
--- a/internal/sender/peer.go
+++ b/internal/sender/peer.go
@@ -34,8 +34,8 @@
 	return attemptEnd{message: m, attempt: report.Attempt.Attempt - m.priorAttempts, AttemptResult: report.Result}, true
 }
 
-// predecessorLost ends the attempts that the process at a link had in flight: they may have run.
-func (s *Sender) predecessorLost(link *handover.Link) []attemptEnd {
+// handlePredecessorLoss ends the attempts that the process at a link had in flight: they may have run.
+func (s *Sender) handlePredecessorLoss(link *handover.Link) []attemptEnd {
 	var ends []attemptEnd
 	for _, m := range s.messages.byNumber {
 		for attempt, c := range m.calls {
@@ -86,9 +86,9 @@
 		s.handlePacketAfterHandOver(ctx, e)
 	case linkLostEvent:
 		if e.link == s.upgrade.successor {
-			s.successorLost(ctx)
+			s.handleSuccessorLoss(ctx)
 		} else {
-			s.reportAttemptEnds(s.predecessorLost(e.link))
+			s.reportAttemptEnds(s.handlePredecessorLoss(e.link))
 		}
 	}
 }
@@ -113,8 +113,8 @@
 	}
 }
 
-// successorLost waits for the lock again, unless this process is about to end.
-func (s *Sender) successorLost(ctx context.Context) {
+// handleSuccessorLoss waits for the lock again, unless this process is about to end.
+func (s *Sender) handleSuccessorLoss(ctx context.Context) {
 	s.upgrade.successor = nil
 	s.log.Warn("the successor is gone")
 	if !s.dispatchStopped {
--- a/internal/sender/process.go
+++ b/internal/sender/process.go
@@ -33,9 +33,9 @@
 func runProcess(env Environment, log *slog.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hup := make(chan os.Signal, 1) // before all else: without a handler SIGHUP would end the process
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
+	hangups := make(chan os.Signal, 1) // before all else: without a handler SIGHUP would end the process
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	signal.Ignore(syscall.SIGPIPE) // the log's reader may be gone: the write fails then like any other
 	c, err := config.Load(ctx, log, env.ReadFile, os.Getenv)
 	if err != nil {
@@ -50,13 +50,13 @@
 	if err != nil {
 		return err
 	}
-	s, err := NewIn(ctx, env, c, log)
+	s, err := NewInEnvironment(ctx, env, c, log)
 	if err != nil {
 		return err
 	}
 	serving, cancel := context.WithCancel(context.Background()) // for longer than ctx: through the shutdown as well
 	defer cancel()
-	go s.reloadOn(serving, hup) // nobody waits for it: the process ends
+	go s.reloadOn(serving, hangups) // nobody waits for it: the process ends
 	return s.Run(ctx, listen)
 }
 
@@ -71,10 +71,10 @@
 }
 
 // reloadOn applies a new configuration at each signal, until ctx ends.
-func (s *Sender) reloadOn(ctx context.Context, hup <-chan os.Signal) {
+func (s *Sender) reloadOn(ctx context.Context, hangups <-chan os.Signal) {
 	for {
 		select {
-		case <-hup:
+		case <-hangups:
 			if err := s.Reload(ctx, os.Getenv); err != nil {
 				s.log.Error("reload: going on as before", "err", err)
 			}
--- a/internal/sender/run.go
+++ b/internal/sender/run.go
@@ -12,17 +12,17 @@
 	"onyxdyke.example/onyxdyke/internal/handover"
 )
 
-// idleInterval is how often the loop publishes its metrics and closes idle connections without another event.
-const idleInterval = time.Second
+// tickInterval is how often the loop publishes its metrics and closes idle connections without another event.
+const tickInterval = time.Second
 
 // Run takes ownership of the state directory, resumes the messages in the journal, listens for clients, and serves
 // until ctx ends and through the shutdown that follows. Messages that have not ended by then stay in the journal.
 func (s *Sender) Run(ctx context.Context, listen ListenFunc) error {
-	// work ends when Run does: with it all goroutines that Run starts. Nobody waits for them, as the time for a
+	// workCtx ends when Run does: with it all goroutines that Run starts. Nobody waits for them, as the time for a
 	// shutdown is short, and what they still post is read by nobody.
-	work, cancelWork := context.WithCancel(context.Background())
+	workCtx, cancelWork := context.WithCancel(context.Background())
 	defer cancelWork()
-	s.startAdmin(work)
+	s.startAdmin(workCtx)
 	snapshot, err := s.acquireOwnership(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
@@ -30,29 +30,29 @@
 		}
 		return err
 	}
-	s.startDiscovery(work, snapshot)
+	s.startDiscovery(workCtx, snapshot)
 	defer s.discovery.Close()
 	if ctx.Err() != nil { // the shutdown was requested before the start: nothing is resumed
 		return s.stop(cancelWork)
 	}
-	s.restoreState(work, snapshot, s.predecessorCall)
+	s.restoreState(workCtx, snapshot, s.predecessorCall)
 	s.startListening(ctx, listen)
-	s.upgrade.start(work)
-	return errors.Join(s.serve(ctx, work), s.stop(cancelWork))
+	s.upgrade.start(workCtx)
+	return errors.Join(s.serve(ctx, workCtx), s.stop(cancelWork))
 }
 
-// startAdmin serves the admin address, if there is one. It ends with work.
-func (s *Sender) startAdmin(work context.Context) {
+// startAdmin serves the admin address, if there is one. It ends with workCtx.
+func (s *Sender) startAdmin(workCtx context.Context) {
 	if s.config.Admin == "" {
 		return
 	}
 	server := admin.New(s.log, s.config.Limits.MaxAdminConnections(), s.health, s.metrics.Dump)
-	go server.Run(work, s.config.Admin)
+	go server.Run(workCtx, s.config.Admin)
 }
 
 // startDiscovery starts to watch the endpoint list, from the version that is known, and to deliver notices. Both end
-// with work.
-func (s *Sender) startDiscovery(work context.Context, snapshot *handover.Snapshot) {
+// with workCtx.
+func (s *Sender) startDiscovery(workCtx context.Context, snapshot *handover.Snapshot) {
 	known := s.config.Known.Version
 	if len(s.config.Known.Endpoints) == 0 {
 		known = -1
@@ -63,36 +63,36 @@
 		s.discovery.SkipInitialDelay()
 	}
 	s.pool.OnRetryAfter(func(e *endpoint.Endpoint, pause time.Duration) {
-		s.post(work, retryAfterEvent{endpoint: e.Number, until: time.Now().Add(pause)})
+		s.post(workCtx, retryAfterEvent{endpoint: e.Number, until: time.Now().Add(pause)})
 	})
 	if !s.config.Settings.PollsEndpointList {
-		s.discovery.OnStaleChange(func(stale bool) { s.post(work, endpointListStaleEvent{stale}) })
+		s.discovery.OnStaleChange(func(stale bool) { s.post(workCtx, endpointListStaleEvent{stale}) })
 	}
 	s.discovery.ReserveConnection()
-	go s.discovery.Follow(work, known, s.watchRequests,
-		func(update endpointlist.Update) { s.post(work, endpointListEvent{update}) },
-		func(err error) { s.post(work, discoveryFailedEvent{err}) })
-	go s.discovery.DeliverNotices(work, s.notices.batches,
-		func(notices []discovery.Notice) { s.post(work, noticesDeliveredEvent{notices}) })
+	go s.discovery.Follow(workCtx, known, s.watchRequests,
+		func(update endpointlist.Update) { s.post(workCtx, endpointListEvent{update}) },
+		func(err error) { s.post(workCtx, discoveryFailedEvent{err}) })
+	go s.discovery.DeliverNotices(workCtx, s.notices.batches,
+		func(notices []discovery.Notice) { s.post(workCtx, noticesDeliveredEvent{notices}) })
 	if !s.config.Settings.PollsEndpointList {
 		s.requestEndpointList()
 	}
 }
 
 // serve is the event loop. It returns when the shutdown is finished, with the error that forced it, if any.
-func (s *Sender) serve(ctx, work context.Context) error {
-	idle := time.NewTicker(idleInterval)
-	defer idle.Stop()
+func (s *Sender) serve(ctx, workCtx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	s.shutdown.requested = ctx.Done()
 	for !s.shutdown.finished {
 		select {
 		case e := <-s.events:
-			s.processEvents(work, e)
+			s.processEvents(workCtx, e)
 		case <-s.timer.C:
-			s.processEvents(work, timerEvent{})
+			s.processEvents(workCtx, timerEvent{})
 		case <-s.journalRetry.C:
-			s.retryJournal(work)
-		case <-idle.C:
+			s.retryJournal(workCtx)
+		case <-ticker.C:
 			s.tick()
 		case <-s.shutdown.requested:
 			s.beginShutdown()
@@ -103,11 +103,11 @@
 			s.endDrain()
 		case <-s.shutdown.cancelOver:
 			s.shutdown.finish(nil)
-		case <-s.shutdown.answered:
+		case <-s.shutdown.serverFinished:
 			s.shutdown.finish(nil)
-		case opened := <-s.listening.opened:
+		case opened := <-s.clientListener.opened:
 			s.handleListener(ctx, opened)
-		case err := <-s.listening.ended:
+		case err := <-s.clientListener.ended:
 			s.handleListenerEnd(err)
 		}
 		s.advanceShutdown()
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -59,38 +59,38 @@
 	journalFailing  atomic.Bool // the journal's last write failed; read by health
 	dispatchStopped bool        // the dispatcher makes no more decisions: events only go to the journal
 
-	listening *listening
-	upgrade   *upgrade
-	shutdown  *shutdown
+	clientListener *clientListener
+	upgrade        *upgrade
+	shutdown       *shutdown
 }
 
 // New opens the journal, unless another process holds the lock on the state directory; Run does the rest.
 func New(c *config.Config, log *slog.Logger) (*Sender, error) {
-	return NewIn(context.Background(), OperatingSystem(), c, log)
+	return NewInEnvironment(context.Background(), OperatingSystem(), c, log)
 }
 
-// NewIn is New in an environment other than the operating system's. What fails for a transient reason is retried
-// until ctx ends.
-func NewIn(ctx context.Context, env Environment, c *config.Config, log *slog.Logger) (*Sender, error) {
+// NewInEnvironment is New in an environment other than the operating system's. What fails for a transient reason is
+// retried until ctx ends.
+func NewInEnvironment(ctx context.Context, env Environment, c *config.Config, log *slog.Logger) (*Sender, error) {
 	registry := metrics.New(c.Classes, invariant.RuleNames()...)
 	checker := invariant.NewChecker(log, registry)
 	s := &Sender{
-		env:           env,
-		config:        c,
-		log:           log,
-		clock:         clock.New(env.Wall()),
-		dispatcher:    dispatch.New(c.Settings, c.Seed),
-		list:          endpointTable{byID: map[string]*listedEndpoint{}},
-		metrics:       registry,
-		invariants:    checker,
-		events:        make(chan event, eventQueueLength),
-		watchRequests: make(chan struct{}, 1),
-		timer:         time.NewTimer(time.Hour),
-		journalRetry:  time.NewTimer(time.Hour),
-		messages:      newMessageTable(),
-		notices:       newNoticeQueue(),
-		listening:     newListening(),
-		shutdown:      newShutdown(),
+		env:            env,
+		config:         c,
+		log:            log,
+		clock:          clock.New(env.Wall()),
+		dispatcher:     dispatch.New(c.Settings, c.Seed),
+		list:           endpointTable{byID: map[string]*listedEndpoint{}},
+		metrics:        registry,
+		invariants:     checker,
+		events:         make(chan event, eventQueueLength),
+		watchRequests:  make(chan struct{}, 1),
+		timer:          time.NewTimer(time.Hour),
+		journalRetry:   time.NewTimer(time.Hour),
+		messages:       newMessageTable(),
+		notices:        newNoticeQueue(),
+		clientListener: newClientListener(),
+		shutdown:       newShutdown(),
 	}
 	s.pool = s.newPool(env.Control)
 	s.discovery = discovery.New(discovery.Options{
--- a/internal/sender/shutdown.go
+++ b/internal/sender/shutdown.go
@@ -27,11 +27,11 @@
 	gracePeriod  time.Duration
 	drainTimeout time.Duration // from the request on, the grace period included
 
-	requested  <-chan struct{} // nil once the shutdown has begun
-	graceOver  <-chan time.Time
-	drainOver  <-chan time.Time
-	cancelOver <-chan time.Time // nil unless calls have been cancelled
-	answered   chan struct{}    // closed when the server has ended; nil before that starts
+	requested      <-chan struct{} // nil once the shutdown has begun
+	graceOver      <-chan time.Time
+	drainOver      <-chan time.Time
+	cancelOver     <-chan time.Time // nil unless calls have been cancelled
+	serverFinished chan struct{}    // closed when the server has ended; nil before that starts
 
 	finished bool
 	cause    error // why the process ends by itself, if it does
@@ -91,16 +91,16 @@
 }
 
 // endServer answers the requests that have arrived and accepts no more. The goroutine's time is bounded by the
-// server, and the loop waits for it at answered.
+// server, and the loop waits for it at serverFinished.
 func (s *Sender) endServer() {
-	if s.shutdown.answered != nil {
+	if s.shutdown.serverFinished != nil {
 		return
 	}
-	answered := make(chan struct{})
-	s.shutdown.answered = answered
+	serverFinished := make(chan struct{})
+	s.shutdown.serverFinished = serverFinished
 	go func() {
 		s.server.Finish()
-		close(answered)
+		close(serverFinished)
 	}()
 }
 
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -33,9 +33,9 @@
 	predecessor *handover.Link // the process that this one has taken over from; nil once it is gone
 	successor   *handover.Link // the process that has taken over from this one; nil once it is gone
 
-	handedOver         bool // a successor decides
-	handedSnapshot     dispatch.Snapshot
-	handedBackoffUntil map[string]time.Duration // by message ID, as in the snapshot
+	handedOver             bool // a successor decides
+	handedOverSnapshot     dispatch.Snapshot
+	handedOverBackoffUntil map[string]time.Duration // by message ID, as in the snapshot
 
 	forwarded     map[uint64]forwardedRequest // requests without a response from the successor, by sequence number
 	lastForwarded uint64                      // sequence number
@@ -53,12 +53,12 @@
 	}
 }
 
-// start listens to the predecessor, if there is one, and waits for a successor. The goroutines end with work.
-func (u *upgrade) start(work context.Context) {
+// start listens to the predecessor, if there is one, and waits for a successor. The goroutines end with workCtx.
+func (u *upgrade) start(workCtx context.Context) {
 	if u.predecessor != nil {
-		go u.listenToPeer(work, u.predecessor)
+		go u.receiveFromPeer(workCtx, u.predecessor)
 	}
-	u.startAwaitingSuccessor(work)
+	u.startAwaitingSuccessor(workCtx)
 }
 
 // startAwaitingSuccessor waits for a successor on a goroutine that ends with ctx, if this process holds the lock.
@@ -172,11 +172,11 @@
 		return
 	}
 	u.post(ctx, successorEvent{link})
-	go u.listenToPeer(ctx, link)
+	go u.receiveFromPeer(ctx, link)
 }
 
-// listenToPeer posts what the other process sends, and that its link is lost. It ends with the link.
-func (u *upgrade) listenToPeer(ctx context.Context, link *handover.Link) {
+// receiveFromPeer posts what the other process sends, and that its link is lost. It ends with the link.
+func (u *upgrade) receiveFromPeer(ctx context.Context, link *handover.Link) {
 	link.Listen(
 		func(p handover.Packet) { u.post(ctx, packetEvent{link: link, packet: p}) },
 		func() { u.post(ctx, linkLostEvent{link}) })
