--- a/internal/sender/attempts.go
+++ b/internal/sender/attempts.go
@@ -8,37 +8,41 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// deliveryMargin: a client measures a message's time from when it sent it, the sender from when it arrived, and the
-// difference is not known. The protocol allows this much for such differences.
+// deliveryMargin is how far a client's measurement of a message's time may differ from the sender's. The client
+// measures from when it sent the message, the sender from when it arrived. The difference is not known, and the
+// protocol allows this much for it.
 const deliveryMargin = 50 * time.Millisecond
 
-// handleCallEnd records how attempts ended and translates that for the dispatcher.
+// handleCallEnd records how attempts of a call ended and returns the events that report this to the dispatcher.
 func (s *Sender) handleCallEnd(c callEndedEvent) []dispatch.Event {
 	var events []dispatch.Event
 	if c.callDone {
 		s.callsInFlight--
 	}
 	for _, end := range c.ends {
-		// After this process became the owner again, the message has a new entry.
+		// If this process has taken the ownership back after a hand-over, the message has a new entry, in which the
+		// attempt has another number.
 		if m := s.messages.byID[end.message.ID]; m != nil && m != end.message {
 			end.message, end.attempt = m, end.message.priorAttempts+end.attempt-m.priorAttempts
 		}
-		if _, inFlight := end.message.calls[end.attempt]; inFlight { // else it ended before its call did
+		if _, inFlight := end.message.calls[end.attempt]; inFlight { // otherwise the attempt ended before its call did
 			events = append(events, s.handleAttemptEnd(end))
 		}
 	}
 	return events
 }
 
+// handleAttemptEnd records how one attempt ended and returns the event that reports this to the dispatcher.
 func (s *Sender) handleAttemptEnd(end attemptEnd) dispatch.Event {
 	m := end.message
 	delete(m.calls, end.attempt)
-	s.trace("attempt ended", m.ID, "attempt", m.priorAttempts+end.attempt, "outcome", end.Outcome, "took", end.Elapsed,
-		"retry_after", end.RetryAfter)
+	s.trace("attempt ended", m.ID, "attempt", m.priorAttempts+end.attempt, "outcome", end.Outcome,
+		"elapsed", end.Elapsed, "retry_after", end.RetryAfter)
 	end.Message, end.Attempt = m.number, end.attempt
 	if end.Outcome == dispatch.TimedOut {
-		// Where a machine vanished or was cut off, the older connections are silent as well, and are reset once it is
-		// back: each would cost one more call its time-out. Connections used since then may stay.
+		// If the endpoint's machine has vanished or was cut off, the older idle connections to it do not respond
+		// either, and are reset once the machine is back: each of them would make one more call time out. Connections
+		// that were used since the attempt began stay open.
 		s.pool.CloseIdle(s.list.byNumber[end.Endpoint].Endpoint, end.Elapsed)
 	}
 	if !m.ended {
@@ -48,13 +52,13 @@
 	return end.AttemptResult
 }
 
-// recordAttemptEnd appends an attempt's end to the journal, and the message's end if that follows from it.
+// recordAttemptEnd appends the end of an attempt to the journal, or the end of its message if the attempt ends it.
 func (s *Sender) recordAttemptEnd(end attemptEnd) {
 	m := end.message
 	switch {
 	case end.Outcome == dispatch.Served && m.Deadline-s.clock.Now() < deliveryMargin:
-		// By the client's clock it may have been delivered too late, and then the client needs to know its end. A
-		// notice of a message that was delivered in time does no harm.
+		// By the client's clock the message may have been delivered after its deadline, and then the client needs a
+		// notice of its end. A notice of a message that was delivered in time does no harm.
 		s.recordEnd(m, journal.OutcomeGivenUp, 0)
 		s.notices.add(noticeOf(m.Message))
 		s.metrics.MessageSucceeded(m.Class)
@@ -75,9 +79,9 @@
 	}
 }
 
-// recordEnd appends a message's end to the journal. The caller answers clients that still wait.
+// recordEnd appends a message's end to the journal. The caller sends the response to clients that still wait for it.
 func (s *Sender) recordEnd(m *message, outcome journal.Outcome, retryAfter time.Duration) {
-	s.trace("ended", m.ID, "outcome", outcome)
+	s.trace("message ended", m.ID, "outcome", outcome)
 	s.journal.AppendMessageEnded(m.Message, outcome, retryAfter)
 	s.messages.markEnded(m)
 }
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -15,7 +15,7 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// inFlightCall is the call that carries an attempt.
+// inFlightCall is a call in flight that carries an attempt.
 type inFlightCall struct {
 	number      uint64
 	endpoint    dispatch.EndpointID
@@ -24,10 +24,10 @@
 	abortUnsent func()         // ends the call unless it has been written
 	remote      *handover.Link // the process that makes the call, nil for this one
 
-	reportedEnd *dispatch.AttemptResult // how the attempt ended, once that is reported to a successor; else nil
+	reportedEnd *dispatch.AttemptResult // how the attempt ended, if it ended after a hand-over; nil otherwise
 }
 
-// abortUnsent ends the calls of a kind that have not been written yet.
+// abortUnsent ends the calls in flight that match and have not been written yet.
 func (s *Sender) abortUnsent(matches func(*inFlightCall) bool) {
 	for _, m := range s.messages.byNumber {
 		for _, c := range m.calls {
@@ -38,30 +38,30 @@
 	}
 }
 
-// maxBatchBytes bounds what the messages of one call take in it, encoded.
+// maxBatchBytes bounds the encoded size of the messages in one call.
 const maxBatchBytes = endpoint.MaxBody - 4<<10
 
-// batchEntryBytes is what an entry takes in a batch beside its id, its key and its body.
+// batchEntryBytes is the size of an entry in a batch without its id, its key and its body.
 const batchEntryBytes = 64
 
-// callItem is a message's part in a call.
+// callItem is one message of a call.
 type callItem struct {
 	*endpoint.Item
 	message *message
-	attempt int // the dispatcher's number of it
+	attempt int // the dispatcher's number of the attempt
 }
 
 // plannedCall is a call that is about to be started.
 type plannedCall struct {
 	to    *listedEndpoint
 	items []callItem
-	bytes int
+	bytes int // the encoded size of the items
 }
 
-// startCalls makes the calls of a step, in the order of the sends. Messages to one endpoint share a call as far as
-// its kind allows, as the dispatcher counts it. Each message ends at its own deadline while its call goes on, but the
-// call has to be over at the deadline of its first message: after that the platform accepts no response to it. So the
-// message with the latest deadline comes first.
+// startCalls starts the calls of a step, in the order of the sends. Messages to one endpoint share a call up to the
+// batch size of the endpoint's kind, which is how the dispatcher counts calls, too. Each message ends at its own
+// deadline while its call continues, but the call has to be over at the deadline of its first message, because the
+// platform accepts no response to it after that. So the message with the latest deadline comes first.
 func (s *Sender) startCalls(ctx context.Context, now time.Duration, sends []dispatch.Send, written bool) {
 	var calls []*plannedCall
 	openCalls := map[*listedEndpoint]*plannedCall{}
@@ -71,7 +71,7 @@
 			continue
 		}
 		item := s.newCallItem(m, send, now)
-		s.trace("attempt", m.ID, "attempt", m.priorAttempts+item.attempt, "endpoint", to.ID,
+		s.trace("starting attempt", m.ID, "attempt", m.priorAttempts+item.attempt, "endpoint", to.ID,
 			"timeout", send.Timeout, "written", written)
 		size := base64.StdEncoding.EncodedLen(len(m.Body)) + len(m.ID) + len(m.Key) + batchEntryBytes
 		call := openCalls[to]
@@ -89,7 +89,7 @@
 	}
 }
 
-// newCallItem is a message's part in a call that the dispatcher has decided on.
+// newCallItem returns the item for a message that the dispatcher has decided to send, and counts the attempt.
 func (s *Sender) newCallItem(m *message, send dispatch.Send, now time.Duration) callItem {
 	item := callItem{message: m, attempt: m.ownAttempts, Item: &endpoint.Item{
 		ID:          m.ID,
@@ -137,20 +137,20 @@
 	})
 }
 
-// callEndedEvent is how a call ended for some of its messages.
+// callEndedEvent reports how a call ended for some of its messages.
 type callEndedEvent struct {
 	ends     []attemptEnd
 	callDone bool // the call itself has ended, too
 }
 
-// attemptEnd is how an attempt with a message ended.
+// attemptEnd holds how an attempt to deliver a message ended.
 type attemptEnd struct {
 	message *message
 	attempt int
 	dispatch.AttemptResult
 }
 
-// newPool makes the pool of connections to endpoints.
+// newPool returns the pool of connections to endpoints.
 func (s *Sender) newPool(control func(network, address string, c syscall.RawConn) error) *endpoint.Pool {
 	return endpoint.NewPool(endpoint.Options{
 		ConnectTimeout:   s.config.ConnectTimeout,
@@ -163,8 +163,8 @@
 	})
 }
 
-// sendPermitFor is what the invariant checker needs to know of a message whose newest attempt is about to be sent,
-// while others are in flight.
+// sendPermitFor returns what the invariant checker needs to know about a message whose newest attempt is about to be
+// sent, given the message's attempts that are in flight.
 func sendPermitFor(m *message, inFlight map[int]*inFlightCall, now time.Duration) invariant.SendPermit {
 	permit := invariant.SendPermit{MessageID: m.ID, InFlight: len(inFlight)}
 	if m.Message == nil || m.Rules == nil || len(m.Attempts) == 0 {
--- a/internal/sender/dispatch.go
+++ b/internal/sender/dispatch.go
@@ -10,8 +10,8 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// dispatch lets the dispatcher decide, writes its actions to the journal, and only then announces them and carries
-// them out.
+// dispatch runs one step of the dispatcher, writes the resulting actions to the journal, and only then announces and
+// executes them.
 func (s *Sender) dispatch(ctx context.Context, events []dispatch.Event) {
 	now := s.clock.Now()
 	actions := s.dispatcher.Step(now, s.withStorageStatus(events))
@@ -24,7 +24,8 @@
 	s.publishMetrics()
 }
 
-// withStorageStatus puts a change of the journal's state before the other events, so that nothing is decided in vain.
+// withStorageStatus prepends an event if the journal has failed or recovered since the last step. The dispatcher gets
+// it before the other events, so that it decides nothing that cannot be recorded.
 func (s *Sender) withStorageStatus(events []dispatch.Event) []dispatch.Event {
 	if s.journal.Failed() == s.storageFailing {
 		return events
@@ -33,7 +34,8 @@
 	return append([]dispatch.Event{dispatch.StorageStatus{Failing: s.storageFailing}}, events...)
 }
 
-// appendActions appends to the journal what has to be there before it happens, and returns the messages that end.
+// appendActions appends to the journal the actions that it must hold before they are executed, and returns the messages
+// that they end.
 func (s *Sender) appendActions(now time.Duration, actions []dispatch.Action) []endedMessage {
 	var ended []endedMessage
 	for _, a := range actions {
@@ -51,6 +53,7 @@
 	return ended
 }
 
+// appendSend appends the start of an attempt to the journal.
 func (s *Sender) appendSend(now time.Duration, send dispatch.Send) {
 	m, e := s.messages.byNumber[send.Message], s.endpoint(send.Endpoint)
 	if m == nil || e == nil {
@@ -59,8 +62,8 @@
 	s.journal.AppendAttemptStarted(m.Message, journal.Attempt{SentAt: now, Endpoint: e.ID, Zone: e.zone})
 }
 
-// announce tells clients and discovery which messages have ended, and clients which are accepted. It is called after
-// the flush.
+// announce reports to clients which messages are accepted, and to clients or discovery which messages have ended. It is
+// called after the flush.
 func (s *Sender) announce(ended []endedMessage, events []dispatch.Event, written bool) {
 	for _, end := range ended {
 		s.announceEnd(end, written)
@@ -72,8 +75,8 @@
 	}
 }
 
-// executeActions does what the dispatcher has decided, but for the sends, which it returns: their calls start after the
-// rest.
+// executeActions executes the dispatcher's actions except for the sends. It returns those: their calls start after all
+// other actions.
 func (s *Sender) executeActions(actions []dispatch.Action) []dispatch.Send {
 	var sends []dispatch.Send
 	for _, a := range actions {
@@ -90,7 +93,7 @@
 			if e := s.endpoint(a.Endpoint); e != nil {
 				s.pool.CloseIdle(e.Endpoint, 0)
 			}
-		case dispatch.SetTimer: // each is earlier than the one set before
+		case dispatch.SetTimer: // the dispatcher only moves a pending timer to an earlier time
 			s.timer.Reset(max(0, a.At-s.clock.Now()))
 		case dispatch.WatchEndpointList:
 			s.requestEndpointList()
@@ -101,12 +104,14 @@
 	return sends
 }
 
-// flush writes the journal. What fails here is tried again after a while, and with the next message, which is rejected.
+// flush writes the journal and reports whether that succeeded. A write that fails is retried after
+// journal.RetryInterval, and also when the next message is submitted, which is rejected if the journal still cannot be
+// written.
 func (s *Sender) flush() bool {
 	err := s.journal.Flush()
 	s.journalFailing.Store(s.journal.Failed())
 	if err != nil {
-		s.log.Warn("journal", "err", err)
+		s.log.Warn("journal write failed", "err", err)
 	}
 	if s.journal.Failed() {
 		s.journalRetry.Reset(journal.RetryInterval)
@@ -114,8 +119,8 @@
 	return err == nil
 }
 
-// retryJournal tries to write the journal anew after a write has failed, and tells the dispatcher whether it can be
-// written.
+// retryJournal tries again to write the journal after a write has failed, and runs a step, which reports to the
+// dispatcher whether the journal can be written.
 func (s *Sender) retryJournal(ctx context.Context) {
 	if s.journal == nil || !s.journal.Failed() && !s.storageFailing {
 		return
--- a/internal/sender/endpointlist.go
+++ b/internal/sender/endpointlist.go
@@ -11,24 +11,24 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// listedEndpoint is an endpoint with its entry in the list, as the event loop knows it.
+// listedEndpoint is an endpoint with its latest entry in the endpoint list.
 type listedEndpoint struct {
 	*endpoint.Endpoint
 	zone         int  // its index in the configuration
 	maxBatchSize int  // messages in one call
-	isListed     bool // draining ones are
+	isListed     bool // also true while it drains
 	entry        endpointlist.Endpoint
 }
 
-// endpointTable is the endpoint list as the event loop knows it. Numbers stay with IDs, also of endpoints that are
-// gone.
+// endpointTable holds the endpoint list as the event loop knows it. An ID keeps its number even after its endpoint has
+// been deleted.
 type endpointTable struct {
 	byID     map[string]*listedEndpoint
 	byNumber []*listedEndpoint
-	listed   int // endpoints on the list now
+	listed   int // the number of endpoints on the list
 }
 
-// changes are the entries of an update that differ from what is known. Endpoints that a full list lacks are among
+// changes returns the entries of an update that differ from what is known. Endpoints that a full list lacks are among
 // them, as deleted.
 func (l *endpointTable) changes(update endpointlist.Update) []endpointlist.Endpoint {
 	var changed []endpointlist.Endpoint
@@ -76,8 +76,8 @@
 	return l.byNumber[number], nil
 }
 
-// apply updates an endpoint by its entry and translates that for the dispatcher.
-func (l *endpointTable) apply(entry endpointlist.Endpoint, c *config.Config, p *endpoint.Pool) dispatch.Endpoint {
+// apply updates an endpoint from its entry, or adds it, and returns it in the form that the dispatcher uses.
+func (l *endpointTable) apply(entry endpointlist.Endpoint, cfg *config.Config, pool *endpoint.Pool) dispatch.Endpoint {
 	e := l.byID[entry.ID]
 	if e == nil {
 		e = &listedEndpoint{Endpoint: &endpoint.Endpoint{Number: dispatch.EndpointID(len(l.byNumber)), ID: entry.ID}}
@@ -88,11 +88,11 @@
 		entry.Addr = e.entry.Addr
 	}
 	e.entry = entry
-	e.zone, e.maxBatchSize = config.IndexOf(c.Zones, entry.Zone, 0), 1
-	kind := config.IndexOf(c.Kinds, entry.Kind, 0)
-	isKnownKind := kind < len(c.Settings.Kinds)
+	e.zone, e.maxBatchSize = config.IndexOf(cfg.Zones, entry.Zone, 0), 1
+	kind := config.IndexOf(cfg.Kinds, entry.Kind, 0)
+	isKnownKind := kind < len(cfg.Settings.Kinds)
 	if isKnownKind {
-		e.maxBatchSize = max(1, c.Settings.Kinds[kind].MaxBatchSize)
+		e.maxBatchSize = max(1, cfg.Settings.Kinds[kind].MaxBatchSize)
 	}
 	l.setListed(e, !entry.IsDeleted())
 	if entry.Addr != "" {
@@ -100,11 +100,11 @@
 	}
 	isReady := entry.State == endpointlist.StateServing
 	if !isReady {
-		p.CloseIdle(e.Endpoint, 0)
+		pool.CloseIdle(e.Endpoint, 0)
 	}
 	e.SetServing(isReady)
 	scope := invariant.Scope{Destination: dispatch.DestinationID(entry.Cell)}
-	if isKnownKind && c.Settings.Kinds[kind].PerEndpoint {
+	if isKnownKind && cfg.Settings.Kinds[kind].PerEndpoint {
 		scope = invariant.Scope{Endpoint: e.Number, PerEndpoint: true}
 	}
 	e.SetScope(scope)
@@ -118,7 +118,7 @@
 	}
 }
 
-// setListed notes whether an endpoint is on the list.
+// setListed records whether an endpoint is on the list.
 func (l *endpointTable) setListed(e *listedEndpoint, isListed bool) {
 	switch {
 	case isListed == e.isListed:
@@ -151,8 +151,8 @@
 	return stored
 }
 
-// restoredOutages translates the journal's outages back, by the numbers of this process. Those of endpoints that were
-// never listed are left out.
+// restoredOutages translates the journal's outages for the dispatcher, with the endpoint numbers of this process.
+// Outages of endpoints that were never listed are left out.
 func (l *endpointTable) restoredOutages(stored []journal.Outage) dispatch.OutagesRestored {
 	var restored dispatch.OutagesRestored
 	for _, s := range stored {
--- a/internal/sender/environment.go
+++ b/internal/sender/environment.go
@@ -9,23 +9,23 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// Environment is what a sender gets from its operating system where that may fail or be wrong: clocks, the state
-// directory, the clients' listener and sockets to endpoints. Tests and the soak command replace parts of it by ones
-// that fail.
+// Environment holds the parts of the operating system that a sender uses and that may fail or be wrong: the wall clock,
+// files, the listener for clients, and the sockets to endpoints and to discovery. Tests and the soak command replace
+// some of them by parts that fail.
 type Environment struct {
-	// Wall is the wall clock. It may be stepped at any time.
+	// Wall returns the time of the wall clock, which may be stepped at any time.
 	Wall func() time.Time
 	// Files gives access to the state directory.
 	Files FileSystem
 	// ReadFile reads the configuration.
 	ReadFile func(path string) ([]byte, error)
-	// WrapListener is applied to each listener for clients; nil for none.
+	// WrapListener wraps each listener for clients. It may be nil.
 	WrapListener func(net.Listener) net.Listener
-	// Control is called for each socket before it connects to an endpoint or to discovery; nil for none.
+	// Control is called for each socket before it connects to an endpoint or to discovery. It may be nil.
 	Control func(network, address string, c syscall.RawConn) error
 }
 
-// OperatingSystem is the environment of a sender in service.
+// OperatingSystem returns the environment of a sender in production.
 func OperatingSystem() Environment {
 	return Environment{Wall: time.Now, Files: journal.OSFileSystem{}, ReadFile: os.ReadFile}
 }
--- a/internal/sender/events.go
+++ b/internal/sender/events.go
@@ -13,55 +13,56 @@
 	"onyxdyke.example/onyxdyke/internal/ingress"
 )
 
-// event is what other goroutines, or the loop's own timers, tell the event loop.
+// event is an input of the event loop, from another goroutine or from one of the loop's own timers.
 type event interface{ isEvent() }
 
 type (
-	// timerEvent: the dispatcher's timer has fired.
+	// timerEvent reports that the dispatcher's timer has fired.
 	timerEvent struct{}
 
-	// journalRetriedEvent: a journal that could not be written has been tried again. The step tells the dispatcher
-	// how that went.
+	// journalRetriedEvent reports that writing the journal was retried after a failure. The step that it starts passes
+	// the result to the dispatcher.
 	journalRetriedEvent struct{}
 
-	// submissionEvent: a client has sent a message.
+	// submissionEvent reports that a client has submitted a message.
 	submissionEvent struct{ ingress.Submission }
 
-	// retryAfterEvent: an endpoint has asked for a pause in a response whose rest is still to come.
+	// retryAfterEvent reports that an endpoint has asked for a pause, in a response that has not been read to its end
+	// yet.
 	retryAfterEvent struct {
 		endpoint dispatch.EndpointID
 		until    time.Time
 	}
 
-	// endpointListEvent: discovery has answered with a list, or with changes to it.
+	// endpointListEvent reports that discovery has sent an endpoint list, or changes to it.
 	endpointListEvent struct{ endpointlist.Update }
 
-	// endpointListStaleEvent: the list has become stale, or fresh again.
+	// endpointListStaleEvent reports that the list has become stale, or fresh again.
 	endpointListStaleEvent struct{ stale bool }
 
-	// discoveryFailedEvent: discovery could not be asked, or its answer is not a list.
+	// discoveryFailedEvent reports that a request to discovery failed, or that its response is not a list.
 	discoveryFailedEvent struct{ err error }
 
-	// noticesDeliveredEvent: discovery has accepted these notices.
+	// noticesDeliveredEvent reports that discovery has accepted these notices.
 	noticesDeliveredEvent struct{ notices []discovery.Notice }
 
-	// reloadEvent: a new configuration applies.
+	// reloadEvent reports that a new configuration applies.
 	reloadEvent struct{ *config.Config }
 
-	// successorEvent: a successor asks for the snapshot.
+	// successorEvent reports that a successor requests the snapshot.
 	successorEvent struct{ link *handover.Link }
 
-	// packetEvent: the other process of an upgrade has sent a packet.
+	// packetEvent reports a packet from the other process of an upgrade.
 	packetEvent struct {
 		link   *handover.Link
 		packet handover.Packet
 	}
 
-	// linkLostEvent: the other process of an upgrade is dead, or its connection is.
+	// linkLostEvent reports that the link to the other process of an upgrade has failed, or that the process is dead.
 	linkLostEvent struct{ link *handover.Link }
 
-	// lockAcquiredEvent: this process holds the lock again that it had handed over. The lock is nil if the state
-	// directory cannot be locked any more.
+	// lockAcquiredEvent reports that this process again holds the lock that it had handed over. The lock is nil if the
+	// state directory cannot be locked any more.
 	lockAcquiredEvent struct{ lock *os.File }
 )
 
@@ -80,7 +81,7 @@
 func (linkLostEvent) isEvent()          {}
 func (lockAcquiredEvent) isEvent()      {}
 
-// post queues an event for the loop and waits while the queue is full. It returns false if ctx has ended first.
+// post queues an event for the loop and waits while the queue is full. It returns false if ctx ends first.
 func (s *Sender) post(ctx context.Context, e event) bool {
 	select {
 	case s.events <- e:
--- a/internal/sender/forwarding.go
+++ b/internal/sender/forwarding.go
@@ -9,15 +9,15 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// forwardedRequest is a request that waits for the successor's response.
+// forwardedRequest is a client's request that waits for the successor's response.
 type forwardedRequest struct {
 	ingress.Submission
 	sent bool // to the successor
 }
 
-// forwardRequest forwards a request to the successor. Without one the request waits: if this process takes the lock
-// again, the request is its own. During a shutdown it takes the lock no more, so nobody can have accepted the
-// request.
+// forwardRequest forwards a request to the successor. Without a successor the request is kept, and this process handles
+// it itself once it has taken the lock back. During a shutdown it does not take the lock back, so it declines the
+// request, which no process can have accepted.
 func (s *Sender) forwardRequest(sub ingress.Submission) {
 	if s.upgrade.successor == nil && s.dispatchStopped {
 		s.declineSubmission(sub, "shutting down")
@@ -26,8 +26,9 @@
 	s.upgrade.forward(sub)
 }
 
-// abandonForwarded answers the requests whose successor is gone, where this process does not go on either. The dead
-// successor may have accepted what was sent to it, so nothing is promised of that.
+// abandonForwarded answers the forwarded requests when the successor is gone and this process does not take over from
+// it either. The dead successor may have accepted the requests that were sent to it, so the responses to those promise
+// nothing.
 func (s *Sender) abandonForwarded() {
 	for _, request := range s.upgrade.takeForwarded() {
 		if request.sent {
@@ -42,8 +43,8 @@
 	}
 }
 
-// receiveForwarded makes a submission of a request that arrived at the predecessor. A goroutine sends its response
-// back; it ends with the link or with ctx.
+// receiveForwarded returns the submission of a request that a client has sent to the predecessor. A goroutine sends the
+// response back over the link; it ends with the link or with ctx.
 func (s *Sender) receiveForwarded(
 	ctx context.Context, from *handover.Link, request handover.ForwardedRequest,
 ) ingress.Submission {
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -10,8 +10,8 @@
 	"onyxdyke.example/onyxdyke/internal/handover"
 )
 
-// canHandOver reports whether the journal has all that a successor needs to know. If not, the successor has to ask
-// again.
+// canHandOver reports whether the journal on disk holds all that a successor needs. If not, it closes the successor's
+// link, and the successor has to ask again.
 func (s *Sender) canHandOver(ctx context.Context, successor *handover.Link) bool {
 	if !s.journal.Failed() || s.journal.Compact() == nil {
 		return true
@@ -22,7 +22,7 @@
 	return false
 }
 
-// handOver gives the ownership to a successor, between two steps.
+// handOver transfers the ownership to a successor, between two steps.
 func (s *Sender) handOver(successor *handover.Link) {
 	s.upgrade.successor, s.upgrade.handedOver = successor, true
 	s.server.SetClosing(true)
@@ -31,7 +31,7 @@
 	for _, e := range s.list.byNumber {
 		s.pool.CloseIdle(e.Endpoint, 0)
 	}
-	// From now on only the successor knows whether a call may start.
+	// From now on only the successor decides whether a call may start.
 	s.abortUnsent(func(*inFlightCall) bool { return true })
 	snapshot := s.snapshot()
 	if successor.TakesConnections() {
@@ -46,7 +46,7 @@
 	successor.Send(snapshot)
 }
 
-// snapshot is what a successor gets beside the journal.
+// snapshot returns the state that a successor gets in addition to the journal.
 func (s *Sender) snapshot() *handover.Snapshot {
 	snapshot := &handover.Snapshot{
 		ListVersion:  s.listVersion,
@@ -65,8 +65,8 @@
 	return snapshot
 }
 
-// releaseConnections gives up the connections that are reserved for notices. A successor whose machine lets it open no
-// socket when it starts has no other to deliver its notices in time.
+// releaseConnections gives up the connections that are reserved for notices, and returns them for the successor. If the
+// machine lets a successor open no socket when it starts, it has no other connection to deliver its notices in time.
 func (s *Sender) releaseConnections() []handover.PassedConnection {
 	var passed []handover.PassedConnection
 	for _, reserved := range s.discovery.ReleaseReserved() {
@@ -105,19 +105,19 @@
 	return list
 }
 
-// closeJournal closes the journal before the lock is freed. It is compacted first, because the successor reads it
-// while clients wait; where that fails, the longer file says the same.
+// closeJournal closes the journal before the lock is released. It compacts the journal first, because the successor
+// reads it while clients wait. If that fails, the longer file holds the same state.
 func (s *Sender) closeJournal() {
-	_ = s.journal.Flush() // the close reports what cannot be written
+	_ = s.journal.Flush() // Close reports a write that fails
 	_ = s.journal.Compact()
 	if err := s.journal.Close(); err != nil {
-		s.log.Warn("journal", "err", err)
+		s.log.Warn("closing the journal failed", "err", err)
 	}
 	s.journal = nil
 }
 
-// reclaimOwnership resumes everything after the successor's death. What that had in flight may have run; the calls
-// that this process had in flight at the hand-over still are.
+// reclaimOwnership resumes the ownership after the successor's death. The attempts that the successor had in flight may
+// have run. The calls that this process had in flight at the hand-over still are in flight.
 func (s *Sender) reclaimOwnership(ctx context.Context, lock *os.File) {
 	snapshot := &handover.Snapshot{
 		InFlight:     s.inFlightAttempts(),
@@ -137,7 +137,7 @@
 	s.messages.clear()
 	s.restoreState(ctx, snapshot, func(attempt handover.InFlightAttempt) *inFlightCall {
 		m := handedOverMessages[attempt.ID.Message]
-		c := *m.calls[attempt.ID.Attempt-m.priorAttempts] // the call itself is this process's as before
+		c := *m.calls[attempt.ID.Attempt-m.priorAttempts] // this process still makes the call itself
 		c.reportedEnd = nil
 		return &c
 	})
@@ -149,7 +149,7 @@
 	}
 }
 
-// abandonReclaim frees the lock and tries to get it again after a while.
+// abandonReclaim releases the lock and tries to take it again after relockInterval.
 func (s *Sender) abandonReclaim(ctx context.Context) {
 	s.journal = nil
 	s.upgrade.releaseLock()
@@ -159,8 +159,8 @@
 	}()
 }
 
-// missedEvents are the events since the hand-over that the dead successor may not have written to the journal: what
-// it has written is known from there, and is not handled twice.
+// missedEvents returns the events since the hand-over that the dead successor may not have written to the journal. The
+// events that it has written are known from the journal, and are not handled twice.
 func (s *Sender) missedEvents(ctx context.Context, handedOverMessages map[string]*message) []dispatch.Event {
 	waiting := s.upgrade.takeForwarded()
 	events := []dispatch.Event{dispatch.EndpointListStale{Stale: s.discovery.IsListStale()}}
--- a/internal/sender/listening.go
+++ b/internal/sender/listening.go
@@ -11,14 +11,14 @@
 // ListenFunc opens a listener for clients.
 type ListenFunc = func() (net.Listener, error)
 
-// clientListener is how the loop gets its listener for clients, and hears that it has ended.
+// clientListener holds the channels that report to the loop that its listener for clients is open or has ended.
 type clientListener struct {
-	open   func() // starts to open a listener; nil before Run is that far
+	open   func() // starts to open a listener; nil before startListening
 	opened chan listenResult
-	ended  chan error // nil where this process has closed it
+	ended  chan error // receives why the listener has ended, nil if this process has closed it
 }
 
-// listenResult is a listener for clients, or why there is none.
+// listenResult is a listener for clients, or the error that prevented one.
 type listenResult struct {
 	net.Listener
 	err error
@@ -28,9 +28,9 @@
 	return &clientListener{opened: make(chan listenResult, 1), ended: make(chan error, 1)}
 }
 
-// startListening opens the listener for clients, unless the shutdown has been requested already: then the process
-// only ends what it has resumed. The goroutine ends by itself, at the latest some time after ctx; its result stays
-// unread then.
+// startListening opens the listener for clients, unless the shutdown has been requested already: then the process only
+// ends the messages that it has resumed. The goroutine that opens the listener ends by itself, at the latest some time
+// after ctx; its result is not read then.
 func (s *Sender) startListening(ctx context.Context, listen ListenFunc) {
 	s.clientListener.open = func() {
 		go func() { s.clientListener.opened <- s.openListener(ctx, listen) }()
@@ -40,18 +40,18 @@
 	}
 }
 
-// openListener opens a listener for clients. As long as it fails for a transient reason it tries again, until ctx ends.
+// openListener opens a listener for clients. It retries after transient errors until ctx ends.
 func (s *Sender) openListener(ctx context.Context, listen ListenFunc) listenResult {
 	var listener net.Listener
-	err := retry.OnTransient(ctx, s.log, "the clients' address", func() (err error) {
+	err := retry.OnTransient(ctx, s.log, "opening the listener for clients", func() (err error) {
 		listener, err = listen()
 		return err
 	})
 	return listenResult{Listener: listener, err: err}
 }
 
-// handleListener serves an opened listener. After a shutdown request or a hand-over it is too late for that: new
-// clients are the next process's.
+// handleListener serves a listener that has been opened. After a shutdown request or a hand-over it closes the listener
+// instead, because new clients belong to the next process.
 func (s *Sender) handleListener(ctx context.Context, opened listenResult) {
 	switch {
 	case opened.err != nil && ctx.Err() == nil:
@@ -64,8 +64,8 @@
 	}
 }
 
-// serveListener accepts clients from a listener. The goroutine ends when the listener is closed, by the server's end
-// at the latest.
+// serveListener accepts clients from a listener. The goroutine ends when the listener is closed, which happens at the
+// latest when the server ends.
 func (s *Sender) serveListener(listener net.Listener) {
 	if s.env.WrapListener != nil {
 		listener = s.env.WrapListener(listener)
@@ -78,9 +78,9 @@
 		"resumed", s.messages.pending, "notices", len(s.notices.pending))
 }
 
-// handleListenerEnd ends the process if its listener has failed for good.
+// handleListenerEnd ends the process if its listener has failed permanently.
 func (s *Sender) handleListenerEnd(err error) {
 	if err != nil && !s.upgrade.handedOver {
-		s.shutdown.finish(fmt.Errorf("clients: %w", err))
+		s.shutdown.finish(fmt.Errorf("accept clients: %w", err))
 	}
 }
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -7,7 +7,7 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// handleEndpointList appends what a list changes to the journal and applies it.
+// handleEndpointList appends the changes of an endpoint list to the journal and applies the list.
 func (s *Sender) handleEndpointList(e endpointListEvent) []dispatch.Event {
 	changes := s.list.changes(e.Update)
 	s.logEndpointList(e.Version, changes)
@@ -15,37 +15,40 @@
 	return []dispatch.Event{s.applyEndpointList(e.Update, e.Full)}
 }
 
-// logEndpointList logs what a list changes: one line, and at debug level one for each endpoint that accepts no new
-// calls.
+// logEndpointList logs the changes of an endpoint list: one line, and at debug level one for each endpoint that accepts
+// no new calls.
 func (s *Sender) logEndpointList(version int64, changes []endpointlist.Endpoint) {
 	if len(changes) == 0 {
 		return
 	}
 	notServing := 0
-	for _, t := range changes {
-		if t.State != endpointlist.StateServing {
+	for _, entry := range changes {
+		if entry.State != endpointlist.StateServing {
 			notServing++
-			s.log.Debug("endpoint stops", "endpoint", t.ID, "state", t.State, "version", version)
+			s.log.Debug("endpoint accepts no new calls",
+				"endpoint", entry.ID, "state", entry.State, "version", version)
 		}
 	}
 	s.log.Info("list changed", "version", version, "endpoints", len(changes), "not_serving", notServing)
 }
 
-// applyEndpointList updates the endpoints by a list, or by changes to it, and translates that for the dispatcher.
+// applyEndpointList updates the endpoints from a list, or from changes to it, and returns the dispatcher's event for
+// that.
 func (s *Sender) applyEndpointList(update endpointlist.Update, full bool) dispatch.Event {
 	translated := dispatch.EndpointListUpdate{Full: full}
 	s.listVersion = update.Version
 	if full {
 		s.list.unlistAll()
 	}
-	for _, target := range update.Endpoints {
-		translated.Endpoints = append(translated.Endpoints, s.list.apply(target, s.config, s.pool))
+	for _, entry := range update.Endpoints {
+		translated.Endpoints = append(translated.Endpoints, s.list.apply(entry, s.config, s.pool))
 	}
 	return translated
 }
 
-// endpointListEvents is the list for a dispatcher that knows nothing yet. It comes first with each endpoint as ready,
-// so that the calls in flight have theirs even if it drains or is gone, and then as it is.
+// endpointListEvents returns the endpoint list as two events for a dispatcher that has no list yet. In the first, each
+// endpoint is ready, so that calls in flight to it can be restored even if it drains or is gone. The second has the
+// endpoints as they are.
 func (s *Sender) endpointListEvents() (allReady, current dispatch.EndpointListUpdate) {
 	allReady.Full, current.Full = true, true
 	for _, e := range s.list.byNumber {
@@ -58,7 +61,8 @@
 	return allReady, current
 }
 
-// setEndpointListStale notes whether the list is stale. Calls that are not written by then are aborted.
+// setEndpointListStale logs that the list has become stale, or fresh again, and returns the event that reports this to
+// the dispatcher. When the list becomes stale, the calls that have not been written yet are aborted.
 func (s *Sender) setEndpointListStale(stale bool) []dispatch.Event {
 	if stale {
 		s.metrics.CountReason(metrics.ReasonDiscovery, discovery.ReasonStale)
@@ -70,7 +74,8 @@
 	return []dispatch.Event{dispatch.EndpointListStale{Stale: stale}}
 }
 
-// handleDiscoveryFailure watches the list again.
+// handleDiscoveryFailure returns the event that reports a failure of discovery to the dispatcher, and watches the list
+// again if it is pushed.
 func (s *Sender) handleDiscoveryFailure(err error) []dispatch.Event {
 	s.log.Warn("discovery failed", "err", err)
 	if !s.config.Settings.PollsEndpointList {
@@ -79,9 +84,9 @@
 	return []dispatch.Event{dispatch.EndpointListUpdate{Failed: true}}
 }
 
-// requestEndpointList asks discovery's goroutine to watch the list. Where the settings have the list pushed, the
-// dispatcher never asks for it, and the sender watches by itself from its start on: on a socket no change arrives
-// without a request.
+// requestEndpointList asks discovery's goroutine to watch the list. If the settings have the list pushed, the
+// dispatcher never requests it. Then the sender itself watches it from its start on, because over a socket no change
+// arrives without a request.
 func (s *Sender) requestEndpointList() {
 	select {
 	case s.watchRequests <- struct{}{}:
--- a/internal/sender/logwriter.go
+++ b/internal/sender/logwriter.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	logQueueLength  = 1024                   // lines that wait to be written
-	logFlushTimeout = 100 * time.Millisecond // at the end of the process, for those to be written
+	logQueueLength  = 1024                   // in lines
+	logFlushTimeout = 100 * time.Millisecond // how long the end of the process waits for queued lines
 )
 
-// logWriter writes lines to a destination that may block or be closed, and never blocks its caller: lines for which the
-// queue is full are dropped, and their number is written once there is room again.
+// logWriter writes lines to a destination that may block or be closed, and never blocks its caller. While the queue is
+// full, lines are dropped; their number is written before the next line that is not.
 type logWriter struct {
 	destination io.Writer
 	lines       chan logLine
 	dropped     atomic.Int64
 }
 
-// logLine is a line to be written or, with flushed, a mark in the queue.
+// logLine is a line to be written or, if flushed is set, a marker in the queue.
 type logLine struct {
 	text    []byte
 	flushed chan struct{} // closed when all lines before it are written
 }
 
-// newLogWriter starts a writer. Its goroutine ends with the process only: a write that blocks cannot be ended.
+// newLogWriter starts a writer. Its goroutine runs until the process ends, because a write that blocks cannot be
+// interrupted.
 func newLogWriter(destination io.Writer) *logWriter {
 	w := &logWriter{destination: destination, lines: make(chan logLine, logQueueLength)}
 	go w.run()
@@ -41,7 +42,7 @@
 			close(line.flushed)
 			continue
 		}
-		// Where a write fails there is nobody left to report that to.
+		// The errors of writes are ignored: there is no other place to report them.
 		if n := w.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(w.destination, "level=WARN msg=\"log lines dropped\" lines=%d\n", n)
 		}
@@ -49,7 +50,7 @@
 	}
 }
 
-// Write queues a line. It reports success also where the line is dropped.
+// Write queues a line. It reports success even if the line is dropped.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- logLine{text: append([]byte(nil), line...)}:
@@ -59,7 +60,7 @@
 	return len(line), nil
 }
 
-// flush waits until what is queued has been written, at most for logFlushTimeout.
+// flush waits until the queued lines have been written, for at most logFlushTimeout.
 func (w *logWriter) flush() {
 	timeout := time.After(logFlushTimeout)
 	mark := logLine{flushed: make(chan struct{})}
@@ -74,8 +75,9 @@
 	}
 }
 
-// NewLogger logs to standard error, from the level that EDGE_LOG_LEVEL names, else from info. At debug level each
-// message's way is logged under its ID. The caller calls flush before the process ends.
+// NewLogger returns a logger to standard error, and a function that the caller must call before the process ends. The
+// lowest level that is logged is the one that EDGE_LOG_LEVEL names, or info. At debug level the log shows under a
+// message's ID what happens to it.
 func NewLogger() (log *slog.Logger, flush func()) {
 	var level slog.Level
 	if level.UnmarshalText([]byte(os.Getenv("EDGE_LOG_LEVEL"))) != nil {
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -11,7 +11,7 @@
 // maxEventBatch bounds the events that are handled in one step.
 const maxEventBatch = 256
 
-// processEvents handles an event and all others that wait, and lets the dispatcher decide once.
+// processEvents handles an event and those that are queued, and runs one step of the dispatcher.
 func (s *Sender) processEvents(ctx context.Context, first event) {
 	if s.upgrade.handedOver {
 		s.handleAfterHandOver(ctx, first)
@@ -31,8 +31,9 @@
 	}
 }
 
-// handleQueued handles an event and those that wait behind it, up to a successor's request for the snapshot. The bound
-// is checked before the next event is received, as one that has left the queue is handled here or by nobody.
+// handleQueued handles an event and those queued behind it, up to a successor's request for the snapshot, whose link it
+// returns. It checks the bound before it receives the next event, because an event that has left the queue must be
+// handled here.
 func (s *Sender) handleQueued(ctx context.Context, first event) (events []dispatch.Event, successor *handover.Link) {
 	e := first
 	for handled := 1; ; handled++ {
@@ -51,8 +52,8 @@
 	}
 }
 
-// handleEvent updates the sender's own state by an event and translates it for the dispatcher, to nothing if that
-// need not know.
+// handleEvent updates the sender's own state for an event and returns the dispatcher's events for it, none if the
+// dispatcher does not need it.
 func (s *Sender) handleEvent(ctx context.Context, e event) []dispatch.Event {
 	switch e := e.(type) {
 	case timerEvent:
@@ -74,7 +75,7 @@
 		return s.handleCallEnd(callEndedEvent{ends: s.handlePredecessorLoss(e.link)})
 	case lockAcquiredEvent: // this process holds the lock already
 		if e.lock != nil {
-			_ = e.lock.Close() // a directory: nothing was written
+			_ = e.lock.Close() // closing a directory cannot lose data
 		}
 	case endpointListEvent:
 		return s.handleEndpointList(e)
--- a/internal/sender/messageend.go
+++ b/internal/sender/messageend.go
@@ -14,7 +14,7 @@
 type endedMessage struct {
 	*message
 	outcome    journal.Outcome         // journal.OutcomeGivenUp or journal.OutcomeReturned
-	clients    []chan ingress.Response // wait for the response; without any the end is announced by a notice
+	clients    []chan ingress.Response // those that wait for the response; if none, a notice announces the end
 	retryAfter time.Duration
 }
 
@@ -44,8 +44,8 @@
 }
 
 // announceEnd announces a message's end: in the response to its client, or by a notice if the client already knows
-// that the message is accepted. That the message had no effect is promised only if its end is written: else the next
-// process, which may start at any moment, would send it.
+// that the message is accepted. It promises that the message had no effect only if the end is written to the journal:
+// otherwise the next process, which may start at any moment, would send the message.
 func (s *Sender) announceEnd(end endedMessage, written bool) {
 	if end.outcome == journal.OutcomeReturned && !written {
 		s.metrics.CountReason(metrics.ReasonRejected, "not_written")
@@ -61,7 +61,7 @@
 	status := http.StatusInternalServerError
 	if end.outcome == journal.OutcomeReturned {
 		status = http.StatusServiceUnavailable
-		s.invariants.CheckPromise(end.ID, written) // it counts and logs a violation
+		s.invariants.CheckPromise(end.ID, written) // which counts and logs a violation
 	}
 	for _, client := range end.clients {
 		client <- ingress.Response{Status: status, RetryAfter: end.retryAfter, Text: string(end.outcome)}
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -6,19 +6,20 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// message is an accepted message that has not ended, or whose calls have not.
+// message is an accepted message that has not ended, or that still has calls in flight.
 type message struct {
 	*journal.Message
 	number        dispatch.MessageID
 	priorAttempts int // attempts made by earlier processes
 	ownAttempts   int // attempts made by this process
-	// clients wait for the response, more than one if the message was sent twice; nil once they have it.
+	// clients are those that wait for the response, several if the message was submitted more than once; nil once it
+	// has been sent.
 	clients []chan ingress.Response
 	calls   map[int]*inFlightCall // in flight, by the dispatcher's number of the attempt
 	ended   bool
 }
 
-// removeUnstartedAttempt forgets an attempt that was never started, because its record could not be written.
+// removeUnstartedAttempt removes an attempt that was never started because its record could not be written.
 func (m *message) removeUnstartedAttempt(index int) {
 	if index == len(m.Attempts)-1 {
 		m.Attempts = m.Attempts[:index]
@@ -49,7 +50,7 @@
 	return &messageTable{byNumber: map[dispatch.MessageID]*message{}, byID: map[string]*message{}}
 }
 
-// add gives a message from the journal its number. The clients wait for its response.
+// add adds a message from the journal under a new number. The clients wait for its response.
 func (t *messageTable) add(stored *journal.Message, clients ...chan ingress.Response) *message {
 	t.lastNumber++
 	m := &message{
@@ -64,13 +65,13 @@
 	return m
 }
 
-// markEnded notes that a message has ended. Its calls may still be in flight.
+// markEnded records that a message has ended. Its calls may still be in flight.
 func (t *messageTable) markEnded(m *message) {
 	m.ended = true
 	t.pending--
 }
 
-// removeIfDone removes a message that has ended and whose calls have, too.
+// removeIfDone removes a message that has ended and has no calls in flight.
 func (t *messageTable) removeIfDone(m *message) {
 	if !m.ended || len(m.calls) > 0 {
 		return
@@ -81,7 +82,7 @@
 	}
 }
 
-// clear forgets all messages. Numbers are not used again.
+// clear removes all messages. Their numbers are not used again.
 func (t *messageTable) clear() {
 	t.byNumber, t.byID, t.pending = map[dispatch.MessageID]*message{}, map[string]*message{}, 0
 }
--- a/internal/sender/peer.go
+++ b/internal/sender/peer.go
@@ -8,7 +8,7 @@
 	"onyxdyke.example/onyxdyke/internal/handover"
 )
 
-// handlePredecessorPacket handles what the predecessor sends while this process is the owner.
+// handlePredecessorPacket handles a packet from the predecessor while this process is the owner.
 func (s *Sender) handlePredecessorPacket(ctx context.Context, e packetEvent) []dispatch.Event {
 	switch p := e.packet.(type) {
 	case handover.ForwardedRequest:
@@ -25,7 +25,8 @@
 	return nil
 }
 
-// reportedEnd translates the end of an attempt that another process had in flight.
+// reportedEnd translates the end of an attempt that another process had in flight. It reports false if the message is
+// not known.
 func (s *Sender) reportedEnd(report handover.AttemptReport) (attemptEnd, bool) {
 	m := s.messages.byID[report.Attempt.Message]
 	if m == nil {
@@ -34,7 +35,8 @@
 	return attemptEnd{message: m, attempt: report.Attempt.Attempt - m.priorAttempts, AttemptResult: report.Result}, true
 }
 
-// handlePredecessorLoss ends the attempts that the process at a link had in flight: they may have run.
+// handlePredecessorLoss returns the ends of the attempts that the process at a link had in flight. These attempts may
+// have run, so they end as if their connections had broken.
 func (s *Sender) handlePredecessorLoss(link *handover.Link) []attemptEnd {
 	var ends []attemptEnd
 	for _, m := range s.messages.byNumber {
@@ -56,7 +58,7 @@
 	return ends
 }
 
-// handleAfterHandOver handles an event after the hand-over: this process decides nothing any more.
+// handleAfterHandOver handles an event after the hand-over, when this process makes no more decisions.
 func (s *Sender) handleAfterHandOver(ctx context.Context, e event) {
 	switch e := e.(type) {
 	case submissionEvent:
@@ -67,7 +69,7 @@
 		}
 		s.reportAttemptEnds(e.ends)
 	case noticesDeliveredEvent:
-		s.notices.delivering = false // the successor delivers them once more, which does no harm
+		s.notices.delivering = false // the successor delivers them again, which does no harm
 	case retryAfterEvent:
 		s.reportRetryAfter(e)
 	case reloadEvent:
@@ -79,7 +81,7 @@
 			s.requestEndpointList()
 		}
 	case successorEvent:
-		e.link.Close() // it has to ask the present lock owner
+		e.link.Close() // it has to ask the current lock owner
 	case lockAcquiredEvent:
 		s.reclaimOwnership(ctx, e.lock)
 	case packetEvent:
@@ -93,8 +95,8 @@
 	}
 }
 
-// handlePacketAfterHandOver passes what the predecessor sends on to the successor, and does what the successor asks
-// for.
+// handlePacketAfterHandOver passes requests and results from the predecessor on to the successor, and handles the
+// successor's own packets.
 func (s *Sender) handlePacketAfterHandOver(ctx context.Context, e packetEvent) {
 	fromSuccessor := e.link == s.upgrade.successor
 	switch p := e.packet.(type) {
@@ -113,10 +115,10 @@
 	}
 }
 
-// handleSuccessorLoss waits for the lock again, unless this process is about to end.
+// handleSuccessorLoss starts to wait for the lock again. During the drain it answers the forwarded requests instead.
 func (s *Sender) handleSuccessorLoss(ctx context.Context) {
 	s.upgrade.successor = nil
-	s.log.Warn("the successor is gone")
+	s.log.Warn("link to the successor lost")
 	if !s.dispatchStopped {
 		go s.upgrade.awaitLock(ctx)
 	} else {
@@ -135,8 +137,8 @@
 	}
 }
 
-// reportAttemptEnds reports to the successor how attempts ended, and keeps that: should it die before that is in its
-// journal, nobody else will report it again.
+// reportAttemptEnds reports to the successor how attempts ended, and keeps the results: if the successor dies before it
+// has written them to the journal, no other process can report them again.
 func (s *Sender) reportAttemptEnds(ends []attemptEnd) {
 	for _, end := range ends {
 		c := end.message.calls[end.attempt]
@@ -154,7 +156,7 @@
 	}
 }
 
-// reportRetryAfter reports to the successor for how long an endpoint asks to be left alone.
+// reportRetryAfter reports to the successor for how long an endpoint has asked not to be called.
 func (s *Sender) reportRetryAfter(e retryAfterEvent) {
 	if endpoint := s.endpoint(e.endpoint); endpoint != nil && s.upgrade.successor != nil {
 		s.upgrade.successor.Send(handover.RetryAfterReport{
--- a/internal/sender/process.go
+++ b/internal/sender/process.go
@@ -14,8 +14,8 @@
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
-// heapShare of the memory limit is what the garbage collector aims to stay under: the journal's pages and the kernel's
-// buffers count against the limit as well.
+// heapShare is the share of the memory limit that the garbage collector aims to stay under. The journal's pages and the
+// kernel's buffers count against the limit as well.
 const heapShare = 0.6
 
 // RunProcess runs a sender as a process of its own: it reads its configuration, listens, and serves until SIGTERM. At
@@ -25,7 +25,7 @@
 	defer flush()
 	err := runProcess(env, log)
 	if err != nil {
-		log.Error("the sender ends", "err", err)
+		log.Error("sender failed", "err", err)
 	}
 	return err
 }
@@ -33,30 +33,31 @@
 func runProcess(env Environment, log *slog.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hangups := make(chan os.Signal, 1) // before all else: without a handler SIGHUP would end the process
+	hangups := make(chan os.Signal, 1) // first of all, because without a handler SIGHUP would end the process
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	signal.Ignore(syscall.SIGPIPE) // the log's reader may be gone: the write fails then like any other
-	c, err := config.Load(ctx, log, env.ReadFile, os.Getenv)
+	signal.Ignore(syscall.SIGPIPE) // if the log's reader is gone, a write returns an error instead
+	cfg, err := config.Load(ctx, log, env.ReadFile, os.Getenv)
 	if err != nil {
 		return err
 	}
-	limitRuntime(c.Limits)
+	limitRuntime(cfg.Limits)
 	var listen ListenFunc
-	err = retry.OnTransient(ctx, log, "the passed socket", func() (err error) {
-		listen, err = c.Listener()
+	err = retry.OnTransient(ctx, log, "opening the passed socket", func() (err error) {
+		listen, err = cfg.Listener()
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	s, err := NewInEnvironment(ctx, env, c, log)
+	s, err := NewInEnvironment(ctx, env, cfg, log)
 	if err != nil {
 		return err
 	}
-	serving, cancel := context.WithCancel(context.Background()) // for longer than ctx: through the shutdown as well
-	defer cancel()
-	go s.reloadOn(serving, hangups) // nobody waits for it: the process ends
+	// reloadCtx lasts longer than ctx: the configuration can be reloaded during the shutdown as well.
+	reloadCtx, cancelReload := context.WithCancel(context.Background())
+	defer cancelReload()
+	go s.reloadOn(reloadCtx, hangups) // it ends with the process, which does not wait for it
 	return s.Run(ctx, listen)
 }
 
@@ -70,7 +71,7 @@
 	}
 }
 
-// reloadOn applies a new configuration at each signal, until ctx ends.
+// reloadOn reloads the configuration at each signal, until ctx ends.
 func (s *Sender) reloadOn(ctx context.Context, hangups <-chan os.Signal) {
 	for {
 		select {
--- a/internal/sender/restore.go
+++ b/internal/sender/restore.go
@@ -10,13 +10,13 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// firstListTimeout is how long a start waits for discovery's first answer.
+// firstListTimeout is how long a start waits for discovery's first response.
 const firstListTimeout = 300 * time.Millisecond
 
-// callFactory makes this process's entry for an attempt that a snapshot names as in flight.
+// callFactory returns this process's entry for an attempt that is in flight according to a snapshot.
 type callFactory func(handover.InFlightAttempt) *inFlightCall
 
-// restoreState gives the dispatcher what an earlier process left, before any client is accepted. The snapshot is nil
+// restoreState restores the state that an earlier process left, before any client is accepted. The snapshot is nil
 // unless the earlier process handed over.
 func (s *Sender) restoreState(ctx context.Context, snapshot *handover.Snapshot, newCall callFactory) {
 	var events []dispatch.Event
@@ -48,10 +48,11 @@
 	s.dispatch(ctx, events)
 }
 
-// restoreSnapshot restores the endpoint list and the dispatcher. A snapshot's list is as new as can be.
+// restoreSnapshot restores the endpoint list and the dispatcher. The list of a snapshot is up to date, so nothing waits
+// for discovery.
 func (s *Sender) restoreSnapshot(ctx context.Context, snapshot *handover.Snapshot) {
-	for _, target := range snapshot.Endpoints { // in the order of the other dispatcher's numbers
-		s.list.apply(target, s.config, s.pool)
+	for _, entry := range snapshot.Endpoints { // in the order of their numbers in the other dispatcher
+		s.list.apply(entry, s.config, s.pool)
 		s.listVersion = snapshot.ListVersion
 	}
 	for _, attempt := range snapshot.InFlight {
@@ -62,9 +63,9 @@
 	s.dispatcher.Restore(snapshot.Dispatcher)
 }
 
-// restoreEndpointList starts with the list that is known. The configuration's list may be older than what the earlier
-// process was told, so the journal's changes are applied to it. An endpoint on it may have drained since then:
-// nothing is sent until discovery has answered once, or firstListTimeout has passed.
+// restoreEndpointList starts with the endpoint list that is known. The list in the configuration may be older than the
+// one that the earlier process had received, so the changes in the journal are applied to it. An endpoint on it may
+// have drained since then, so nothing is sent until discovery has responded once, or firstListTimeout has passed.
 func (s *Sender) restoreEndpointList(ctx context.Context) []dispatch.Event {
 	known := s.journal.MergeEndpointList(s.config.Known)
 	s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(known, true)})
@@ -77,7 +78,7 @@
 	}
 }
 
-// restoreMessage translates a message from the journal for the dispatcher.
+// restoreMessage adds a message from the journal and translates it for the dispatcher.
 func (s *Sender) restoreMessage(stored *journal.Message) dispatch.Message {
 	firstRun, mayHaveRun := stored.FirstPossibleRun()
 	return dispatch.Message{
--- a/internal/sender/run.go
+++ b/internal/sender/run.go
@@ -12,14 +12,14 @@
 	"onyxdyke.example/onyxdyke/internal/handover"
 )
 
-// tickInterval is how often the loop publishes its metrics and closes idle connections without another event.
+// tickInterval is how often the loop publishes its metrics and closes idle connections even if there are no events.
 const tickInterval = time.Second
 
 // Run takes ownership of the state directory, resumes the messages in the journal, listens for clients, and serves
 // until ctx ends and through the shutdown that follows. Messages that have not ended by then stay in the journal.
 func (s *Sender) Run(ctx context.Context, listen ListenFunc) error {
-	// workCtx ends when Run does: with it all goroutines that Run starts. Nobody waits for them, as the time for a
-	// shutdown is short, and what they still post is read by nobody.
+	// workCtx ends when Run returns, and with it all goroutines that Run starts. Run does not wait for them, because
+	// the time for a shutdown is short; events that they still post are not read.
 	workCtx, cancelWork := context.WithCancel(context.Background())
 	defer cancelWork()
 	s.startAdmin(workCtx)
@@ -41,7 +41,7 @@
 	return errors.Join(s.serve(ctx, workCtx), s.stop(cancelWork))
 }
 
-// startAdmin serves the admin address, if there is one. It ends with workCtx.
+// startAdmin serves the admin address, if there is one, until workCtx ends.
 func (s *Sender) startAdmin(workCtx context.Context) {
 	if s.config.Admin == "" {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// serve is the event loop. It returns when the shutdown is finished, with the error that forced it, if any.
+// serve runs the event loop. It returns when the shutdown is finished, with the error that forced it, if any.
 func (s *Sender) serve(ctx, workCtx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -98,7 +98,7 @@
 			s.beginShutdown()
 		case <-s.shutdown.graceOver:
 			s.stopDispatching()
-		case <-s.server.Drained(): // no request is open: the shutdown may advance
+		case <-s.server.Drained(): // no request is open, so the shutdown may advance
 		case <-s.shutdown.drainOver:
 			s.endDrain()
 		case <-s.shutdown.cancelOver:
@@ -115,7 +115,7 @@
 	return s.shutdown.cause
 }
 
-// tick does what is due without an event.
+// tick does the periodic work that no event triggers.
 func (s *Sender) tick() {
 	s.publishMetrics()
 	s.discovery.ReserveConnection()
@@ -124,7 +124,8 @@
 	}
 }
 
-// predecessorCall is the entry of a call that the predecessor has in flight. All that it has in flight is written.
+// predecessorCall returns the entry of a call that the predecessor has in flight. Such a call has been written, so
+// abortUnsent has no effect on it.
 func (s *Sender) predecessorCall(attempt handover.InFlightAttempt) *inFlightCall {
 	predecessor := s.upgrade.predecessor
 	return &inFlightCall{
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	eventQueueLength = 1024 // events that wait for the loop
-	journalDiskShare = 0.96 // of the disk limit: the rest is for the file system's overhead
+	eventQueueLength = 1024 // in events
+	journalDiskShare = 0.96 // of the disk limit; the rest is for the file system's overhead
 
-	// heartbeatTimeout is how long the event loop may be silent before it counts as stuck.
+	// heartbeatTimeout is how long the event loop may go without a heartbeat before it counts as stuck.
 	heartbeatTimeout = 5 * time.Second
 )
 
@@ -44,42 +44,43 @@
 	invariants *invariant.Checker
 
 	events        chan event    // posted by any goroutine
-	watchRequests chan struct{} // to discovery: watch the endpoint list
+	watchRequests chan struct{} // requests to discovery to watch the endpoint list
 	timer         *time.Timer   // the dispatcher's
-	journalRetry  *time.Timer   // when a journal that could not be written is tried again
+	journalRetry  *time.Timer   // for the next try to write a journal that could not be written
 
 	messages        *messageTable
 	notices         *noticeQueue
 	callsInFlight   int
-	batchedMessages int    // messages so far that shared the call of another one
-	lastCallNumber  uint64 // calls so far, those of the predecessor included
+	batchedMessages int    // messages so far that joined the call of another message
+	lastCallNumber  uint64 // includes the calls of the predecessor
 	listVersion     int64  // of the endpoint list
 
-	storageFailing  bool        // the dispatcher knows that the journal cannot be written
+	storageFailing  bool        // the dispatcher has been told that the journal cannot be written
 	journalFailing  atomic.Bool // the journal's last write failed; read by health
-	dispatchStopped bool        // the dispatcher makes no more decisions: events only go to the journal
+	dispatchStopped bool        // the dispatcher makes no more decisions: events are only recorded in the journal
 
 	clientListener *clientListener
 	upgrade        *upgrade
 	shutdown       *shutdown
 }
 
-// New opens the journal, unless another process holds the lock on the state directory; Run does the rest.
-func New(c *config.Config, log *slog.Logger) (*Sender, error) {
-	return NewInEnvironment(context.Background(), OperatingSystem(), c, log)
+// New returns a sender in the operating system's environment. It opens the journal unless another process holds the
+// lock on the state directory; Run does the rest.
+func New(cfg *config.Config, log *slog.Logger) (*Sender, error) {
+	return NewInEnvironment(context.Background(), OperatingSystem(), cfg, log)
 }
 
-// NewInEnvironment is New in an environment other than the operating system's. What fails for a transient reason is
-// retried until ctx ends.
-func NewInEnvironment(ctx context.Context, env Environment, c *config.Config, log *slog.Logger) (*Sender, error) {
-	registry := metrics.New(c.Classes, invariant.RuleNames()...)
+// NewInEnvironment is like New, but takes the environment. It retries operations that fail for a transient reason until
+// ctx ends.
+func NewInEnvironment(ctx context.Context, env Environment, cfg *config.Config, log *slog.Logger) (*Sender, error) {
+	registry := metrics.New(cfg.Classes, invariant.RuleNames()...)
 	checker := invariant.NewChecker(log, registry)
 	s := &Sender{
 		env:            env,
-		config:         c,
+		config:         cfg,
 		log:            log,
 		clock:          clock.New(env.Wall()),
-		dispatcher:     dispatch.New(c.Settings, c.Seed),
+		dispatcher:     dispatch.New(cfg.Settings, cfg.Seed),
 		list:           endpointTable{byID: map[string]*listedEndpoint{}},
 		metrics:        registry,
 		invariants:     checker,
@@ -94,22 +95,22 @@
 	}
 	s.pool = s.newPool(env.Control)
 	s.discovery = discovery.New(discovery.Options{
-		Address: c.Discovery,
-		Senders: c.Settings.Senders,
-		Polled:  c.Settings.PollsEndpointList,
+		Address: cfg.Discovery,
+		Senders: cfg.Settings.Senders,
+		Polled:  cfg.Settings.PollsEndpointList,
 		Metrics: s.metrics,
 		Log:     log,
 		Control: env.Control,
 	})
 	s.server = ingress.New(ingress.Options{
-		Config:     c,
+		Config:     cfg,
 		Clock:      s.clock,
 		Log:        log,
 		Metrics:    s.metrics,
 		Invariants: s.invariants,
 		Submit:     func(ctx context.Context, sub ingress.Submission) bool { return s.post(ctx, submissionEvent{sub}) },
 	})
-	s.upgrade = newUpgrade(c.State, log, checker, s.post)
+	s.upgrade = newUpgrade(cfg.State, log, checker, s.post)
 	owned, err := s.upgrade.tryOwnership(ctx)
 	if err != nil {
 		return nil, err
@@ -123,7 +124,7 @@
 // openJournal opens the journal. It is called with the lock held.
 func (s *Sender) openJournal(ctx context.Context) error {
 	var opened *journal.Journal
-	err := retry.OnTransient(ctx, s.log, "the journal", func() (err error) {
+	err := retry.OnTransient(ctx, s.log, "opening the journal", func() (err error) {
 		budget := int64(s.config.Limits.DiskMB * 1e6 * journalDiskShare)
 		opened, err = journal.Open(s.env.Files, s.clock, s.config.State, budget)
 		return err
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// Why the process is not ready to serve. HEALTH prints these texts.
+// Reasons why the process is not ready to serve. HEALTH prints these texts.
 var (
 	errStarting       = errors.New("starting")
 	errLeaving        = errors.New("leaving")
@@ -150,7 +151,8 @@
 	errLoopStuck      = errors.New("the loop is stuck")
 )
 
-// health returns why the process is not ready to serve, nil if it is. It may be called from any goroutine.
+// health returns the reason why the process is not ready to serve, or nil if it is. It may be called from any
+// goroutine.
 func (s *Sender) health() error {
 	switch {
 	case !s.server.IsReady():
@@ -167,14 +169,14 @@
 	return nil
 }
 
-// trace logs at debug level what happens to one message, under its ID.
+// trace logs at debug level what happens to a message, under the message's ID.
 func (s *Sender) trace(what, id string, details ...any) {
 	if s.log.Enabled(context.Background(), slog.LevelDebug) {
 		s.log.Debug(what, append([]any{"id", id}, details...)...)
 	}
 }
 
-// publishMetrics stores the gauges where they can be read without the loop.
+// publishMetrics updates the gauges, which other goroutines read.
 func (s *Sender) publishMetrics() {
 	s.metrics.SetGauges(metrics.Gauges{
 		Outstanding: s.messages.pending,
@@ -183,11 +185,11 @@
 	})
 }
 
-// endpoint returns the endpoint with the dispatcher's number, nil if there is none.
+// endpoint returns the endpoint with the dispatcher's number, or nil if there is none.
 func (s *Sender) endpoint(number dispatch.EndpointID) *listedEndpoint {
 	e, err := s.list.lookup(number)
 	if err != nil {
-		s.log.Error("the dispatcher names an endpoint", "err", err)
+		s.log.Error("unknown endpoint in an action of the dispatcher", "err", err)
 		return nil
 	}
 	return e
--- a/internal/sender/shutdown.go
+++ b/internal/sender/shutdown.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// After SIGTERM the sender goes on unchanged for the grace period: clients still connect for a while, and what is
-	// delivered now does not wait for the next process. Then it starts no more calls, and waits for those in flight
-	// until the drain timeout, which counts from SIGTERM as well. The platform kills what is left at 3.7 s.
+	// After SIGTERM the sender works as before for the grace period: clients still connect for a while, and messages
+	// that are delivered now need not wait for the next process. Then it starts no more calls, and waits for those in
+	// flight until the drain timeout, which counts from SIGTERM as well. The platform kills the process 3.7 s after
+	// SIGTERM.
 	defaultGracePeriod  = 2200 * time.Millisecond
 	defaultDrainTimeout = 3200 * time.Millisecond
 )
 
-// shutdown is how far the end of the process has come. Its phases are
+// shutdown holds the state of the process's shutdown, which has these phases:
 //
-//	grace   from the request on: as before, but each response closes its connection
-//	drain   from graceOver on: no call is started; what is in flight ends
+//	grace   from the request on: the sender works as before, but each response closes its connection
+//	drain   from graceOver on: no call is started; the calls in flight end
 //	answer  from drainOver on, or once nothing is in flight: the requests that have arrived are answered
 //
-// After a hand-over the calls that are in flight at drainOver are cancelled and reported to the successor, until
-// cancelOver.
+// After a hand-over, the calls that are still in flight at drainOver are cancelled. Until cancelOver their ends are
+// reported to the successor.
 type shutdown struct {
 	gracePeriod  time.Duration
 	drainTimeout time.Duration // from the request on, the grace period included
@@ -31,22 +32,22 @@
 	graceOver      <-chan time.Time
 	drainOver      <-chan time.Time
 	cancelOver     <-chan time.Time // nil unless calls have been cancelled
-	serverFinished chan struct{}    // closed when the server has ended; nil before that starts
+	serverFinished chan struct{}    // closed when the server has ended; nil until endServer
 
 	finished bool
-	cause    error // why the process ends by itself, if it does
+	cause    error // the failure that ends the process; nil for an orderly shutdown
 }
 
 func newShutdown() *shutdown {
 	return &shutdown{gracePeriod: defaultGracePeriod, drainTimeout: defaultDrainTimeout}
 }
 
-// begin starts the clocks.
+// begin starts the timers of the grace period and the drain.
 func (d *shutdown) begin() {
 	d.graceOver, d.drainOver = time.After(d.gracePeriod), time.After(d.drainTimeout)
 }
 
-// finish ends the event loop.
+// finish ends the event loop. The cause is the failure that forces this, or nil.
 func (d *shutdown) finish(cause error) { d.finished, d.cause = true, cause }
 
 // beginShutdown starts the grace period.
@@ -57,20 +58,20 @@
 	s.shutdown.begin()
 }
 
-// stopDispatching ends the grace period: from here on no call is started.
+// stopDispatching ends the grace period. No call is started any more.
 func (s *Sender) stopDispatching() {
 	s.shutdown.graceOver = nil
 	s.dispatchStopped = true
 	if s.upgrade.handedOver && s.upgrade.successor == nil {
-		s.abandonForwarded() // this process does not take the lock again from here on
+		s.abandonForwarded() // this process no longer takes the lock back
 	}
 	s.abortUnsent(func(*inFlightCall) bool { return true })
 	s.log.Info("no further calls are started", "pending", s.messages.pending, "calls", s.callsInFlight)
 	s.server.Drain()
 }
 
-// endDrain answers the remaining requests. A successor must not send again what the calls in flight carry, so these
-// are cancelled first, and each one's end is reported.
+// endDrain answers the remaining requests. After a hand-over it first cancels the calls in flight and has their ends
+// reported, so that the successor does not send their messages again.
 func (s *Sender) endDrain() {
 	s.shutdown.drainOver = nil
 	if !s.upgrade.handedOver || s.callsInFlight == 0 {
@@ -90,8 +91,8 @@
 	}
 }
 
-// endServer answers the requests that have arrived and accepts no more. The goroutine's time is bounded by the
-// server, and the loop waits for it at serverFinished.
+// endServer answers the requests that have arrived and accepts no more. The server bounds how long its goroutine runs,
+// and the loop waits for that on shutdown.serverFinished.
 func (s *Sender) endServer() {
 	if s.shutdown.serverFinished != nil {
 		return
@@ -104,7 +105,7 @@
 	}()
 }
 
-// advanceShutdown goes on to the next phase as soon as nothing is left to wait for.
+// advanceShutdown starts the next phase of the shutdown as soon as nothing is left to wait for.
 func (s *Sender) advanceShutdown() {
 	switch {
 	case s.shutdown.finished:
@@ -116,8 +117,8 @@
 	}
 }
 
-// stop ends the process's work. The calls that are still in flight are cut off; the journal has them as started. The
-// lock is freed last, after the journal is closed.
+// stop ends all goroutines of the sender and closes its resources. Calls that are still in flight are aborted; in the
+// journal they remain started. The lock is released last, after the journal is closed.
 func (s *Sender) stop(cancelWork context.CancelFunc) error {
 	cancelWork()
 	s.server.Close()
--- a/internal/sender/submission.go
+++ b/internal/sender/submission.go
@@ -12,7 +12,7 @@
 )
 
 // acceptSubmission appends a message to the journal before the dispatcher sees it. It returns nil if the message is
-// rejected or known already. A rejected message has not been sent, so its client may send it again.
+// rejected or known already. A rejected message has not been sent, so its client may submit it again.
 func (s *Sender) acceptSubmission(sub ingress.Submission) dispatch.Event {
 	if s.journal.Knows(sub.ID) {
 		s.joinKnownMessage(sub)
@@ -22,7 +22,7 @@
 		s.rejectSubmission(sub, "shutting down")
 		return nil
 	}
-	// The settings may have changed since the request was read, and a forwarded request names its class only.
+	// The settings may have changed since the request was read, and a forwarded request has only the name of its class.
 	if sub.ClassIndex = config.IndexOf(s.config.Classes, sub.Class, -1); sub.ClassIndex < 0 {
 		sub.Responses <- ingress.Response{Status: http.StatusBadRequest, Text: "X-Class is not among the settings"}
 		return nil
@@ -38,7 +38,8 @@
 		s.rejectSubmission(sub, "no room to keep the message")
 		return nil
 	}
-	s.trace("accepted", sub.ID, "class", sub.Class, "destination", sub.Destination, "left", sub.Deadline-s.clock.Now())
+	s.trace("message accepted", sub.ID, "class", sub.Class, "destination", sub.Destination,
+		"remaining", sub.Deadline-s.clock.Now())
 	return dispatch.Message{
 		ID:          s.messages.add(stored, sub.Responses).number,
 		Class:       sub.ClassIndex,
@@ -49,8 +50,8 @@
 	}
 }
 
-// joinKnownMessage answers a submission whose message is known already. It is accepted also where new ones are
-// rejected: it would be delivered all the same.
+// joinKnownMessage answers a submission whose message is known already. The submission is accepted even when new
+// messages are rejected, because its message is delivered in any case.
 func (s *Sender) joinKnownMessage(sub ingress.Submission) {
 	if m := s.messages.byID[sub.ID]; m != nil && m.clients != nil {
 		m.clients = append(m.clients, sub.Responses) // the first submission has no response yet
@@ -59,14 +60,14 @@
 	sub.Responses <- ingress.Response{Status: http.StatusAccepted}
 }
 
-// rejectSubmission answers 503. The reason is counted under its text, with underscores.
+// rejectSubmission answers 503 and counts the reason under its text, with underscores for spaces.
 func (s *Sender) rejectSubmission(sub ingress.Submission, reason string) {
 	s.metrics.CountReason(metrics.ReasonRejected, strings.ReplaceAll(reason, " ", "_"))
-	s.trace("rejected", sub.ID, "why", reason)
+	s.trace("message rejected", sub.ID, "reason", reason)
 	s.declineSubmission(sub, reason)
 }
 
-// declineSubmission answers 503 with a text.
+// declineSubmission answers 503 with a reason.
 func (s *Sender) declineSubmission(sub ingress.Submission, reason string) {
 	s.metrics.MessageDeclined(sub.Class)
 	sub.Responses <- ingress.Response{
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -14,30 +14,30 @@
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
-// relockInterval is the pause before the lock is tried again whose journal could not be opened.
+// relockInterval is the pause before the lock is taken again after the journal could not be opened under it.
 const relockInterval = time.Second
 
 // upgrade is this process's part in upgrades: as the successor of a process that serves, as the lock owner, and as
-// the predecessor of a process that has taken over. Package handover says how an upgrade goes.
+// the predecessor of a process that has taken over. Package handover describes how an upgrade proceeds.
 //
-// An attempt that the predecessor has in flight stays there. To the successor's dispatcher it is an attempt like any
-// other; the predecessor reports its end. Requests that still arrive on the predecessor's connections are forwarded
-// and answered there.
+// The predecessor keeps its attempts in flight and reports their ends. To the successor's dispatcher they are attempts
+// like any other. Requests that still arrive on the predecessor's connections are forwarded to the successor, and the
+// predecessor sends the responses.
 type upgrade struct {
 	log        *slog.Logger
 	invariants *invariant.Checker
 	post       func(context.Context, event) bool
 	stateDir   string
 
-	lock        *os.File       // on the state directory; nil if it could not be had, or after a hand-over
+	lock        *os.File       // on the state directory; nil if it could not be taken, or after a hand-over
 	predecessor *handover.Link // the process that this one has taken over from; nil once it is gone
 	successor   *handover.Link // the process that has taken over from this one; nil once it is gone
 
-	handedOver             bool // a successor decides
+	handedOver             bool // a successor has the ownership
 	handedOverSnapshot     dispatch.Snapshot
 	handedOverBackoffUntil map[string]time.Duration // by message ID, as in the snapshot
 
-	forwarded     map[uint64]forwardedRequest // requests without a response from the successor, by sequence number
+	forwarded     map[uint64]forwardedRequest // requests that wait for the successor's response, by sequence number
 	lastForwarded uint64                      // sequence number
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// start listens to the predecessor, if there is one, and waits for a successor. The goroutines end with workCtx.
+// start receives from the predecessor, if there is one, and waits for a successor, on goroutines that end with workCtx.
 func (u *upgrade) start(workCtx context.Context) {
 	if u.predecessor != nil {
 		go u.receiveFromPeer(workCtx, u.predecessor)
@@ -70,20 +70,20 @@
 
 // tryLock takes the lock on the state directory. The lock is nil if another process holds it.
 func (u *upgrade) tryLock(ctx context.Context) (lock *os.File, err error) {
-	err = retry.OnTransient(ctx, u.log, "the lock on the state directory", func() (err error) {
+	err = retry.OnTransient(ctx, u.log, "locking the state directory", func() (err error) {
 		lock, err = handover.LockStateDir(u.stateDir)
 		return err
 	})
 	return lock, err
 }
 
-// tryOwnership takes the lock on the state directory and reports whether this process is the owner. It is, too, where
-// the directory cannot be locked at all. After a transient error it is not: without a lock it might not be the only
-// owner.
+// tryOwnership takes the lock on the state directory and reports whether this process is the owner. If the directory
+// cannot be locked at all, this process is the owner without a lock. After a transient error it is not the owner,
+// because without the lock it might not be the only one.
 func (u *upgrade) tryOwnership(ctx context.Context) (owned bool, err error) {
 	lock, err := u.tryLock(ctx)
 	if retry.IsTransient(err) {
-		return false, fmt.Errorf("the state directory: %w", err)
+		return false, fmt.Errorf("lock the state directory: %w", err)
 	}
 	if err != nil {
 		u.log.Warn("the state directory cannot be locked: an upgrade will not be noticed", "err", err)
@@ -93,8 +93,8 @@
 	return lock != nil || err != nil, nil
 }
 
-// acquireOwnership waits until this process is the owner: at once if nobody holds the lock, else after the lock owner
-// has handed over or died. The snapshot is nil unless the lock owner gave one.
+// acquireOwnership waits until this process is the owner: immediately if no other process holds the lock, otherwise
+// after the lock owner has handed over or died. The snapshot is nil unless the lock owner sent one.
 func (u *upgrade) acquireOwnership(ctx context.Context) (*handover.Snapshot, error) {
 	var snapshot *handover.Snapshot
 	for logged := false; ; {
@@ -127,7 +127,7 @@
 // acquireOwnership waits until this process owns the state directory, and opens the journal.
 func (s *Sender) acquireOwnership(ctx context.Context) (*handover.Snapshot, error) {
 	if s.journal != nil {
-		return nil, nil // it has been the owner since New
+		return nil, nil // this process has been the owner since New
 	}
 	snapshot, err := s.upgrade.acquireOwnership(ctx)
 	if err != nil {
@@ -136,20 +136,20 @@
 	return snapshot, s.openJournal(ctx)
 }
 
-// releaseLock frees the lock, if this process holds it.
+// releaseLock releases the lock, if this process holds it.
 func (u *upgrade) releaseLock() {
 	if u.lock != nil {
-		_ = u.lock.Close() // a directory: nothing was written
+		_ = u.lock.Close() // closing a directory cannot lose data
 		u.lock = nil
 	}
 }
 
-// removeSocket removes the socket for successors. It is ours as long as this process holds the lock.
+// removeSocket removes the socket for successors. The socket belongs to this process as long as it holds the lock.
 func (u *upgrade) removeSocket() {
-	_ = handover.WithSocket(u.stateDir, os.Remove) // a next owner would remove it as well
+	_ = handover.WithSocket(u.stateDir, os.Remove) // the next owner removes it if this fails
 }
 
-// awaitLock waits for the lock that a dead successor has left, and posts it. It ends with ctx.
+// awaitLock takes the lock once the dead successor no longer holds it, and posts it. It ends with ctx.
 func (u *upgrade) awaitLock(ctx context.Context) {
 	for {
 		if lock, err := u.tryLock(ctx); lock != nil || err != nil {
@@ -164,7 +164,7 @@
 	}
 }
 
-// awaitSuccessor waits for a successor, posts its link and listens to it. It is called with the lock held, and ends
+// awaitSuccessor waits for a successor, posts its link and receives from it. It is called with the lock held, and ends
 // with ctx.
 func (u *upgrade) awaitSuccessor(ctx context.Context) {
 	link, err := handover.AwaitSuccessor(ctx, u.log, u.stateDir)
@@ -175,14 +175,14 @@
 	go u.receiveFromPeer(ctx, link)
 }
 
-// receiveFromPeer posts what the other process sends, and that its link is lost. It ends with the link.
+// receiveFromPeer posts the packets of the other process, and then the loss of its link. It ends with the link.
 func (u *upgrade) receiveFromPeer(ctx context.Context, link *handover.Link) {
 	link.Listen(
 		func(p handover.Packet) { u.post(ctx, packetEvent{link: link, packet: p}) },
 		func() { u.post(ctx, linkLostEvent{link}) })
 }
 
-// forward gives a request to the successor, if there is one; else the request waits.
+// forward sends a request to the successor, if there is one; otherwise the request waits.
 func (u *upgrade) forward(sub ingress.Submission) {
 	u.lastForwarded++
 	successor := u.successor
@@ -195,7 +195,7 @@
 	}
 }
 
-// respond gives the successor's response to the client of a forwarded request.
+// respond passes the successor's response to the client of a forwarded request.
 func (u *upgrade) respond(r handover.ForwardedResponse) {
 	if sub, ok := u.forwarded[r.Sequence]; ok {
 		delete(u.forwarded, r.Sequence)
@@ -203,7 +203,7 @@
 	}
 }
 
-// takeForwarded returns the requests that wait for a response, and forgets them.
+// takeForwarded removes and returns the requests that wait for a response.
 func (u *upgrade) takeForwarded() map[uint64]forwardedRequest {
 	forwarded := u.forwarded
 	u.forwarded = map[uint64]forwardedRequest{}
