--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -59,7 +59,7 @@
 			return false, fmt.Errorf("record %d at offset %d (code %d): %w", e.Index, e.Offset, e.Code, err)
 		}
 	}
-	now := settings.Span(batch.Clock)
+	now := settings.DurationFromMilliseconds(batch.Clock)
 	for _, in := range h.order {
 		if h.instances[in.number] == in { // it has not ended in this batch
 			h.step(in, now)
--- a/cmd/simadapter/translate.go
+++ b/cmd/simadapter/translate.go
@@ -85,7 +85,7 @@
 		Tenant:      int(e.Billing),
 		Destination: dispatch.DestinationID(e.FarEnd),
 		Key:         e.Object,
-		Deadline:    settings.Span(e.Expires),
+		Deadline:    settings.DurationFromMilliseconds(e.Expires),
 	}, nil
 }
 
@@ -99,7 +99,7 @@
 		Attempt:  int(e.Try),
 		Endpoint: dispatch.EndpointID(e.Endpoint),
 		Outcome:  outcome,
-		Elapsed:  settings.Span(e.Elapsed),
+		Elapsed:  settings.DurationFromMilliseconds(e.Elapsed),
 		Final:    e.NoMore,
 	}
 	if outcome == dispatch.Rejected {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads the configuration of a sender, at its start and at SIGHUP: the file and the environment.
+// Package config reads the configuration of a sender from its file and the environment, at the start and at SIGHUP.
 //
-// The process reads the configuration and the event loop owns the one in force. A Config is never changed once it is in
-// use: a reload makes a new one.
+// The process reads the configuration, and the event loop owns the current one. A Config is immutable once it is in
+// use: a reload creates a new one.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 )
 
-// Limits is what the sender's machine allows it.
+// Limits holds the resources of the machine that the sender may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -21,73 +21,73 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// Config is the configuration of a sender.
+// Config holds the configuration of a sender.
 type Config struct {
-	Name      string
-	Listen    string // the address for clients
-	Discovery string // the platform's address
-	Admin     string // the address for operators; empty for none
-	Passed    int    // descriptor of the clients' socket where the platform holds it, 0 where it does not
-	State     string // the directory that outlives the process
-	Seed      uint64 // of the dispatcher's random draws
-	Limits    Limits
-	Known     endpointlist.Update // the endpoint list as of when the file was written
-	Settings  dispatch.Settings
-
-	passedSocket *os.File // of Passed; nil until a listener is made of it
-
-	// Names, in the order of the settings, and as clients and discovery use them.
+	Name             string
+	Listen           string // address that clients connect to
+	Discovery        string // address of the platform
+	Admin            string // address that operators connect to; empty for none
+	PassedDescriptor int    // descriptor of the clients' socket if the platform passes one, else 0
+	State            string // directory of the state that is kept across restarts
+	Seed             uint64 // seed of the dispatcher's random numbers
+	Limits           Limits
+	Known            endpointlist.Update // the endpoint list at the time when the file was written
+	Settings         dispatch.Settings
+
+	passedSocket *os.File // file of PassedDescriptor; nil until a listener is created from it
+
+	// Names as clients and discovery use them, in the order of the settings.
 	Classes, Tenants, Kinds, Zones []string
 
-	Fields         []string // names of the fields of load reports
+	Fields         []string // names of the fields in load reports
 	ConnectTimeout time.Duration
 
-	shape any // the file as it was read
+	document any // the decoded file, which Reload compares with the next one
 }
 
-// File descriptors are divided so that all uses fit at their maximum, whatever else happens: clients get half (they
-// use a third, and strangers come beside them), operators a part, ReservedDescriptors stay free, and calls have the
-// rest. Idle connections to endpoints have what the calls leave of that.
+// File descriptors are divided so that all uses fit even when each is at its maximum: clients get half (they use a
+// third, and connections of other programs need some as well), operators get a small part, ReservedDescriptors are set
+// aside, and calls get the rest. Idle connections to endpoints use the part of it that calls leave over.
 const (
-	// AdminConnectionLimit bounds the operators' connections. Where descriptors are few, there are fewer.
+	// AdminConnectionLimit is the maximum number of operators' connections. With few descriptors there are fewer.
 	AdminConnectionLimit = 64
-	// ReservedDescriptors are kept for the standard streams, the poller, listeners, the lock, the journal, discovery
-	// with its hedged calls and reserved connections, accept's own reserve, and a successor.
+	// ReservedDescriptors is the number of descriptors for the standard streams, the poller, listeners, the lock, the
+	// journal, discovery with its hedged calls and reserved connections, the reserve of accept, and a successor.
 	ReservedDescriptors = 28
 
-	adminDivisor           = 12 // operators get this part of the descriptors at most
-	idleDivisor            = 4  // and idle connections to endpoints this one
+	adminDivisor           = 12 // operators get at most 1/12 of the descriptors
+	idleDivisor            = 4  // idle connections to endpoints get at most 1/4 of the descriptors
 	minAdminConnections    = 4
 	minClientConnections   = 2
 	minEndpointConnections = 1
 )
 
-// MaxClientConnections is how many connections of clients there may be at once.
+// MaxClientConnections returns the maximum number of concurrent client connections.
 func (l Limits) MaxClientConnections() int { return max(minClientConnections, l.Sockets/2) }
 
-// MaxAdminConnections is how many connections of operators there may be at once.
+// MaxAdminConnections returns the maximum number of concurrent operators' connections.
 func (l Limits) MaxAdminConnections() int {
 	return max(minAdminConnections, min(AdminConnectionLimit, l.Sockets/adminDivisor))
 }
 
-// MaxEndpointConnections is how many connections to endpoints there may be at once, idle or not.
+// MaxEndpointConnections returns the maximum number of concurrent connections to endpoints, idle ones included.
 func (l Limits) MaxEndpointConnections() int {
 	free := l.Sockets - l.MaxClientConnections() - l.MaxAdminConnections() - ReservedDescriptors
 	return max(minEndpointConnections, free)
 }
 
-// MaxIdleConnections is how many idle connections to endpoints are kept.
+// MaxIdleConnections returns the maximum number of idle connections to endpoints that are kept.
 func (c *Config) MaxIdleConnections() int {
 	unused := c.Limits.MaxEndpointConnections() - c.Settings.MaxConcurrentCalls
 	return max(0, min(c.Limits.Sockets/idleDivisor, unused))
 }
 
-// capCalls keeps the calls in flight to what the descriptors allow.
-func (c *Config) capCalls(limits Limits) {
+// capConcurrentCalls lowers the maximum of concurrent calls to the number of endpoint connections that limits allows.
+func (c *Config) capConcurrentCalls(limits Limits) {
 	c.Settings.MaxConcurrentCalls = min(c.Settings.MaxConcurrentCalls, limits.MaxEndpointConnections())
 }
 
-// IndexOf is the index of a name in a list of the settings, or fallback if it is not there.
+// IndexOf returns the index of name in list, or fallback if it is not there.
 func IndexOf(list []string, name string, fallback int) int {
 	if i := slices.Index(list, name); i >= 0 {
 		return i
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -12,7 +12,7 @@
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
-// The variables of the environment. All but envFile win over what the file says at the start.
+// The environment variables. At the start, all but envFile take precedence over the file.
 const (
 	envFile         = "EDGE_CONFIG"
 	envName         = "EDGE_NAME"
@@ -23,13 +23,14 @@
 	envAdminAddress = "EDGE_ADMIN_ADDR"
 )
 
-// firstPassedDescriptor follows the standard streams.
+// firstPassedDescriptor is the first descriptor after the standard streams.
 const firstPassedDescriptor = 3
 
-// ReadFile reads a complete file, as os.ReadFile does.
+// ReadFile reads a whole file, as os.ReadFile does.
 type ReadFile func(path string) ([]byte, error)
 
-// Load reads the file that EDGE_CONFIG names, and the other variables. Transient errors are retried until ctx ends.
+// Load reads the file that EDGE_CONFIG names and applies the other environment variables. It retries transient errors
+// until ctx is done.
 func Load(ctx context.Context, log *slog.Logger, readFile ReadFile, getenv func(string) string) (*Config, error) {
 	var raw []byte
 	err := retry.OnTransient(ctx, log, "the configuration", func() (err error) {
@@ -49,7 +50,7 @@
 	return c, nil
 }
 
-// applyEnvironment takes over what the variables say.
+// applyEnvironment overwrites the fields whose environment variables are set.
 func (c *Config) applyEnvironment(getenv func(string) string) error {
 	for name, field := range map[string]*string{
 		envName:      &c.Name,
@@ -69,7 +70,7 @@
 		if err != nil || descriptor < firstPassedDescriptor {
 			return fmt.Errorf("%s %q is not a descriptor", envPassedSocket, value)
 		}
-		c.Passed = descriptor
+		c.PassedDescriptor = descriptor
 	}
 	if value := getenv(envAdminAddress); value != "" {
 		c.Admin = value
@@ -82,10 +83,10 @@
 	return nil
 }
 
-// Listener returns a function that makes the clients' listener, as often as it is called: of the inherited socket,
-// which stays open in the platform's hands whatever is closed here, or else of an own one.
+// Listener returns a function that creates a new listener for clients at each call: on the inherited socket if there is
+// one, which the platform keeps open whatever this process closes, or else on a socket of its own.
 func (c *Config) Listener() (func() (net.Listener, error), error) {
-	if c.Passed == 0 {
+	if c.PassedDescriptor == 0 {
 		return func() (net.Listener, error) { return net.Listen("tcp", c.Listen) }, nil
 	}
 	f := c.passedFile()
@@ -93,15 +94,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %s: %w", envPassedSocket, err)
 	}
-	_ = probe.Close() // it only shows that the descriptor is a listener; the socket itself stays open
+	_ = probe.Close() // it only checks that the descriptor is a listener; the socket itself stays open
 	return func() (net.Listener, error) { return netconn.NewSharedListener(f) }, nil
 }
 
-// passedFile is the file of the inherited socket. It is made once: one that nobody refers to any more, as after an
-// attempt that failed, closes the descriptor when it is garbage collected, and the next attempt finds no socket.
+// passedFile returns the file of the inherited socket. It creates the file only once: a file without references, such
+// as one left from a failed attempt, closes the descriptor when it is garbage collected, and the next attempt would
+// find no socket.
 func (c *Config) passedFile() *os.File {
 	if c.passedSocket == nil {
-		c.passedSocket = os.NewFile(uintptr(c.Passed), "clients")
+		c.passedSocket = os.NewFile(uintptr(c.PassedDescriptor), "clients")
 	}
 	return c.passedSocket
 }
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -11,13 +11,13 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// acceptEntryTime is time for a goroutine to enter the system call of its accept, which nothing tells.
+// acceptEntryTime is long enough for a goroutine to enter the accept system call, which cannot be observed.
 const acceptEntryTime = 50 * time.Millisecond
 
-// collectionTime is time for the runtime to close what it has found to be garbage, which nothing tells.
+// collectionTime is long enough for the runtime to close files that are garbage, which cannot be observed.
 const collectionTime = 5 * time.Millisecond
 
-// inheritSocket is a listening socket that the platform holds, and the descriptor of it that a process inherits.
+// inheritSocket returns a listening socket that the platform holds, and the descriptor of it that a process inherits.
 func inheritSocket(t *testing.T) (platform *os.File, passed int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,15 +35,14 @@
 	return platform, passed
 }
 
-// The clients' listener of an inherited socket can be closed at any time, as a hand-over does between two steps of the
-// event loop. The socket is one open file description for all processes: whoever starts the next process makes it
-// blocking for a while, and an accept that begins then blocks in the kernel. The close waits for that accept, so the
-// upgrade used to stand still until the next client connected. Shown by a goroutine dump: the loop in handOver, in the
-// close of the listener, and the accepting goroutine in accept4.
+// Guards against an upgrade that hangs until the next client connects: the event loop closes the listener of an
+// inherited socket in handOver, between two steps, and that close waited for an accept that blocked in the kernel
+// (accept4). An accept blocks there because all processes share one open file description of the socket, and starting
+// the next process makes it blocking for a while.
 func TestInheritedListenerClosesWhileItsSocketIsBlocking(t *testing.T) {
 	t.Parallel()
 	platform, passed := inheritSocket(t)
-	listen, err := (&Config{Passed: passed}).Listener()
+	listen, err := (&Config{PassedDescriptor: passed}).Listener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +59,7 @@
 		if err == nil {
 			_ = conn.Close()
 			close(accepted)
-			_, err = l.Accept() // begins while the socket is blocking
+			_, err = l.Accept() // starts while the socket is in blocking mode
 		}
 		ended <- err
 	}()
@@ -79,19 +78,19 @@
 			t.Error(err)
 		}
 	case <-time.After(time.Second):
-		t.Fatal("the close waits for the next client")
+		t.Fatal("closing the listener waits for the next client")
 	}
 	if err := st.Receive(t, ended); err == nil {
-		t.Error("accept goes on after the close")
+		t.Error("Accept returns no error after the listener was closed")
 	}
 }
 
-// The inherited socket stays open where no listener can be made of it at first, as when the process has no descriptor
-// left for a moment: the attempt is repeated. The file of a failed attempt used to be garbage collected, which closed
-// the socket.
+// Guards against an inherited socket that is closed after a failed attempt to create a listener from it, as when the
+// process has no free descriptor for a moment. The attempt is repeated, but the file of the failed attempt was garbage
+// collected, which closed the socket.
 func TestInheritedSocketOutlivesAFailedAttempt(t *testing.T) {
 	t.Parallel()
-	reader, writer, err := os.Pipe() // no listener can be made of it
+	reader, writer, err := os.Pipe() // no listener can be created from it
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,10 +100,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Config{Passed: passed}
+	c := &Config{PassedDescriptor: passed}
 	for range 20 {
 		if _, err := c.Listener(); err == nil {
-			t.Fatal("a pipe is taken for a listener")
+			t.Fatal("Listener accepts a pipe")
 		}
 		runtime.GC()
 		time.Sleep(collectionTime)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// maxSenders is more than any fleet has. Turns among them are counted in time, which must not overflow.
+	// maxSenders is more than any deployment has. The senders' turns are computed as durations, which must not
+	// overflow.
 	maxSenders = 1_000_000
-	// What is not stated gets a modest value: nothing may grow without a bound.
+	// Limits that are not set get a modest default, so that nothing can grow without a bound.
 	defaultSockets        = 1024
 	defaultDiskMB         = 3
 	defaultConnectTimeout = 1500 * time.Millisecond
 )
 
-// file is the configuration file.
+// file is the JSON of the configuration file.
 type file struct {
 	Name      string              `json:"name"`
 	Listen    string              `json:"listen"`
@@ -36,21 +37,21 @@
 	Settings  json.RawMessage     `json:"settings"`
 }
 
-// settingsNames are the names in the settings as they are written: clients and discovery use them so, while in lines of
-// path and value blanks and commas are replaced.
+// settingsNames holds the names in the settings as they are written in the file, which is how clients and discovery use
+// them. The path=value lines don't serve for this, as blanks and commas are replaced there.
 type settingsNames struct {
 	Services, Orgs []struct{ Name string }
 	Models, Zones  []string
 }
 
-// Parse reads the configuration's JSON.
+// Parse decodes the JSON of a configuration and checks it.
 func Parse(raw []byte) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
 	}
-	var shape any
-	if err := json.Unmarshal(raw, &shape); err != nil {
+	var document any
+	if err := json.Unmarshal(raw, &document); err != nil {
 		return nil, err
 	}
 	env, err := settings.Flatten(f.Settings)
@@ -65,8 +66,8 @@
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, State: f.State,
 		Limits: f.Limits, Known: f.Known, Settings: settings.Translate(env),
 		Kinds: names.Models, Zones: names.Zones, Fields: env.List("telemetry.fields"),
-		ConnectTimeout: settings.Span(env.Float("limits.connectTimeout")),
-		shape:          shape,
+		ConnectTimeout: settings.DurationFromMilliseconds(env.Float("limits.connectTimeout")),
+		document:       document,
 	}
 	if err := c.readSettings(env, names); err != nil {
 		return nil, err
@@ -82,14 +83,14 @@
 	if c.Limits.DiskMB <= 0 {
 		c.Limits.DiskMB = defaultDiskMB
 	}
-	c.capCalls(c.Limits)
+	c.capConcurrentCalls(c.Limits)
 	if c.ConnectTimeout <= 0 {
 		c.ConnectTimeout = defaultConnectTimeout
 	}
 	return c, nil
 }
 
-// readSettings checks the settings and takes over the names of classes and tenants.
+// readSettings checks the settings and stores the names of classes and tenants.
 func (c *Config) readSettings(env *simprotocol.Env, names settingsNames) error {
 	for i := range env.Count("services") {
 		if err := env.Err(); err != nil {
@@ -102,7 +103,7 @@
 	if c.Settings.MaxAttempts < 0 {
 		return errors.New("limits.maxAttempts is not a positive number")
 	}
-	if err := checkFleet(env, c.Settings.Senders, c.Settings.Number); err != nil {
+	if err := checkSenderNumbers(env, c.Settings.Senders, c.Settings.Number); err != nil {
 		return err
 	}
 	for i := range env.Count("orgs") {
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// addClass checks the class at an index of the settings. Nothing is assumed of what decides whether a message may be
-// sent again.
+// addClass checks the class at an index of the settings and stores its name. The settings that decide whether a message
+// may be sent again have no defaults: they are required.
 func (c *Config) addClass(env *simprotocol.Env, index int, name string) error {
 	if name == "" || slices.Contains(c.Classes, name) {
 		return fmt.Errorf("services.%d.name %q is empty or stands twice", index, name)
@@ -140,14 +141,14 @@
 	return nil
 }
 
-// checkFleet says what makes no sense of the number of senders and this one's own among them, where they are stated:
-// parts of limits, turns and choices of endpoints depend on both.
-func checkFleet(env *simprotocol.Env, senders, number int) error {
-	if stated := env.Text("balancers"); stated != "" && (senders < 1 || senders > maxSenders) {
-		return fmt.Errorf("balancers: %s is not a number of senders", stated)
-	}
-	if stated := env.Text("slotNo"); stated != "" && (number < 0 || senders > 0 && number >= senders) {
-		return fmt.Errorf("slotNo: %s is not one of %d senders, counted from 0", stated, senders)
+// checkSenderNumbers returns an error if the number of senders or this sender's own number among them is set to an
+// invalid value. The shares of limits, turns and the choice of endpoints depend on both.
+func checkSenderNumbers(env *simprotocol.Env, senders, number int) error {
+	if value := env.Text("balancers"); value != "" && (senders < 1 || senders > maxSenders) {
+		return fmt.Errorf("balancers: %s is not a number of senders", value)
+	}
+	if value := env.Text("slotNo"); value != "" && (number < 0 || senders > 0 && number >= senders) {
+		return fmt.Errorf("slotNo: %s is not one of %d senders, counted from 0", value, senders)
 	}
 	return nil
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Reload reads the file again and returns the configuration that follows this one. Here the file wins over the
-// variables, as those are of the start. What a process is by its start (name, its own addresses, state directory,
-// limits) stays. A file that lacks anything that the one in force has was not written completely, and is rejected as
-// a whole.
+// Reload reads the file again and returns the configuration that replaces this one. The file takes precedence over the
+// environment variables here, as those date from the start of the process. Properties that are fixed at the start
+// (name, the sender's own addresses, state directory, limits) stay. A file that lacks anything that the current one has
+// is taken as incompletely written and is rejected as a whole.
 func (c *Config) Reload(readFile ReadFile, getenv func(string) string) (*Config, error) {
 	raw, err := readFile(getenv(envFile))
 	if err != nil {
@@ -19,22 +19,22 @@
 	}
 	read, err := Parse(raw)
 	if err == nil {
-		err = c.checkSuccessor(read)
+		err = c.checkReplacement(read)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	read.capCalls(c.Limits)
+	read.capConcurrentCalls(c.Limits)
 	next := *c
-	next.Discovery, next.Settings, next.shape = read.Discovery, read.Settings, read.shape
+	next.Discovery, next.Settings, next.document = read.Discovery, read.Settings, read.document
 	next.Classes, next.Tenants = read.Classes, read.Tenants
 	next.Kinds, next.Zones = read.Kinds, read.Zones
 	return &next, nil
 }
 
-// checkSuccessor says why a configuration cannot follow this one.
-func (c *Config) checkSuccessor(next *Config) error {
-	if err := checkShape(c.shape, next.shape, ""); err != nil {
+// checkReplacement returns an error if next cannot replace this configuration.
+func (c *Config) checkReplacement(next *Config) error {
+	if err := checkComplete(c.document, next.document, ""); err != nil {
 		return err
 	}
 	if _, _, err := net.SplitHostPort(next.Discovery); err != nil {
@@ -46,12 +46,12 @@
 	return nil
 }
 
-// knownListKey is a list of endpoints, which may be of any age: it is not compared.
+// knownListKey is the key of the list of known endpoints. It is not compared, as the list may be of any age.
 const knownListKey = "known"
 
-// checkShape says what a JSON value lacks of another: a key, or all items of a list. An item must have the keys that
-// all earlier items have.
-func checkShape(earlier, value any, path string) error {
+// checkComplete returns an error if a JSON value lacks something that the earlier value has: a key, or all items of a
+// list. Each item of a list must have the keys that all items of the earlier list have.
+func checkComplete(earlier, value any, path string) error {
 	switch earlier := earlier.(type) {
 	case map[string]any:
 		return checkObject(earlier, value, path)
@@ -80,7 +80,7 @@
 		if itemPath == knownListKey {
 			continue
 		}
-		if err := checkShape(item, object[key], itemPath); err != nil {
+		if err := checkComplete(item, object[key], itemPath); err != nil {
 			return err
 		}
 	}
@@ -97,14 +97,15 @@
 	}
 	required := commonKeys(earlier)
 	for i, item := range list {
-		if err := checkShape(required, item, fmt.Sprintf("%s.%d", path, i)); err != nil {
+		if err := checkComplete(required, item, fmt.Sprintf("%s.%d", path, i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// commonKeys is an object with the keys that all items of a list have, nil if they are no objects.
+// commonKeys returns an object with the keys that all items of a list have in common, or nil if an item is not an
+// object.
 func commonKeys(items []any) any {
 	var common map[string]any
 	for i, value := range items {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings translates the settings of the simulator and of a sender's configuration for the dispatcher.
+// Package settings converts the settings of the simulator and of a sender's configuration to the dispatcher's settings.
 //
-// The simulator states them as path=value lines, a configuration as nested JSON with the same names. Flatten brings the
-// JSON into the simulator's form, and Translate reads both by the same keys, so that the two cannot drift apart. The
-// package owns no state; the simulator's adapter and the sender's configuration call it.
+// The simulator passes settings as path=value lines, a configuration file as nested JSON with the same names. Flatten
+// converts the JSON to path=value lines, and Translate reads both by the same keys, so that the two formats cannot
+// diverge. The package has no state; the simulator's adapter and the sender's configuration use it.
 package settings
 
 import (
@@ -18,8 +18,9 @@
 	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
-// Span turns milliseconds into a duration, rounded to the microsecond that the simulator counts in.
-func Span(ms float64) time.Duration {
+// DurationFromMilliseconds converts milliseconds to a duration, rounded to whole microseconds, the resolution of the
+// simulator. Values beyond half the range of a duration are clamped.
+func DurationFromMilliseconds(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	if limit := float64(math.MaxInt64 / 2000); us > limit || us < -limit {
 		us = math.Copysign(limit, us)
@@ -27,7 +28,8 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// Translate reads the settings. Unknown keys are skipped; env.Err names the first value that cannot be read.
+// Translate returns the dispatcher's settings. It ignores unknown keys; env.Err returns an error that names the first
+// value that cannot be parsed.
 func Translate(env *simprotocol.Env) dispatch.Settings {
 	s := translateScalars(env)
 	s.Kinds = translateKinds(env)
@@ -36,7 +38,9 @@
 	return s
 }
 
-func milliseconds(env *simprotocol.Env, key string) time.Duration { return Span(env.Float(key)) }
+func milliseconds(env *simprotocol.Env, key string) time.Duration {
+	return DurationFromMilliseconds(env.Float(key))
+}
 
 func translateScalars(env *simprotocol.Env) dispatch.Settings {
 	return dispatch.Settings{
@@ -67,8 +71,8 @@
 	}
 }
 
-// isRatingRateLimit reports whether an endpoint's rating is its destination's rate limit: exactly, or up to half too
-// high or too low.
+// isRatingRateLimit reports whether an endpoint's rating is its destination's rate limit, either exactly ("nominal") or
+// with an error of up to half in either direction ("rough").
 func isRatingRateLimit(env *simprotocol.Env) bool {
 	const nominal, rough = 1, 2
 	weights := env.Word("weights", "none", "nominal", "rough", "live")
@@ -122,8 +126,8 @@
 	return tenants
 }
 
-// Flatten turns nested JSON into the simulator's path=value form. A list of plain values is joined by commas; a list of
-// objects states its length under .count and its items under .0, .1 and so on.
+// Flatten converts nested JSON to the simulator's path=value lines. A list of plain values is joined by commas; a list
+// of objects becomes its length under .count and its items under .0, .1 and so on.
 func Flatten(raw []byte) (*simprotocol.Env, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -136,10 +140,10 @@
 	return simprotocol.ParseEnv(strings.Join(lines, "\n"))
 }
 
-// separatorReplacer replaces what separates lines and list items.
+// separatorReplacer replaces the characters that separate lines and list items.
 var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-// appendFlattened appends the lines of a value at a path.
+// appendFlattened appends the path=value lines of the value at path.
 func appendFlattened(lines []string, path string, value any) []string {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,8 @@
 	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
-// A configuration's JSON and the simulator's lines with the same values give equal settings.
+// Guards against a difference between the two formats: a configuration's JSON and the simulator's path=value lines with
+// the same values must give equal settings.
 func TestConfigurationAndSimulatorGiveEqualSettings(t *testing.T) {
 	const lines = `balancers=2
 costs.handshake=0.06
@@ -74,13 +75,13 @@
 	}
 	if s.MaxConcurrentCalls != 18 || s.MaxRetryAfter != 2000500*time.Microsecond || !s.LateWeightHalves ||
 		!s.PollsEndpointList || s.TotalWeight != 0.75 || s.WorstClassWeight != 0.2 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings: %+v", s)
 	}
 	if !s.Kinds[1].PerEndpoint || s.Kinds[1].MaxBatchSize != 3 {
-		t.Errorf("the kinds are %+v", s.Kinds)
+		t.Errorf("kinds: %+v", s.Kinds)
 	}
 	if s.Classes[0].Effect != dispatch.IdempotentByKey || s.Tenants[1].QuotaRate != 9 {
-		t.Errorf("the classes are %+v, the tenants %+v", s.Classes, s.Tenants)
+		t.Errorf("classes: %+v, tenants: %+v", s.Classes, s.Tenants)
 	}
 }
 
@@ -108,13 +109,13 @@
 				t.Fatal(err)
 			}
 			if s := Translate(env); env.Err() != nil || !isTranslated(s) {
-				t.Errorf("%+v, %v", s, env.Err())
+				t.Errorf("settings %+v, error %v", s, env.Err())
 			}
 		})
 	}
 }
 
-func TestSpan(t *testing.T) {
+func TestDurationFromMilliseconds(t *testing.T) {
 	for _, c := range []struct {
 		ms   float64
 		want time.Duration
@@ -127,21 +128,21 @@
 		{ms: 1e300, want: math.MaxInt64 / 2000 * time.Microsecond},
 		{ms: -1e300, want: -math.MaxInt64 / 2000 * time.Microsecond},
 	} {
-		if got := Span(c.ms); got != c.want {
-			t.Errorf("Span(%v) is %v, want %v", c.ms, got, c.want)
+		if got := DurationFromMilliseconds(c.ms); got != c.want {
+			t.Errorf("DurationFromMilliseconds(%v) is %v, want %v", c.ms, got, c.want)
 		}
 	}
 }
 
 func TestUnreadableSettingsAreReported(t *testing.T) {
 	if _, err := Flatten([]byte(`{"step":`)); err == nil {
-		t.Error("half an object passes")
+		t.Error("Flatten accepts truncated JSON")
 	}
 	env, err := Flatten([]byte(`{"step":"soon"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if Translate(env); env.Err() == nil || !strings.Contains(env.Err().Error(), "step") {
-		t.Errorf("an unreadable step: %v", env.Err())
+		t.Errorf("the error is %v, want one that names the key step", env.Err())
 	}
 }
