--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics counts what the sender does and prints it for the operators' DUMP.
+// Package metrics holds the sender's counters and gauges and writes them in reply to the operators' DUMP call.
 //
-// Each package counts where the event happens; the event loop stores the gauges after each step. The names of the
-// figures are part of the operators' interface and never change.
+// Each package counts its own events; the event loop stores the gauges after each step. The names of the metrics are
+// part of the operators' interface and never change.
 package metrics
 
 import (
@@ -13,53 +13,53 @@
 	"time"
 )
 
-// namePrefix names this program in the operators' figures.
+// namePrefix is the prefix of all metrics of this program.
 const namePrefix = "edge_edge."
 
-// classCounters counts the ends of one class's messages.
+// classCounters counts how the messages of one class ended.
 type classCounters struct {
 	class                        string
 	succeeded, declined, aborted uint64
 }
 
-// Registry holds all counters and gauges. Its lock is held for no more than a copy, so that reading it never waits for
-// the event loop. It is safe for concurrent use.
+// Registry holds all counters and gauges. Its lock is held only for a copy, so that a reader never waits for the event
+// loop. It is safe for concurrent use.
 type Registry struct {
 	mu       sync.Mutex
-	classes  []*classCounters // in the order first named; a removed class keeps its place, as a counter never goes back
+	classes  []*classCounters // in order of registration; removed classes stay, as a counter must never decrease
 	byClass  map[string]*classCounters
 	forwards uint64
 	applied  uint64 // configurations applied at SIGHUP
 	rejected uint64 // configurations rejected at SIGHUP
 	gauges   Gauges
-	reasons  map[string]uint64 // by kind and reason
+	reasons  map[string]uint64 // counts by kind and reason
 
 	lastHeartbeat time.Time // when the event loop last stored the gauges
 }
 
-// Gauges is the state of the event loop after its last step.
+// Gauges holds the state of the event loop after its last step.
 type Gauges struct {
-	Outstanding int // messages accepted and not ended
+	Outstanding int // messages that were accepted and have not ended
 	Discovered  int // endpoints on the list
-	Ejected     int // listed endpoints that get probes only
+	Ejected     int // listed endpoints that get only probes
 }
 
-// ReasonKind groups the events that are counted by their reason. It is the first part of a figure's name.
+// ReasonKind groups events that are counted by their reason. It is the first part of the metric's name.
 type ReasonKind string
 
 // The kinds of events that are counted by their reason.
 const (
-	ReasonViolation ReasonKind = "violations" // an invariant was about to be broken
+	ReasonViolation ReasonKind = "violations" // an invariant was or would have been violated
 	ReasonClosed    ReasonKind = "closed"     // a client's connection was closed
 	ReasonRejected  ReasonKind = "refused"    // a request was rejected
 	ReasonRetried   ReasonKind = "retried"    // an attempt ended without ending its message
 	ReasonAccept    ReasonKind = "accept"     // a client could not be accepted
-	ReasonDropped   ReasonKind = "dropped"    // a connection to an endpoint was closed with its call
-	ReasonDiscovery ReasonKind = "discovery"  // a call for the endpoint list did not go as it should
+	ReasonDropped   ReasonKind = "dropped"    // a connection to an endpoint was closed together with its call
+	ReasonDiscovery ReasonKind = "discovery"  // a request for the endpoint list had a problem
 )
 
-// New makes a registry that knows the given classes. The violations of the invariants named are reported from the
-// start, at 0.
+// New returns a registry with the given classes. The violations of the given invariants are reported from the start,
+// at 0.
 func New(classes []string, invariants ...string) *Registry {
 	r := &Registry{byClass: map[string]*classCounters{}, reasons: map[string]uint64{}}
 	for _, invariant := range invariants {
@@ -71,7 +71,7 @@
 
 func reasonName(kind ReasonKind, reason string) string { return string(kind) + "." + reason }
 
-// RegisterClasses adds the classes that are not known yet, at 0.
+// RegisterClasses adds the classes that are not registered yet, at 0.
 func (r *Registry) RegisterClasses(classes []string) {
 	r.update(func() {
 		for _, class := range classes {
@@ -80,7 +80,7 @@
 	})
 }
 
-// counters is the counters of a class, which it adds if need be; the caller holds the lock.
+// counters returns the counters of a class and registers the class if necessary. The caller holds the lock.
 func (r *Registry) counters(class string) *classCounters {
 	c := r.byClass[class]
 	if c == nil {
@@ -91,6 +91,7 @@
 	return c
 }
 
+// update calls edit with the lock held.
 func (r *Registry) update(edit func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,64 +123,64 @@
 	})
 }
 
-// CountReason counts an event by why it happened. The reasons of a kind are few fixed words.
+// CountReason counts an event by its reason. Each kind has a small, fixed set of reasons.
 func (r *Registry) CountReason(kind ReasonKind, reason string) {
 	r.update(func() { r.reasons[reasonName(kind, reason)]++ })
 }
 
-// ReasonCount is how often an event was counted with a reason.
+// ReasonCount returns the number of events that were counted with a reason.
 func (r *Registry) ReasonCount(kind ReasonKind, reason string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reasons[reasonName(kind, reason)]
 }
 
-// SetGauges stores the gauges, and that the event loop is alive.
+// SetGauges stores the gauges. It is also the heartbeat of the event loop.
 func (r *Registry) SetGauges(g Gauges) {
 	r.update(func() { r.gauges, r.lastHeartbeat = g, time.Now() })
 }
 
-// LastHeartbeat is when the event loop last stored the gauges.
+// LastHeartbeat returns the time at which the event loop last stored the gauges.
 func (r *Registry) LastHeartbeat() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastHeartbeat
 }
 
-// figure is one line of a dump.
-type figure struct {
+// metric is one line of a dump.
+type metric struct {
 	name  string
 	value int64
 }
 
-// Dump writes a line for each figure: the classes in the order in which they were registered, the totals, then the
-// reasons in the order of their names.
+// Dump writes a line for each metric: the classes in order of registration, the totals, then the reasons sorted by
+// name.
 func (r *Registry) Dump(w io.Writer) {
-	for _, f := range r.figures() {
-		// The reply is written to memory, which takes all of it.
-		_, _ = fmt.Fprintf(w, "%s%s=%d\n", namePrefix, f.name, f.value)
+	for _, m := range r.metrics() {
+		// The callers pass a buffer in memory, so the write cannot fail.
+		_, _ = fmt.Fprintf(w, "%s%s=%d\n", namePrefix, m.name, m.value)
 	}
 }
 
-func (r *Registry) figures() []figure {
+func (r *Registry) metrics() []metric {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var figures []figure
+	var metrics []metric
 	for _, c := range r.classes {
-		figures = append(figures,
-			figure{name: "succeeded." + c.class, value: int64(c.succeeded)},
-			figure{name: "declined." + c.class, value: int64(c.declined)},
-			figure{name: "aborted." + c.class, value: int64(c.aborted)})
+		metrics = append(metrics,
+			metric{name: "succeeded." + c.class, value: int64(c.succeeded)},
+			metric{name: "declined." + c.class, value: int64(c.declined)},
+			metric{name: "aborted." + c.class, value: int64(c.aborted)})
 	}
-	figures = append(figures,
-		figure{name: "forwards", value: int64(r.forwards)},
-		figure{name: "outstanding", value: int64(r.gauges.Outstanding)},
-		figure{name: "discovered", value: int64(r.gauges.Discovered)},
-		figure{name: "ejected", value: int64(r.gauges.Ejected)},
-		figure{name: "sighup_applied", value: int64(r.applied)},
-		figure{name: "sighup_rejected", value: int64(r.rejected)})
+	metrics = append(metrics,
+		metric{name: "forwards", value: int64(r.forwards)},
+		metric{name: "outstanding", value: int64(r.gauges.Outstanding)},
+		metric{name: "discovered", value: int64(r.gauges.Discovered)},
+		metric{name: "ejected", value: int64(r.gauges.Ejected)},
+		metric{name: "sighup_applied", value: int64(r.applied)},
+		metric{name: "sighup_rejected", value: int64(r.rejected)})
 	for _, name := range slices.Sorted(maps.Keys(r.reasons)) {
-		figures = append(figures, figure{name: name, value: int64(r.reasons[name])})
+		metrics = append(metrics, metric{name: name, value: int64(r.reasons[name])})
 	}
-	return figures
+	return metrics
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// dump returns the lines of a dump that start with one of the prefixes, without the prefix of all names.
+// dump returns the lines of a dump that start with one of the prefixes, without the common prefix edge_edge.
 func dump(t *testing.T, r *Registry, prefixes ...string) []string {
 	t.Helper()
 	var text bytes.Buffer
@@ -40,7 +40,7 @@
 			prefixes: []string{"succeeded", "violations"},
 			want:     "succeeded.b=0 succeeded.a=0 violations.repeat=0",
 		},
-		"the ends of messages": {
+		"message outcomes": {
 			count: func(r *Registry) {
 				r.MessageSucceeded("a")
 				r.MessageSucceeded("a")
@@ -51,7 +51,7 @@
 			want: "succeeded.b=0 declined.b=1 aborted.b=0 " +
 				"succeeded.a=2 declined.a=0 aborted.a=1",
 		},
-		"a class that a reload drops keeps its place, a new one is added": {
+		"a class that a reload removes stays, a new one is added": {
 			count: func(r *Registry) {
 				r.MessageSucceeded("b")
 				r.RegisterClasses([]string{"a", "c"})
@@ -83,7 +83,7 @@
 			prefixes: []string{"outstanding", "discovered", "ejected"},
 			want:     "outstanding=4 discovered=5 ejected=0",
 		},
-		"reasons in the order of their names": {
+		"reasons are sorted by name": {
 			count: func(r *Registry) {
 				r.CountReason(ReasonRetried, "errored")
 				r.CountReason(ReasonAccept, "failed")
@@ -110,10 +110,10 @@
 	r := New(nil)
 	r.CountReason(ReasonDropped, "unread")
 	if got := r.ReasonCount(ReasonDropped, "unread"); got != 1 {
-		t.Errorf("%d", got)
+		t.Errorf("count %d, want 1", got)
 	}
 	if got := r.ReasonCount(ReasonClosed, "unread"); got != 0 {
-		t.Errorf("another kind: %d", got)
+		t.Errorf("count of another kind: %d, want 0", got)
 	}
 }
 
@@ -121,12 +121,12 @@
 	t.Parallel()
 	r := New(nil)
 	if !r.LastHeartbeat().IsZero() {
-		t.Error("there is a heartbeat before the first step")
+		t.Error("there is a heartbeat before the gauges are first set")
 	}
 	started := time.Now()
 	r.SetGauges(Gauges{})
 	if r.LastHeartbeat().Before(started) {
-		t.Error("the gauges are no heartbeat")
+		t.Error("setting the gauges does not update the heartbeat")
 	}
 }
 
@@ -147,6 +147,6 @@
 	}
 	running.Wait()
 	if got := dump(t, r, "succeeded"); len(got) != 1 || got[0] != "succeeded.a=800" {
-		t.Errorf("%v", got)
+		t.Errorf("got %v, want succeeded.a=800", got)
 	}
 }
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -8,7 +8,7 @@
 	"math"
 )
 
-// MaxFrame is the longest frame body that is read, in bytes.
+// MaxFrame is the maximum size of a frame body, in bytes.
 const MaxFrame = 1 << 30
 
 // Sizes in bytes.
@@ -16,7 +16,7 @@
 	frameHeaderSize  = 16 // clock, length of the rest, number of records
 	recordHeaderSize = 6  // code, length of the fields
 	nodeSize         = 22
-	longestField     = 8 // of a number
+	maxNumberSize    = 8
 )
 
 // ReadBatch reads one frame. It returns io.EOF when the input ends between frames.
@@ -38,7 +38,8 @@
 	if size < 4 || size > MaxFrame {
 		return Batch{}, fmt.Errorf("frame header: length %d is out of bounds", size)
 	}
-	body, err := io.ReadAll(io.LimitReader(r, int64(size)-4)) // grows with what comes, whatever is claimed
+	// ReadAll grows its buffer with the bytes that arrive, so that a wrong size in the header allocates no memory.
+	body, err := io.ReadAll(io.LimitReader(r, int64(size)-4))
 	if err != nil {
 		return Batch{}, fmt.Errorf("frame body: %w", err)
 	}
@@ -48,7 +49,7 @@
 	return parse(clock, count, body)
 }
 
-// parse reads the records of a frame body.
+// parse decodes the records of a frame body.
 func parse(clock float64, count uint32, body []byte) (Batch, error) {
 	b := Batch{Clock: clock}
 	if int64(count)*recordHeaderSize > int64(len(body)) {
@@ -68,7 +69,7 @@
 		start, end := at+recordHeaderSize, at+recordHeaderSize+int(size)
 		d := decoder{fields: body[start:end]}
 		e := Event{Code: code, Index: i, Offset: at}
-		d.event(&e)
+		d.decodeEvent(&e)
 		if d.problem != "" {
 			return b, fmt.Errorf("record %d at offset %d (code %d): %s", i, at, code, d.problem)
 		}
@@ -81,58 +82,58 @@
 	return b, nil
 }
 
-// decoder reads the fields of one record. After its first problem it reads zeros.
+// decoder decodes the fields of one record. After the first error it returns zeros.
 type decoder struct {
 	fields  []byte
-	at      int    // bytes read
-	problem string // "" for none
+	at      int    // number of bytes read
+	problem string // description of the first error, "" for none
 }
 
-// take reads the next n bytes, of the field that is named.
-func (d *decoder) take(n int, what string) []byte {
+// next returns the next n bytes. The errors name the field.
+func (d *decoder) next(n int, field string) []byte {
 	if d.problem != "" || n > len(d.fields)-d.at {
 		if d.problem == "" {
-			d.problem = fmt.Sprintf("%s at offset %d of the record runs past its end", what, d.at+recordHeaderSize)
+			d.problem = fmt.Sprintf("%s at offset %d of the record runs past its end", field, d.at+recordHeaderSize)
 		}
-		return make([]byte, longestField)
+		return make([]byte, maxNumberSize)
 	}
 	d.at += n
 	return d.fields[d.at-n : d.at]
 }
 
-func (d *decoder) u8(what string) uint8   { return d.take(1, what)[0] }
-func (d *decoder) u16(what string) uint16 { return binary.LittleEndian.Uint16(d.take(2, what)) }
-func (d *decoder) u32(what string) uint32 { return binary.LittleEndian.Uint32(d.take(4, what)) }
-func (d *decoder) u64(what string) uint64 { return binary.LittleEndian.Uint64(d.take(8, what)) }
+func (d *decoder) u8(field string) uint8   { return d.next(1, field)[0] }
+func (d *decoder) u16(field string) uint16 { return binary.LittleEndian.Uint16(d.next(2, field)) }
+func (d *decoder) u32(field string) uint32 { return binary.LittleEndian.Uint32(d.next(4, field)) }
+func (d *decoder) u64(field string) uint64 { return binary.LittleEndian.Uint64(d.next(8, field)) }
 
-func (d *decoder) f32(what string) float32 {
-	v := math.Float32frombits(d.u32(what))
+func (d *decoder) f32(field string) float32 {
+	v := math.Float32frombits(d.u32(field))
 	if v64 := float64(v); math.IsNaN(v64) || math.IsInf(v64, 0) {
-		d.rejectNumber(what)
+		d.rejectNumber(field)
 	}
 	return v
 }
 
-func (d *decoder) f64(what string) float64 {
-	v := math.Float64frombits(d.u64(what))
+func (d *decoder) f64(field string) float64 {
+	v := math.Float64frombits(d.u64(field))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		d.rejectNumber(what)
+		d.rejectNumber(field)
 	}
 	return v
 }
 
-// rejectNumber says that the field that is named is NaN or infinite.
-func (d *decoder) rejectNumber(what string) {
+// rejectNumber records the error that a field is NaN or infinite.
+func (d *decoder) rejectNumber(field string) {
 	if d.problem == "" {
-		d.problem = what + " is not a number"
+		d.problem = field + " is not a number"
 	}
 }
 
-// count reads an element count and makes sure that so many elements are there.
-func (d *decoder) count(size int, what string) int {
-	n := int64(d.u32(what + " count"))
+// count reads an element count and checks that the record is long enough for as many elements of a size.
+func (d *decoder) count(size int, field string) int {
+	n := int64(d.u32(field + " count"))
 	if d.problem == "" && n*int64(size) > int64(len(d.fields)-d.at) {
-		d.problem = fmt.Sprintf("%s count %d runs past the record's end", what, n)
+		d.problem = fmt.Sprintf("%s count %d runs past the record's end", field, n)
 	}
 	if d.problem != "" {
 		return 0
@@ -140,8 +141,8 @@
 	return int(n)
 }
 
-// report reads a load report.
-func (d *decoder) report() []float32 {
+// decodeReport decodes a load report.
+func (d *decoder) decodeReport() []float32 {
 	n := int(d.u8("telemetry count"))
 	if n == 0 {
 		return nil
@@ -153,10 +154,10 @@
 	return out
 }
 
-// event reads the fields of one record. A record may be longer than its known fields.
-func (d *decoder) event(e *Event) {
+// decodeEvent decodes the fields of one record. It ignores bytes after the known fields.
+func (d *decoder) decodeEvent(e *Event) {
 	if e.Code == CodeCatalog {
-		d.catalog(e)
+		d.decodeCatalog(e)
 		return
 	}
 	if e.Code < CodeHello || e.Code > CodeCatalog {
@@ -167,15 +168,15 @@
 	switch e.Code {
 	case CodeHello:
 		e.Nonce = d.u64("nonce64")
-		e.Env = string(d.take(d.count(1, "env"), "env"))
+		e.Env = string(d.next(d.count(1, "env"), "env"))
 	case CodeDirectory:
 		e.Scope = d.u8("scope")
 		d.u32("generation")
 		e.Page = d.u32("page")
 	case CodeSubmit:
-		d.submit(e)
+		d.decodeSubmit(e)
 	case CodeEnd:
-		d.end(e)
+		d.decodeEnd(e)
 	case CodeGone:
 		e.Call = d.u64("call")
 	case CodeAlarm:
@@ -183,7 +184,7 @@
 	}
 }
 
-func (d *decoder) catalog(e *Event) {
+func (d *decoder) decodeCatalog(e *Event) {
 	e.Page = d.u32("page")
 	n := d.count(nodeSize, "nodesList")
 	e.Nodes = make([]Node, 0, n)
@@ -201,7 +202,7 @@
 	}
 }
 
-func (d *decoder) submit(e *Event) {
+func (d *decoder) decodeSubmit(e *Event) {
 	e.Call = d.u64("call")
 	d.f64("effort")
 	e.Billing = d.u16("billing")
@@ -212,7 +213,7 @@
 	e.Expires = d.f64("expires")
 }
 
-func (d *decoder) end(e *Event) {
+func (d *decoder) decodeEnd(e *Event) {
 	e.Call = d.u64("call")
 	e.Try = d.u8("try")
 	e.Endpoint = d.u32("endpoint")
@@ -220,5 +221,5 @@
 	e.Elapsed = d.f64("elapsed")
 	e.NoMore = d.u8("noMore") != 0
 	e.WaitMs = d.u32("waitMs")
-	e.Report = d.report()
+	e.Report = d.decodeReport()
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Env holds the settings of one instance as path=value lines, and the first error in reading them. Reading goes on
-// after an error, with zero values; the caller asks for Err at the end.
+// Env holds the settings of one instance, given as path=value lines, and the first error in reading them. After an
+// error its methods still return values, zero for those that are unreadable; the caller checks Err at the end.
 type Env struct {
 	values map[string]string
 	err    error
 }
 
-// maxItems bounds a list's .count, so that a wrong one costs no memory.
+// maxItems is the maximum of a list's .count, so that a wrong value allocates no memory.
 const maxItems = 4096
 
-// ParseEnv splits path=value lines.
+// ParseEnv parses path=value lines.
 func ParseEnv(text string) (*Env, error) {
 	e := &Env{values: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
@@ -34,17 +34,17 @@
 	return e, nil
 }
 
-// Err is the error of the first unreadable value, which names its key.
+// Err returns the error of the first unreadable value, which names its key, or nil.
 func (e *Env) Err() error { return e.err }
 
-// reject keeps the first unreadable value.
+// reject records the error that a value is not of the wanted form, unless there is an earlier error.
 func (e *Env) reject(key, want string) {
 	if e.err == nil {
 		e.err = fmt.Errorf("setting %s: %q is not %s", key, e.values[key], want)
 	}
 }
 
-// Text is a value as it is, "" if absent.
+// Text returns a value unparsed, "" if absent.
 func (e *Env) Text(key string) string { return e.values[key] }
 
 // Float reads a number, 0 if absent.
@@ -87,7 +87,7 @@
 	return false
 }
 
-// Word reads one of a few words and returns its index among them, 0 if absent.
+// Word reads a value that must be one of words and returns its index among them, 0 if absent.
 func (e *Env) Word(key string, words ...string) int {
 	v, ok := e.values[key]
 	if !ok {
@@ -102,7 +102,7 @@
 	return 0
 }
 
-// List reads a comma list.
+// List reads a comma-separated list.
 func (e *Env) List(key string) []string {
 	if e.values[key] == "" {
 		return nil
@@ -110,7 +110,7 @@
 	return strings.Split(e.values[key], ",")
 }
 
-// Floats reads a comma list of numbers.
+// Floats reads a comma-separated list of numbers.
 func (e *Env) Floats(key string) []float64 {
 	var out []float64
 	for _, v := range e.List(key) {
@@ -119,7 +119,7 @@
 	return out
 }
 
-// Bools reads a comma list of true and false.
+// Bools reads a comma-separated list of true and false.
 func (e *Env) Bools(key string) []bool {
 	var out []bool
 	for _, v := range e.List(key) {
@@ -131,7 +131,7 @@
 	return out
 }
 
-// Count reads the length of a list of objects.
+// Count reads the length of a list of objects, 0 if absent.
 func (e *Env) Count(key string) int {
 	n := e.Int(key + ".count")
 	if n < 0 || n > maxItems {
