--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,7 @@
-// Package admin answers the operators' calls: one line a connection, one reply.
+// Package admin implements the operators' interface: a TCP server that reads a one-line call from each connection and
+// sends one reply.
 //
-// The server shares nothing with the event loop but the metrics, so it answers however busy the loop is. The calls and
+// The server shares only the metrics with the event loop, so it answers even while the loop is busy. The calls and
 // their replies are the operators' interface and never change.
 package admin
 
@@ -19,15 +20,15 @@
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
-// MaxLine bounds a call, in bytes, its end included.
+// MaxLine is the maximum length of a call in bytes, the newline included.
 const MaxLine = 128
 
 const (
-	callTimeout       = 5 * time.Second // for a caller to complete its call
-	replyTimeout      = time.Second     // for a caller to read the reply
+	callTimeout       = 5 * time.Second // for receiving the complete call
+	replyTimeout      = time.Second     // for sending the reply
 	listenRetryPause  = 500 * time.Millisecond
 	acceptRetryPause  = 50 * time.Millisecond
-	maxUnreadBytes    = 64 << 10 // that are read behind a call
+	maxUnreadBytes    = 64 << 10 // maximum that is read and discarded after a call
 	replyOK           = "ok\n"
 	replyEnd          = "eof\n"
 	replyIncomplete   = "fail the call is not complete\n"
@@ -40,18 +41,18 @@
 
 // Server answers the operators' calls.
 type Server struct {
-	health         func() error // nil while the process is ready to serve
+	health         func() error // returns nil while the process is ready to serve
 	dump           func(io.Writer)
 	log            *slog.Logger
 	maxConnections int
 
 	mu     sync.Mutex
-	silent map[net.Conn]time.Time // connections without a complete call, since when
-	open   int
+	silent map[net.Conn]time.Time // connections without a complete call, and when they were accepted
+	open   int                    // number of connections, silent or not
 }
 
-// New makes a server for so many connections at once. health says why the process is not ready to serve, nil if it is;
-// dump writes the metrics. Both are called from any goroutine.
+// New returns a server for at most maxConnections concurrent connections. health returns why the process is not ready
+// to serve, or nil if it is; dump writes the metrics. Both must be safe to call from any goroutine.
 func New(log *slog.Logger, maxConnections int, health func() error, dump func(io.Writer)) *Server {
 	return &Server{
 		health:         health,
@@ -62,8 +63,8 @@
 	}
 }
 
-// Run serves at an address until ctx ends. An address that is taken is tried again: no message should suffer for a
-// metric.
+// Run serves at an address until ctx ends. It retries while it cannot listen there, as when the address is in use: the
+// delivery of messages must not depend on the operators' interface.
 func (s *Server) Run(ctx context.Context, address string) {
 	for isFirst := true; ctx.Err() == nil; isFirst = false {
 		listener, err := net.Listen("tcp", address)
@@ -72,14 +73,14 @@
 			return
 		}
 		if isFirst {
-			s.log.Warn("the admin address cannot be listened on yet", "err", err)
+			s.log.Warn("cannot listen on the admin address yet", "err", err)
 		}
 		retry.Wait(ctx, listenRetryPause)
 	}
 }
 
-// serve answers on a listener until ctx ends; then open connections are closed, too. Each connection's goroutine ends
-// with ctx or its timeouts.
+// serve answers calls on a listener until ctx ends, and then closes the open connections, too. Each connection's
+// goroutine ends with ctx or by its timeouts.
 func (s *Server) serve(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, func() { closeQuietly(listener) })
 	defer stop()
@@ -88,8 +89,8 @@
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
 		}
-		if err != nil { // too few descriptors, for instance: a pause may free some
-			s.log.Debug("admin", "err", err)
+		if err != nil { // for example, no free descriptor: some may be free after a pause
+			s.log.Debug("admin connection not accepted", "err", err)
 			retry.Wait(ctx, acceptRetryPause)
 			continue
 		}
@@ -105,11 +106,11 @@
 	}
 }
 
-// closeQuietly closes what nobody can do anything about when it fails.
+// closeQuietly closes c and ignores the error, as nothing can be done about it.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// admit finds a place for a connection. Where all are taken, the one that has been silent for longest is closed. It
-// reports false if all are being answered.
+// admit registers a connection. At the maximum number of connections it closes the one that has been silent for
+// longest. It reports false if there is none, because all connections are being answered.
 func (s *Server) admit(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +122,8 @@
 	return true
 }
 
-// evictSilent closes the connection that has been silent for longest; the caller holds the lock.
+// evictSilent closes the connection that has been silent for longest and reports whether there was one. The caller
+// holds the lock.
 func (s *Server) evictSilent() bool {
 	var oldest net.Conn
 	for c, since := range s.silent {
@@ -138,8 +140,8 @@
 	return true
 }
 
-// hasCalled notes that a connection is not silent any more. It reports false if the connection has been evicted.
-func (s *Server) hasCalled(c net.Conn) bool {
+// markNotSilent records that a connection is no longer silent. It reports false if the connection has been evicted.
+func (s *Server) markNotSilent(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.silent[c]
@@ -147,7 +149,8 @@
 	return ok
 }
 
-func (s *Server) leave() {
+// release frees the place of a connection that is not silent.
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open--
@@ -156,13 +159,13 @@
 // answer reads the call of a connection, answers it and closes the connection.
 func (s *Server) answer(c net.Conn) {
 	defer c.Close()
-	// A connection that takes no deadline fails in the read as well.
+	// If the deadline cannot be set, the read fails as well.
 	_ = c.SetReadDeadline(time.Now().Add(callTimeout))
 	line, err := bufio.NewReaderSize(io.LimitReader(c, MaxLine), MaxLine).ReadSlice('\n')
-	if !s.hasCalled(c) {
+	if !s.markNotSilent(c) {
 		return
 	}
-	defer s.leave()
+	defer s.release()
 	reply := s.reply(line, err)
 	if len(reply) == 0 {
 		return
@@ -171,18 +174,20 @@
 	if _, err := c.Write(reply); err != nil {
 		return
 	}
-	// What the caller sent beyond its line would make the close a reset, which can overtake the reply.
+	// Closing with unread bytes, which the caller sent after its line, would send a reset, and that can overtake the
+	// reply.
 	if tcp, ok := c.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(c, maxUnreadBytes)) // the reply is sent, whatever fails here
+		_, _ = io.Copy(io.Discard, io.LimitReader(c, maxUnreadBytes)) // the reply is already sent: errors don't matter
 	}
 }
 
-// reply is the reply to a line, which readErr may have cut short; empty if the caller said nothing at all.
+// reply returns the reply to a line. readErr is the error that ended the read before a newline, or nil. The reply is
+// empty if the caller sent nothing.
 func (s *Server) reply(line []byte, readErr error) []byte {
 	call := strings.TrimSpace(string(line))
-	isCutByEnd := errors.Is(readErr, io.EOF) && call != ""
+	isEndedByEOF := errors.Is(readErr, io.EOF) && call != ""
 	switch {
-	case readErr != nil && len(line) < MaxLine && !isCutByEnd:
+	case readErr != nil && len(line) < MaxLine && !isEndedByEOF:
 		if len(line) == 0 {
 			return nil
 		}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,9 +1,9 @@
-// Package invariant checks, at run time, the promises that the sender makes to its clients and endpoints.
+// Package invariant checks at run time the guarantees that the sender gives to its clients and endpoints.
 //
-// The checks stand at the points where a promise can be broken: before a call is written, before a message is sent
-// again, when a client's connection is closed, when a message is promised to have had no effect, and when the process
-// starts to own the journal. The decisions are made elsewhere and should never conflict with them, so each violation
-// is a defect: it is counted in the operators' figures and logged.
+// The checks are made at the points where a guarantee can be violated: before a call is written, before a message is
+// sent again, when a client's connection is closed, when a client is told that its message had no effect, and when the
+// process takes ownership of the journal. The decisions are made in other packages and should never conflict with the
+// checks, so each violation is a defect: it is counted in the metrics and logged.
 package invariant
 
 import (
@@ -16,28 +16,28 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// Rule names an invariant. Its violations are counted as violations.RULE in the operators' figures.
+// Rule is the name of an invariant. Its violations are counted in the metric violations.RULE.
 type Rule string
 
 // The invariants.
 const (
-	// RuleDrain: no call to an endpoint later than the grace after the sender was notified that it drains.
+	// RuleDrain forbids calls to an endpoint once the grace period after the notification that it drains has passed.
 	RuleDrain Rule = "drain"
-	// RuleRetryAfter: no call to a destination before the Retry-After that it sent is over.
+	// RuleRetryAfter forbids calls to a destination until the Retry-After that it sent has passed.
 	RuleRetryAfter Rule = "wait"
-	// RuleRepeat: no repeat that the message's class, or the window of its idempotency key, forbids.
+	// RuleRepeat forbids a repeat that the message's class, or the window of its idempotency key, does not allow.
 	RuleRepeat Rule = "repeat"
-	// RuleConcurrent: no two attempts of one message in flight at a time.
+	// RuleConcurrent forbids two concurrent attempts of one message.
 	RuleConcurrent Rule = "concurrent"
-	// RuleAnswer: no connection closed with a request that was read completely and not answered.
+	// RuleAnswer forbids closing a connection with a request that was read completely and has no answer.
 	RuleAnswer Rule = "answer"
-	// RulePromise: no promise of no effect whose record is not in the journal.
+	// RulePromise forbids telling a client that its message had no effect before the message's end is in the journal.
 	RulePromise Rule = "promise"
-	// RuleOwnership: no start without the lock on the state directory.
+	// RuleOwnership forbids starting without the lock on the state directory.
 	RuleOwnership Rule = "ownership"
 )
 
-// RuleNames are the names of all rules.
+// RuleNames returns the names of all rules.
 func RuleNames() []string {
 	return []string{
 		string(RuleDrain),
@@ -51,15 +51,15 @@
 }
 
 const (
-	// drainGrace is how long calls may go to an endpoint that the sender was notified to drain (protocol: 500 ms and
-	// 50 ms of slack).
+	// drainGrace is the period in which calls may still arrive at an endpoint after the sender was notified that it
+	// drains (the protocol allows 500 ms and 50 ms of slack).
 	drainGrace = 500 * time.Millisecond
-	// drainWriteGrace is how long calls may still be written once it is known that an endpoint drains. That is known
-	// up to 0.25 s after the agent has it (see package discovery), and a sender may be paused for 0.15 s before it
-	// writes.
+	// drainWriteGrace is the period in which calls may still be written after the sender learned that an endpoint
+	// drains. The sender learns it up to 0.25 s after the agent (see package discovery), and may be paused for 0.15 s
+	// before it writes.
 	drainWriteGrace = 100 * time.Millisecond
-	// retryAfterGrace is how long after a Retry-After came calls still pass: the protocol accepts those that arrive
-	// within 100 ms.
+	// retryAfterGrace is the period after receipt of a Retry-After in which calls may still be written: the protocol
+	// accepts those that arrive within 100 ms.
 	retryAfterGrace = 50 * time.Millisecond
 )
 
@@ -69,25 +69,25 @@
 	metrics *metrics.Registry
 
 	mu    sync.Mutex
-	waits map[Scope]waitSpan
+	waits map[Scope]waitSpan // the current Retry-After of each route
 }
 
-// Scope is what a Retry-After binds: a destination, or one endpoint where each has limits of its own.
+// Scope is the route that a Retry-After applies to: a destination, or one endpoint where each has limits of its own.
 type Scope struct {
 	Destination dispatch.DestinationID
-	Endpoint    dispatch.EndpointID // only with PerEndpoint
+	Endpoint    dispatch.EndpointID // set only with PerEndpoint
 	PerEndpoint bool
 }
 
-// waitSpan is the time of a Retry-After.
+// waitSpan is the period in which a Retry-After applies.
 type waitSpan struct{ from, until time.Time }
 
-// NewChecker makes a checker that counts violations in a registry.
+// NewChecker returns a checker that counts violations in registry.
 func NewChecker(log *slog.Logger, registry *metrics.Registry) *Checker {
 	return &Checker{log: log, metrics: registry, waits: map[Scope]waitSpan{}}
 }
 
-// ViolationError says why a call may not be written or a promise not be made.
+// ViolationError is the error of an action that an invariant forbids.
 type ViolationError struct {
 	Rule   Rule
 	Detail string
@@ -95,14 +95,15 @@
 
 func (e *ViolationError) Error() string { return fmt.Sprintf("rule %s: %s", e.Rule, e.Detail) }
 
-// violated counts and logs a violation and returns it as an error.
-func (c *Checker) violated(rule Rule, id, detail string) error {
+// recordViolation counts and logs a violation and returns it as an error.
+func (c *Checker) recordViolation(rule Rule, id, detail string) error {
 	c.metrics.CountReason(metrics.ReasonViolation, string(rule))
 	c.log.Error("rule violated", "rule", rule, "id", id, "detail", detail)
 	return &ViolationError{Rule: rule, Detail: detail}
 }
 
-// RetryAfterReceived notes a Retry-After, from the moment that the head of its response was read.
+// RetryAfterReceived stores a Retry-After. It is called when the head of the response has been read; the wait starts
+// then.
 func (c *Checker) RetryAfterReceived(scope Scope, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +118,7 @@
 	c.waits[scope] = span
 }
 
-// mustWait reports whether a Retry-After forbids calls to scope at a time.
+// mustWait reports whether a Retry-After forbids calls to scope at the time now.
 func (c *Checker) mustWait(scope Scope, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,19 +130,19 @@
 	return ok && now.After(span.from.Add(retryAfterGrace))
 }
 
-// SendPermit is what has to be known of a message before it is written to an endpoint.
+// SendPermit holds the facts about a message that decide whether it may be written to an endpoint.
 type SendPermit struct {
 	MessageID       string
 	MayHaveRun      bool      // an earlier attempt may have run
-	NonRepeatable   bool      // then it may not be sent again
-	RepeatableUntil time.Time // or only until then; the zero time for no bound
-	InFlight        int       // other attempts with it
+	NonRepeatable   bool      // if it may have run, it may not be sent again
+	RepeatableUntil time.Time // if it may have run, it may be sent again only until then; the zero time for no limit
+	InFlight        int       // number of its other attempts in flight
 }
 
-// Target is the endpoint that a call goes to.
+// Target is the endpoint that a call is made to.
 type Target struct {
 	ID        string
-	DrainedAt time.Time // since when it drains or is gone, the zero time while it serves
+	DrainedAt time.Time // when it began to drain or was removed, the zero time while it serves
 	Scope     Scope
 }
 
@@ -149,14 +150,14 @@
 func (c *Checker) CheckSend(to Target, permits []SendPermit) error {
 	now := time.Now()
 	if drainedFor := now.Sub(to.DrainedAt); !to.DrainedAt.IsZero() && drainedFor > drainWriteGrace {
-		const detail = "it drains or is gone"
+		const detail = "the endpoint drains or has been removed"
 		if drainedFor > drainGrace {
-			return c.violated(RuleDrain, to.ID, detail)
+			return c.recordViolation(RuleDrain, to.ID, detail)
 		}
-		return &ViolationError{Rule: RuleDrain, Detail: detail} // no defect: the call was under way
+		return &ViolationError{Rule: RuleDrain, Detail: detail} // not a defect: the call had already begun
 	}
 	if c.mustWait(to.Scope, now) {
-		return c.violated(RuleRetryAfter, to.ID, "its Retry-After is not over")
+		return c.recordViolation(RuleRetryAfter, to.ID, "the Retry-After of the endpoint or destination has not passed")
 	}
 	for _, permit := range permits {
 		if err := c.checkRepeat(permit, now); err != nil {
@@ -170,34 +171,34 @@
 func (c *Checker) checkRepeat(permit SendPermit, now time.Time) error {
 	switch {
 	case permit.InFlight > 0:
-		return c.violated(RuleConcurrent, permit.MessageID, "another attempt is in flight")
+		return c.recordViolation(RuleConcurrent, permit.MessageID, "another attempt is in flight")
 	case permit.MayHaveRun && permit.NonRepeatable:
-		return c.violated(RuleRepeat, permit.MessageID, "it may have run, and its class allows no repeat")
+		return c.recordViolation(RuleRepeat, permit.MessageID, "it may have run, and its class allows no repeat")
 	case permit.MayHaveRun && !permit.RepeatableUntil.IsZero() && !now.Before(permit.RepeatableUntil):
-		return c.violated(RuleRepeat, permit.MessageID, "its idempotency window may be over")
+		return c.recordViolation(RuleRepeat, permit.MessageID, "its idempotency window may have passed")
 	}
 	return nil
 }
 
-// CheckClose counts a client's connection that is closed, and a violation if a request on it has no answer.
+// CheckClose counts the close of a client's connection by its reason, and a violation if a request on it is unanswered.
 func (c *Checker) CheckClose(reason string, isUnanswered bool) {
 	c.metrics.CountReason(metrics.ReasonClosed, reason)
 	if isUnanswered {
-		_ = c.violated(RuleAnswer, "", "a connection is closed with a complete request and no answer")
+		_ = c.recordViolation(RuleAnswer, "", "a connection with a complete, unanswered request is closed")
 	}
 }
 
-// CheckPromise counts a violation if a message is promised to have had no effect although its end is not recorded: the
-// next process would send it.
+// CheckPromise counts a violation if a client is told that its message had no effect although the message's end is not
+// in the journal: the next process would send the message.
 func (c *Checker) CheckPromise(id string, isRecorded bool) {
 	if !isRecorded {
-		_ = c.violated(RulePromise, id, "its end is not in the journal")
+		_ = c.recordViolation(RulePromise, id, "the end of the message is not in the journal")
 	}
 }
 
-// CheckOwnership counts a start without the lock that makes this process the only one to own the journal.
+// CheckOwnership counts a violation if the process starts without the lock that makes it the only owner of the journal.
 func (c *Checker) CheckOwnership(isLocked bool) {
 	if !isLocked {
-		_ = c.violated(RuleOwnership, "", "the state directory is used without its lock")
+		_ = c.recordViolation(RuleOwnership, "", "the state directory is used without its lock")
 	}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -11,25 +11,25 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-func testChecker() (*Checker, *metrics.Registry) {
-	f := metrics.New(nil)
-	return NewChecker(slog.New(slog.DiscardHandler), f), f
+func newTestChecker() (*Checker, *metrics.Registry) {
+	registry := metrics.New(nil)
+	return NewChecker(slog.New(slog.DiscardHandler), registry), registry
 }
 
-// wantRule checks which rule an error names; "" for none.
+// wantRule checks that err is a violation of a rule, or nil if want is empty.
 func wantRule(t *testing.T, err error, want Rule) {
 	t.Helper()
 	var violation *ViolationError
 	errors.As(err, &violation)
 	switch {
 	case want == "" && err != nil:
-		t.Errorf("it is stopped: %v", err)
+		t.Errorf("unexpected violation: %v", err)
 	case want != "" && (violation == nil || violation.Rule != want):
-		t.Errorf("%v, want rule %s", err, want)
+		t.Errorf("error %v, want a violation of rule %s", err, want)
 	}
 }
 
-func TestCallsToDrainingAndWaitingEndpointsAreStopped(t *testing.T) {
+func TestCallsDuringDrainOrRetryAfterAreRejected(t *testing.T) {
 	t.Parallel()
 	shared := Scope{Destination: 3}
 	for name, c := range map[string]struct {
@@ -38,7 +38,7 @@
 		waitFor    time.Duration
 		waitedFor  time.Duration
 		want       Rule
-		isExpected bool // it is not counted as a violation
+		isExpected bool // the call is rejected, but not counted as a violation
 	}{
 		"serving":                       {},
 		"draining for a moment":         {drainedFor: drainWriteGrace / 2},
@@ -50,8 +50,8 @@
 			waitedFor: time.Second,
 			want:      RuleRetryAfter,
 		},
-		"Retry-After came just now": {scope: shared, waitFor: time.Minute},
-		"Retry-After is over":       {scope: shared, waitFor: time.Second, waitedFor: 2 * time.Second},
+		"Retry-After has just been received": {scope: shared, waitFor: time.Minute},
+		"Retry-After is over":                {scope: shared, waitFor: time.Second, waitedFor: 2 * time.Second},
 		"Retry-After of another destination": {
 			scope:     Scope{Destination: 4},
 			waitFor:   time.Minute,
@@ -63,35 +63,35 @@
 			waitedFor: time.Second,
 		},
 	} {
-		g, f := testChecker()
-		e := Target{ID: "e", Scope: shared}
+		checker, registry := newTestChecker()
+		target := Target{ID: "e", Scope: shared}
 		if c.drainedFor > 0 {
-			e.DrainedAt = time.Now().Add(-c.drainedFor)
+			target.DrainedAt = time.Now().Add(-c.drainedFor)
 		}
 		if c.waitFor > 0 {
 			from := time.Now().Add(-c.waitedFor)
-			g.waits[c.scope] = waitSpan{from, from.Add(c.waitFor)}
+			checker.waits[c.scope] = waitSpan{from, from.Add(c.waitFor)}
 		}
 		t.Run(name, func(t *testing.T) {
-			wantRule(t, g.CheckSend(e, nil), c.want)
+			wantRule(t, checker.CheckSend(target, nil), c.want)
 			want := uint64(1)
 			if c.want == "" || c.isExpected {
 				want = 0
 			}
-			if n := f.ReasonCount(metrics.ReasonViolation, string(c.want)); n != want {
-				t.Errorf("it is counted %d times, not %d", n, want)
+			if n := registry.ReasonCount(metrics.ReasonViolation, string(c.want)); n != want {
+				t.Errorf("%d violations are counted, want %d", n, want)
 			}
 		})
 	}
 }
 
-// The reasons are part of what operators read, and violations are listed also while there are none.
+// Operators read the counts of the reasons. Violations must be listed even while there are none.
 func TestDumpListsViolationsAtZero(t *testing.T) {
 	t.Parallel()
-	f := metrics.New([]string{"safe"}, RuleNames()...)
-	f.CountReason(metrics.ReasonRetried, "timed_out")
+	registry := metrics.New([]string{"safe"}, RuleNames()...)
+	registry.CountReason(metrics.ReasonRetried, "timed_out")
 	var out bytes.Buffer
-	f.Dump(&out)
+	registry.Dump(&out)
 	for _, line := range []string{"edge_edge.retried.timed_out=1\n", "edge_edge.violations.drain=0\n"} {
 		if !strings.Contains(out.String(), line) {
 			t.Errorf("%q is missing in %q", line, out.String())
