--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock is the clock that deadlines, idempotency windows and waits are measured by: steps of the wall clock do
-// not move it, and a new process continues the clock of the one before.
+// Package clock provides the clock that deadlines, idempotency windows and waits are measured by. Steps of the wall
+// clock do not affect it, and a new process continues the clock of its predecessor.
 //
-// A Clock owns no more than its offset from the machine's monotonic clock. The journal stores that as an Epoch and has
-// the clock of the next process follow it; the event loop, the HTTP server and the hand-over read the time.
+// The state of a Clock is its offset from the machine's monotonic clock. The journal stores the offset as an Epoch, and
+// the clock of the next process continues from it. The event loop, the HTTP server and the hand-over read the time.
 package clock
 
 import (
@@ -14,27 +14,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile holds an identifier that changes with each start of the machine.
+// bootIDFile is the file with an identifier that changes at each boot of the machine.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Clock is Unix time as the wall clock had it when the state directory was first used, and advances with the machine's
-// monotonic clock from there. The wall clock is read again only after a restart of the machine. It is safe for
-// concurrent use.
+// Clock measures Unix time. It starts at the wall clock's time when the state directory is first used, and advances
+// with the machine's monotonic clock from there. The wall clock is read again only after a reboot of the machine. A
+// Clock is safe for concurrent use.
 type Clock struct {
 	readAt time.Time     // when uptime was read
 	uptime time.Duration // the machine's monotonic clock at readAt, 0 if it cannot be read
-	bootID string        // identifies the machine's start; empty if it is unknown: then only the uptime is compared
-	offset atomic.Int64  // nanoseconds from the monotonic clock to this one
+	bootID string        // identifies the boot of the machine; empty if unknown: then only the uptime is compared
+	offset atomic.Int64  // nanoseconds to add to the monotonic clock
 }
 
-// Epoch is what another process needs to continue a clock. It is stored in the journal, so that its JSON never changes.
+// Epoch holds what another process needs to continue a clock. It is stored in the journal, so its JSON must not change.
 type Epoch struct {
-	Boot   string        `json:"boot"`   // identifies the machine's start
-	Offset time.Duration `json:"offset"` // from the machine's monotonic clock to the clock
+	Boot   string        `json:"boot"`   // identifies the boot of the machine
+	Offset time.Duration `json:"offset"` // to add to the machine's monotonic clock
 	Uptime time.Duration `json:"uptime"` // of the machine when this was written
 }
 
-// New starts a clock at a time of the wall clock.
+// New returns a clock that starts at the given time of the wall clock.
 func New(wall time.Time) *Clock {
 	c := &Clock{readAt: time.Now()}
 	var monotonic unix.Timespec
@@ -48,7 +48,7 @@
 	return c
 }
 
-// monotonic reads the machine's monotonic clock.
+// monotonic returns the time of the machine's monotonic clock.
 func (c *Clock) monotonic() time.Duration { return c.uptime + time.Since(c.readAt) }
 
 // Now returns the time since the Unix epoch.
@@ -59,7 +59,7 @@
 	return &Epoch{Boot: c.bootID, Offset: time.Duration(c.offset.Load()), Uptime: c.monotonic()}
 }
 
-// Follow continues the clock of an earlier process, unless the machine has been restarted since.
+// Follow makes c continue the clock of an earlier process, unless the machine has been rebooted since.
 func (c *Clock) Follow(e Epoch) {
 	if c.uptime > 0 && e.Uptime > 0 && e.Boot == c.bootID && e.Uptime <= c.monotonic() {
 		c.offset.Store(int64(e.Offset))
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -27,13 +27,13 @@
 			changed := entry
 			c.change(&changed)
 			if got := entry.EqualExceptWeight(changed); got != c.want {
-				t.Errorf("%v for %+v", got, changed)
+				t.Errorf("EqualExceptWeight returns %v for %+v", got, changed)
 			}
 		})
 	}
 }
 
-// The keys are those of the protocol, and of the journal's file, which outlives a release.
+// Guards against a change of the JSON keys: they are part of the protocol, and of journals that earlier releases wrote.
 func TestUpdateHasTheKeysOfTheProtocol(t *testing.T) {
 	t.Parallel()
 	const text = `{"version":7,"full":true,"servers":[` +
@@ -46,13 +46,13 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) || !got.Endpoints[0].IsDeleted() {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 	written, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(written) != text {
-		t.Errorf("%s, want %s", written, text)
+		t.Errorf("encoded %s, want %s", written, text)
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry repeats operations that the operating system refuses for a moment, and waits with a context.
+// Package retry retries operations that fail with transient errors of the operating system, and waits with a context.
 //
-// It owns no state. The sender uses it for everything that it needs from its machine: the state directory, sockets and
-// the configuration; the discovery client waits with it.
+// It has no state. The sender uses it for the state directory, sockets and the configuration; the discovery client uses
+// its waits.
 package retry
 
 import (
@@ -14,14 +14,14 @@
 )
 
 const (
-	// maxElapsed bounds the retries of one operation: a sender is expected to be ready within 30 s.
+	// maxElapsed is the maximum duration of the retries of one operation: a sender must be ready within 30 s.
 	maxElapsed     = 20 * time.Second
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 200 * time.Millisecond
 )
 
-// transientErrors are the errors of system calls whose cause may be gone a moment later: the machine is short of
-// something, or a signal, a device or the network interfered.
+// transientErrors are the errors of system calls that may succeed a moment later: the machine lacks a resource, or a
+// signal, a device or the network caused the failure.
 var transientErrors = []error{
 	syscall.EADDRINUSE,
 	syscall.EADDRNOTAVAIL,
@@ -40,7 +40,7 @@
 	syscall.ETIMEDOUT,
 }
 
-// IsTransient reports whether the cause of err may be gone a moment later.
+// IsTransient reports whether err is, or wraps, an error after which a retry may succeed.
 func IsTransient(err error) bool {
 	for _, transient := range transientErrors {
 		if errors.Is(err, transient) {
@@ -51,8 +51,8 @@
 }
 
 // OnTransient calls operation until it succeeds, fails with an error that is not transient, or has failed for 20 s. It
-// backs off exponentially between calls and gives up early when ctx ends. It returns the last error of operation; what
-// names the operation in the log.
+// backs off exponentially between calls and stops early when ctx ends. It returns the last error of operation. what is
+// the name of the operation in the log.
 func OnTransient(ctx context.Context, log *slog.Logger, what string, operation func() error) error {
 	began := time.Now()
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// WaitJittered waits for a random time between half of d and d, so that many senders do not act in step. It reports
-// false if ctx ended first.
+// WaitJittered waits for a random time between half of d and d, so that many senders do not act at the same moment. It
+// reports false if ctx ended first.
 func WaitJittered(ctx context.Context, d time.Duration) bool {
 	return Wait(ctx, d/2+rand.N(d/2+1))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -33,7 +33,7 @@
 		t.Run(fmt.Sprint(c.err), func(t *testing.T) {
 			t.Parallel()
 			if got := IsTransient(c.err); got != c.want {
-				t.Errorf("IsTransient reports %v", got)
+				t.Errorf("IsTransient returns %v", got)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 				return c.results[calls-1]
 			})
 			if !errors.Is(err, c.want) || calls != c.wantCalls {
-				t.Errorf("%d calls, want %d, and the error %v, want %v", calls, c.wantCalls, err, c.want)
+				t.Errorf("%d calls, want %d; error %v, want %v", calls, c.wantCalls, err, c.want)
 			}
 			if lines := strings.Count(log.String(), "\n"); lines != c.wantLines {
 				t.Errorf("the log has %d lines, want %d:\n%s", lines, c.wantLines, &log)
@@ -102,7 +102,7 @@
 	}
 	for i, want := range []time.Duration{initialBackoff, 2 * initialBackoff, 4 * initialBackoff} {
 		if got := calledAt[i+1].Sub(calledAt[i]); got < want {
-			t.Errorf("%v before call %d, want at least %v", got, i+1, want)
+			t.Errorf("waited %v before retry %d, want at least %v", got, i+1, want)
 		}
 	}
 }
@@ -121,15 +121,15 @@
 			t.Parallel()
 			started := time.Now()
 			if !c.wait(context.Background(), duration) {
-				t.Error("it reports that the context ended")
+				t.Error("the wait reports that the context ended")
 			}
 			if elapsed := time.Since(started); elapsed < c.minDuration {
-				t.Errorf("it returned after %v", elapsed)
+				t.Errorf("the wait returned after %v", elapsed)
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			if c.wait(ctx, time.Hour) {
-				t.Error("it reports that the context did not end")
+				t.Error("the wait reports that the context did not end")
 			}
 		})
 	}
