--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -11,30 +11,30 @@
 	"onyxdyke.example/onyxdyke/internal/simprotocol"
 )
 
-// Names of the load report's fields, as the settings list them.
+// Names of the load report's fields in the settings.
 const (
 	quotaLeftField = "x0"
 	rateLimitField = "x1"
 )
 
-// instance is one sender that the adapter hosts.
+// instance is one simulated sender.
 type instance struct {
 	number     uint16
 	dispatcher *dispatch.Dispatcher
 	classes    int // number of message classes
 
-	// Indexes of the two values in a load report, -1 if it lacks them.
+	// Indexes of the two values in a load report, -1 if the report does not contain them.
 	quotaLeftIndex int
 	rateLimitIndex int
 
-	events   []dispatch.Event // of the batch at hand
-	hasBatch bool             // the batch at hand has records for it
+	events   []dispatch.Event // events of the current batch
+	hasBatch bool             // whether the current batch has records for the instance
 }
 
-// host owns the instances and plays the simulator's batches to them.
+// host owns the instances and passes the simulator's batches to them.
 type host struct {
 	instances map[uint16]*instance
-	order     []*instance // those with records in the batch at hand, in order of their first
+	order     []*instance // the instances in the current batch, in the order of their first records
 	catalogs  map[uint32][]simprotocol.Node
 	reply     simprotocol.Reply
 }
@@ -43,8 +43,8 @@
 	return &host{instances: map[uint16]*instance{}, catalogs: map[uint32][]simprotocol.Node{}}
 }
 
-// round handles one batch; it reports false when the input has ended.
-func (h *host) round(r io.Reader, w io.Writer) (bool, error) {
+// handleBatch reads one batch and writes the reply to it. It reports false when the input has ended.
+func (h *host) handleBatch(r io.Reader, w io.Writer) (bool, error) {
 	batch, err := simprotocol.ReadBatch(r)
 	if errors.Is(err, io.EOF) {
 		return false, nil
@@ -60,16 +60,16 @@
 		}
 	}
 	now := settings.DurationFromMilliseconds(batch.Clock)
-	for _, in := range h.order {
-		if h.instances[in.number] == in { // it has not ended in this batch
-			h.step(in, now)
+	for _, inst := range h.order {
+		if h.instances[inst.number] == inst { // false if the instance ended in this batch
+			h.step(inst, now)
 		}
-		in.events, in.hasBatch = in.events[:0], false
+		inst.events, inst.hasBatch = inst.events[:0], false
 	}
 	return true, h.reply.Flush(w)
 }
 
-// handleRecord books one record with its instance.
+// handleRecord translates one record and adds it to the events of its instance.
 func (h *host) handleRecord(e *simprotocol.Event) error {
 	switch e.Code {
 	case simprotocol.CodeCatalog:
@@ -78,41 +78,41 @@
 	case simprotocol.CodeHello:
 		return h.startInstance(e)
 	}
-	in := h.instances[e.Instance]
-	if in == nil {
+	inst := h.instances[e.Instance]
+	if inst == nil {
 		return fmt.Errorf("instance %d is not running", e.Instance)
 	}
 	if e.Code == simprotocol.CodeExit {
 		delete(h.instances, e.Instance)
 		return nil
 	}
-	event, err := h.event(in, e)
+	event, err := h.translateEvent(inst, e)
 	if err != nil {
 		return err
 	}
-	h.markBatch(in)
+	h.addToBatch(inst)
 	if event != nil {
-		in.events = append(in.events, event)
+		inst.events = append(inst.events, event)
 	}
 	return nil
 }
 
-// markBatch lets an instance take part in the batch at hand.
-func (h *host) markBatch(in *instance) {
-	if !in.hasBatch {
-		in.hasBatch = true
-		h.order = append(h.order, in)
+// addToBatch includes an instance in the current batch.
+func (h *host) addToBatch(inst *instance) {
+	if !inst.hasBatch {
+		inst.hasBatch = true
+		h.order = append(h.order, inst)
 	}
 }
 
-// startInstance starts an instance, in place of the one of its number if there is one.
+// startInstance starts an instance. It replaces an earlier instance with the same number.
 func (h *host) startInstance(e *simprotocol.Event) error {
-	in, err := newInstance(e)
+	inst, err := newInstance(e)
 	if err != nil {
 		return err
 	}
-	h.instances[e.Instance] = in
-	h.markBatch(in)
+	h.instances[e.Instance] = inst
+	h.addToBatch(inst)
 	return nil
 }
 
@@ -122,30 +122,30 @@
 		return nil, err
 	}
 	s := settings.Translate(env)
-	in := &instance{number: e.Instance, classes: len(s.Classes), quotaLeftIndex: -1, rateLimitIndex: -1}
+	inst := &instance{number: e.Instance, classes: len(s.Classes), quotaLeftIndex: -1, rateLimitIndex: -1}
 	for i, name := range env.List("telemetry.fields") {
 		switch name {
 		case quotaLeftField:
-			in.quotaLeftIndex = i
+			inst.quotaLeftIndex = i
 		case rateLimitField:
-			in.rateLimitIndex = i
+			inst.rateLimitIndex = i
 		}
 	}
 	if err := env.Err(); err != nil {
 		return nil, err
 	}
-	in.dispatcher = dispatch.New(s, e.Nonce)
-	return in, nil
+	inst.dispatcher = dispatch.New(s, e.Nonce)
+	return inst, nil
 }
 
-// step runs the decision module and writes its actions; a panic in it becomes an internal_error.
-func (h *host) step(in *instance, now time.Duration) {
+// step runs one step of the dispatcher and writes its actions. A panic in the dispatcher becomes an internal_error.
+func (h *host) step(inst *instance, now time.Duration) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.InternalError(in.number, fmt.Sprint("panic in the decision module: ", p))
+			h.reply.InternalError(inst.number, fmt.Sprint("panic in the decision module: ", p))
 		}
 	}()
-	for _, action := range in.dispatcher.Step(now, in.events) {
-		h.writeAction(in.number, action)
+	for _, action := range inst.dispatcher.Step(now, inst.events) {
+		h.writeAction(inst.number, action)
 	}
 }
--- a/cmd/simadapter/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-func rec(code uint16, fields ...any) []byte {
+// newRecord returns a record with the given code and fields.
+func newRecord(code uint16, fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range fields {
 		if s, ok := f.(string); ok {
@@ -25,6 +26,7 @@
 	return append(out, b.Bytes()...)
 }
 
+// frame returns the frame of a batch with the given records.
 func frame(clock float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	out := binary.LittleEndian.AppendUint64(nil, math.Float64bits(clock))
@@ -40,18 +42,22 @@
 	"services.0.effect=read_like\nservices.0.worth=1\nservices.0.lateValue=0.5\n" +
 	"telemetry.fields=x0,x1\nsomething.new=1\n"
 
-func hello(i uint16, env string) []byte { return rec(1, i, uint64(9), uint32(len(env)), env) }
+// hello returns the record that starts an instance.
+func hello(i uint16, env string) []byte { return newRecord(1, i, uint64(9), uint32(len(env)), env) }
 
+// list returns a catalog with one endpoint and the record of an endpoint list that refers to it.
 func list(i uint16) []byte {
-	page := rec(11, uint32(2), uint32(1), uint16(0), uint32(70), float32(1), uint16(4), uint8(1), uint8(0), float64(0))
-	return append(page, rec(2, i, uint8(2), uint32(1), uint32(2))...)
+	page := newRecord(11, uint32(2), uint32(1),
+		uint16(0), uint32(70), float32(1), uint16(4), uint8(1), uint8(0), float64(0))
+	return append(page, newRecord(2, i, uint8(2), uint32(1), uint32(2))...)
 }
 
+// submit returns the record of a submitted message.
 func submit(i uint16, call uint64) []byte {
-	return rec(3, i, call, 0.0, uint16(0), uint64(0), uint8(0), float32(4), uint8(0), 9000.0)
+	return newRecord(3, i, call, 0.0, uint16(0), uint64(0), uint8(0), float32(4), uint8(0), 9000.0)
 }
 
-// join makes one batch of records; a list counts as two.
+// join returns the frame of a batch with all records of the parts. A part may hold several records, as list does.
 func join(clock float64, parts ...[]byte) []byte {
 	var all [][]byte
 	for _, p := range parts {
@@ -64,7 +70,7 @@
 	return frame(clock, all...)
 }
 
-// build makes the adapter once for a test.
+// build builds the adapter and returns the path of the program.
 func build(t *testing.T) string {
 	bin := filepath.Join(t.TempDir(), "simadapter")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -73,6 +79,7 @@
 	return bin
 }
 
+// reply reads one reply and returns the codes of its records and its body.
 func reply(t *testing.T, r io.Reader) (codes []uint16, body []byte) {
 	t.Helper()
 	var head [8]byte
@@ -87,7 +94,7 @@
 		codes = append(codes, binary.LittleEndian.Uint16(p))
 	}
 	if len(codes) != int(binary.LittleEndian.Uint32(head[4:])) {
-		t.Fatalf("%d records, the header says %d", len(codes), binary.LittleEndian.Uint32(head[4:]))
+		t.Fatalf("the reply has %d records, its header says %d", len(codes), binary.LittleEndian.Uint32(head[4:]))
 	}
 	return codes, body
 }
@@ -119,13 +126,13 @@
 	codes, body := reply(t, out)
 	if len(codes) < 2 || codes[0] != 1 ||
 		binary.LittleEndian.Uint64(body[8:]) != 5 || binary.LittleEndian.Uint32(body[24:]) != 70 {
-		t.Errorf("submit: %v %x", codes, body)
+		t.Errorf("reply to a submit: codes %v, body %x", codes, body)
 	}
 	write(join(1100,
-		rec(5, uint16(0), uint64(5), uint8(0), uint32(70), uint8(10), 100.0, uint8(1), uint32(0), uint8(0)),
-		rec(10, uint16(1)), hello(1, env), list(1), submit(1, 6)))
+		newRecord(5, uint16(0), uint64(5), uint8(0), uint32(70), uint8(10), 100.0, uint8(1), uint32(0), uint8(0)),
+		newRecord(10, uint16(1)), hello(1, env), list(1), submit(1, 6)))
 	if codes, body := reply(t, out); len(codes) < 1 || codes[0] != 1 || binary.LittleEndian.Uint16(body[6:]) != 1 {
-		t.Errorf("after a restart: %v", codes)
+		t.Errorf("reply after a restart of the instance: codes %v", codes)
 	}
 	if err := in.Close(); err != nil {
 		t.Errorf("close: %v", err)
@@ -141,7 +148,7 @@
 	then := func(record []byte) []byte { return append(good[:len(good):len(good)], join(1001, record)...) }
 	for name, c := range map[string]struct {
 		in   []byte
-		says string
+		want string // part of the error line
 	}{
 		"short frame":      {good[:20], "batch 0: frame body"},
 		"unknown instance": {join(1, submit(7, 1)), "instance 7 is not running"},
@@ -150,14 +157,18 @@
 			"setting services.0.giveUp",
 		},
 		"unknown class": {
-			then(rec(3, uint16(0), uint64(1), 0.0, uint16(0), uint64(0), uint8(3), float32(4), uint8(0), 9000.0)),
+			then(newRecord(3, uint16(0), uint64(1), 0.0, uint16(0), uint64(0), uint8(3), float32(4), uint8(0), 9000.0)),
 			"batch 1: record 0 at offset 0 (code 3): class 3",
 		},
 		"unknown result": {
-			then(rec(5, uint16(0), uint64(1), uint8(0), uint32(70), uint8(11), 1.0, uint8(0), uint32(0), uint8(0))),
+			then(newRecord(5, uint16(0), uint64(1), uint8(0), uint32(70),
+				uint8(11), 1.0, uint8(0), uint32(0), uint8(0))),
 			"result 11",
 		},
-		"list never sent": {join(1, hello(0, env), rec(2, uint16(0), uint8(2), uint32(1), uint32(9))), "catalog 9"},
+		"list never sent": {
+			join(1, hello(0, env), newRecord(2, uint16(0), uint8(2), uint32(1), uint32(9))),
+			"catalog 9",
+		},
 	} {
 		cmd := exec.Command(bin)
 		cmd.Stdin = bytes.NewReader(c.in)
@@ -165,8 +176,8 @@
 		cmd.Stderr = &errs
 		err := cmd.Run()
 		line := errs.String()
-		if err == nil || !strings.Contains(line, c.says) || strings.Count(line, "\n") != 1 {
-			t.Errorf("%s: %v: %q", name, err, line)
+		if err == nil || !strings.Contains(line, c.want) || strings.Count(line, "\n") != 1 {
+			t.Errorf("%s: exit %v, standard error %q", name, err, line)
 		}
 	}
 }
@@ -175,15 +186,15 @@
 	h := newHost()
 	in := bytes.NewReader(join(1000, hello(0, env), list(0)))
 	var out bytes.Buffer
-	if _, err := h.round(in, &out); err != nil {
+	if _, err := h.handleBatch(in, &out); err != nil {
 		t.Fatal(err)
 	}
 	h.instances[0].dispatcher = nil
 	out.Reset()
-	if _, err := h.round(bytes.NewReader(join(1001, submit(0, 1))), &out); err != nil {
+	if _, err := h.handleBatch(bytes.NewReader(join(1001, submit(0, 1))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if codes, _ := reply(t, &out); len(codes) != 1 || codes[0] != 10 {
-		t.Errorf("codes %v", codes)
+		t.Errorf("codes %v, want one internal_error", codes)
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter hosts instances of the decision module on the simulator's wire: batches come on standard
-// input, replies go to standard output. It translates and decides nothing. The deploy file names it as the
-// program that the simulator starts.
+// Command simadapter runs dispatchers for the simulator: it reads batches from standard input and writes replies to
+// standard output. It only translates between the two and makes no decisions. The deploy file names it as the program
+// that the simulator starts.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"os"
 )
 
-// bufferSize of the input and of the output, in bytes.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 16
 
 func main() {
@@ -20,13 +20,13 @@
 	}
 }
 
-// run plays batches until the input ends.
+// run handles batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
 	h := newHost()
 	for n := 0; ; n++ {
-		more, err := h.round(r, w)
+		more, err := h.handleBatch(r, w)
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
--- a/cmd/simadapter/translate.go
+++ b/cmd/simadapter/translate.go
@@ -12,13 +12,13 @@
 
 // Values of the simulator's protocol.
 const (
-	scopeChange  = 0 // of an endpoint list: a change
-	scopeFailed  = 3 // the request for it has failed; those between are full lists
-	nodeIsReady  = 1 // availability of an endpoint
-	noTimerLabel = 0 // timers carry no label
+	scopeChange  = 0 // scope of a change to the endpoint list
+	scopeFailed  = 3 // scope of a failed request for the endpoint list; the scopes between the two are full lists
+	nodeIsReady  = 1 // availability of a ready endpoint
+	noTimerLabel = 0 // timers have no labels here
 )
 
-// outcomes are the module's outcomes by the simulator's results.
+// outcomes maps the simulator's result codes to the dispatcher's outcomes.
 var outcomes = map[uint8]dispatch.Outcome{
 	10: dispatch.Served,
 	20: dispatch.Errored,
@@ -30,15 +30,15 @@
 	80: dispatch.NotSent,
 }
 
-// event translates one record; it is nil for those that the module has no use for.
-func (h *host) event(in *instance, e *simprotocol.Event) (dispatch.Event, error) {
+// translateEvent translates one record. It returns nil for records that the dispatcher does not use.
+func (h *host) translateEvent(inst *instance, e *simprotocol.Event) (dispatch.Event, error) {
 	switch e.Code {
 	case simprotocol.CodeDirectory:
 		return h.endpointListUpdate(e)
 	case simprotocol.CodeSubmit:
-		return in.message(e)
+		return inst.message(e)
 	case simprotocol.CodeEnd:
-		return in.attemptResult(e)
+		return inst.attemptResult(e)
 	case simprotocol.CodeGone:
 		return dispatch.MessageCancelled{Message: dispatch.MessageID(e.Call)}, nil
 	case simprotocol.CodeAlarm:
@@ -72,8 +72,8 @@
 	return update, nil
 }
 
-func (in *instance) message(e *simprotocol.Event) (dispatch.Event, error) {
-	if int(e.Priority) >= in.classes {
+func (inst *instance) message(e *simprotocol.Event) (dispatch.Event, error) {
+	if int(e.Priority) >= inst.classes {
 		return nil, fmt.Errorf("class %d is not among the settings", e.Priority)
 	}
 	if e.FarEnd < 0 || e.FarEnd > math.MaxUint16 {
@@ -89,7 +89,7 @@
 	}, nil
 }
 
-func (in *instance) attemptResult(e *simprotocol.Event) (dispatch.Event, error) {
+func (inst *instance) attemptResult(e *simprotocol.Event) (dispatch.Event, error) {
 	outcome, ok := outcomes[e.Result]
 	if !ok {
 		return nil, fmt.Errorf("result %d is unknown", e.Result)
@@ -105,16 +105,16 @@
 	if outcome == dispatch.Rejected {
 		result.RetryAfter = time.Duration(e.WaitMs) * time.Millisecond
 	}
-	if in.quotaLeftIndex >= 0 && in.quotaLeftIndex < len(e.Report) {
-		result.HasLoadReport, result.QuotaLeft = true, float64(e.Report[in.quotaLeftIndex])
+	if inst.quotaLeftIndex >= 0 && inst.quotaLeftIndex < len(e.Report) {
+		result.HasLoadReport, result.QuotaLeft = true, float64(e.Report[inst.quotaLeftIndex])
 	}
-	if in.rateLimitIndex >= 0 && in.rateLimitIndex < len(e.Report) {
-		result.RateLimit = float64(e.Report[in.rateLimitIndex])
+	if inst.rateLimitIndex >= 0 && inst.rateLimitIndex < len(e.Report) {
+		result.RateLimit = float64(e.Report[inst.rateLimitIndex])
 	}
 	return result, nil
 }
 
-// writeAction translates one action of an instance. The simulator has no use for those that are left out.
+// writeAction translates one action of an instance. It ignores actions that the simulator does not support.
 func (h *host) writeAction(instance uint16, action dispatch.Action) {
 	switch a := action.(type) {
 	case dispatch.Send:
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,6 +1,6 @@
-// Command soak plays many senders as real processes under overlapping faults, and judges them by the protocol's
-// invariants. Each seed is a plan of its own; a run takes its load's time and some seconds more. It exits with 1 if an
-// invariant was violated or a run could not be played.
+// Command soak runs many senders as processes under overlapping faults and checks the invariants of the protocol. Each
+// seed gives a different plan of faults. A run takes the duration of its load and a few seconds more. The command exits
+// with 1 if an invariant was violated or a run could not be carried out.
 package main
 
 import (
@@ -21,9 +21,9 @@
 )
 
 const (
-	// senderVariable makes this program one of the senders.
+	// senderVariable is the environment variable that makes this program run as one of the senders.
 	senderVariable = "SOAK_SENDER"
-	// maxPrinted is how many violations of one rule are printed.
+	// maxPrinted is the maximum number of violations of one rule that are printed.
 	maxPrinted = 20
 )
 
@@ -45,11 +45,11 @@
 	}
 }
 
-// commandLine is what the options say.
+// commandLine holds the values of the flags.
 type commandLine struct {
 	firstSeed uint64
 	seeds     int
-	parallel  int // seeds side by side
+	parallel  int // number of seeds that run concurrently
 	directory string
 	verbose   bool
 	options   emulator.Options
@@ -60,18 +60,18 @@
 	var faults []string
 	set := pflag.NewFlagSet("soak", pflag.ContinueOnError)
 	set.Uint64Var(&c.firstSeed, "seed", 1, "the first seed")
-	set.IntVar(&c.seeds, "seeds", 1, "how many seeds, one after another")
-	set.IntVar(&c.parallel, "parallel", 1, "how many of them side by side")
-	set.IntVar(&c.options.Senders, "senders", 24, "processes")
-	set.IntVar(&c.options.Destinations, "destinations", 6, "destinations, each with two endpoints")
-	set.Float64Var(&c.options.Rate, "rate", 8, "messages per second for each sender")
+	set.IntVar(&c.seeds, "seeds", 1, "number of consecutive seeds")
+	set.IntVar(&c.parallel, "parallel", 1, "number of seeds that run concurrently")
+	set.IntVar(&c.options.Senders, "senders", 24, "number of sender processes")
+	set.IntVar(&c.options.Destinations, "destinations", 6, "number of destinations, each with two endpoints")
+	set.Float64Var(&c.options.Rate, "rate", 8, "messages per second to each sender")
 	set.DurationVar(&c.options.LoadDuration, "load", 20*time.Second, "how long messages are submitted")
-	set.BoolVar(&c.options.PollsEndpointList, "on-request", false, "endpoint lists are polled, and not pushed")
-	set.DurationVar(&c.options.Tolerance, "tolerance", 150*time.Millisecond, "for delays of the machine itself")
-	set.StringSliceVar(&faults, "faults", nil, "kinds of faults to draw from, all if empty")
-	set.StringVar(&c.directory, "folder", "", "keeps states and logs there; otherwise they are removed")
-	set.BoolVar(&c.verbose, "verbose", false, "prints the plan")
-	set.SetNormalizeFunc(presentOptionName)
+	set.BoolVar(&c.options.PollsEndpointList, "on-request", false, "endpoint lists are polled instead of pushed")
+	set.DurationVar(&c.options.Tolerance, "tolerance", 150*time.Millisecond, "allowance for delays of the machine")
+	set.StringSliceVar(&faults, "faults", nil, "kinds of faults to choose from, all if empty")
+	set.StringVar(&c.directory, "folder", "", "directory for states and logs; if empty, they are removed after the run")
+	set.BoolVar(&c.verbose, "verbose", false, "print the plan of faults")
+	set.SetNormalizeFunc(currentFlagName)
 	if err := set.Parse(args); err != nil {
 		return nil, err
 	}
@@ -83,15 +83,15 @@
 	return c, nil
 }
 
-// presentOptionName is the name of an option that may be given by its former one.
-func presentOptionName(_ *pflag.FlagSet, name string) pflag.NormalizedName {
+// currentFlagName returns the current name of a flag that may be given by its former name.
+func currentFlagName(_ *pflag.FlagSet, name string) pflag.NormalizedName {
 	if name == "troubles" {
 		name = "faults"
 	}
 	return pflag.NormalizedName(name)
 }
 
-// parseFaultKinds is the kinds with some names, present or former; all for no names.
+// parseFaultKinds returns the kinds of faults with the given names, current or former, or all kinds if names is empty.
 func parseFaultKinds(names []string) ([]emulator.FaultKind, error) {
 	if len(names) == 0 {
 		return emulator.AllFaultKinds, nil
@@ -107,7 +107,7 @@
 	return kinds, nil
 }
 
-// run plays the seeds and prints a report of each, in order.
+// run runs the seeds and prints a report of each, in order.
 func run(args []string, out io.Writer) error {
 	c, err := parse(args)
 	if err != nil {
@@ -118,19 +118,20 @@
 		if directory, err = os.MkdirTemp("", "soak"); err != nil {
 			return err
 		}
-		defer func() { _ = os.RemoveAll(directory) }() // what stays is in the system's temporary directory
+		defer func() { _ = os.RemoveAll(directory) }() // files that cannot be removed stay in the temporary directory
 	}
 	return printOutcomes(out, c.startSeeds(directory))
 }
 
-// outcome is how the run of one seed ended.
+// outcome is the result of the run of one seed.
 type outcome struct {
-	report      string
-	hasViolated bool
-	err         error // what kept it from being played
+	report        string
+	hasViolations bool
+	err           error // why the run could not be carried out
 }
 
-// startSeeds plays the seeds in goroutines, so many side by side, and gives a channel for the outcome of each.
+// startSeeds starts the runs of all seeds in goroutines, at most c.parallel of them concurrently, and returns a channel
+// for the outcome of each.
 func (c *commandLine) startSeeds(directory string) []chan outcome {
 	outcomes := make([]chan outcome, c.seeds)
 	slots := make(chan struct{}, max(1, c.parallel))
@@ -139,29 +140,29 @@
 		go func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			outcomes[n] <- c.playSeed(c.firstSeed+uint64(n), directory)
+			outcomes[n] <- c.runSeed(c.firstSeed+uint64(n), directory)
 		}()
 	}
 	return outcomes
 }
 
-// playSeed plays one run.
-func (c *commandLine) playSeed(seed uint64, directory string) outcome {
+// runSeed runs one seed.
+func (c *commandLine) runSeed(seed uint64, directory string) outcome {
 	o := c.options
 	o.Seed = seed
 	o.Directory = filepath.Join(directory, fmt.Sprint("seed", seed))
 	o.Command = emulator.Command{Path: os.Args[0], Env: []string{senderVariable + "=1"}}
-	if err := os.RemoveAll(o.Directory); err != nil { // of an earlier run
+	if err := os.RemoveAll(o.Directory); err != nil { // removes the files of an earlier run
 		return outcome{err: err}
 	}
 	report, err := emulator.Run(o)
 	if err != nil {
 		return outcome{err: fmt.Errorf("seed %d: %w", seed, err)}
 	}
-	return outcome{report: describe(seed, report, c.verbose), hasViolated: len(report.Violations) > 0}
+	return outcome{report: describe(seed, report, c.verbose), hasViolations: len(report.Violations) > 0}
 }
 
-// printOutcomes prints the reports in order of the seeds. It stops at the first run that could not be played.
+// printOutcomes prints the reports in order of the seeds. It stops at the first run that could not be carried out.
 func printOutcomes(out io.Writer, outcomes []chan outcome) error {
 	var failed error
 	for _, done := range outcomes {
@@ -172,14 +173,14 @@
 		if _, err := io.WriteString(out, o.report); err != nil {
 			return fmt.Errorf("print report: %w", err)
 		}
-		if o.hasViolated {
+		if o.hasViolations {
 			failed = errViolations
 		}
 	}
 	return failed
 }
 
-// describe is the report of one run as text.
+// describe returns the report of one run as text.
 func describe(seed uint64, r *emulator.Report, withPlan bool) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d violations; delivery ms: half within %d, 99%% within %d\n",
--- a/cmd/soak/main_test.go
+++ b/cmd/soak/main_test.go
@@ -7,7 +7,8 @@
 	"onyxdyke.example/onyxdyke/internal/emulator"
 )
 
-// The kinds of faults are chosen by --faults or its former name, and by present or former names of kinds.
+// Guards against scripts that stop working: kinds of faults can be given by --faults or its former name --troubles, and
+// by the current or former names of the kinds.
 func TestParseFaultKinds(t *testing.T) {
 	t.Parallel()
 	two := []emulator.FaultKind{emulator.SendersPaused, emulator.DiskFull}
@@ -16,7 +17,7 @@
 		want []emulator.FaultKind
 	}{
 		"all by default":          {nil, emulator.AllFaultKinds},
-		"present names":           {[]string{"--faults", "senders are paused,disks are full"}, two},
+		"current names":           {[]string{"--faults", "senders are paused,disks are full"}, two},
 		"former name of the kind": {[]string{"--faults", "senders are held up,disks are full"}, two},
 		"former names":            {[]string{"--troubles=senders are held up,disks are full"}, two},
 		"given twice":             {[]string{"--faults=senders are paused", "--troubles=disks are full"}, two},
@@ -28,7 +29,7 @@
 				t.Fatal(err)
 			}
 			if !slices.Equal(line.options.FaultKinds, c.want) {
-				t.Errorf("%v are read as %v, want %v", c.args, line.options.FaultKinds, c.want)
+				t.Errorf("%v are parsed as %v, want %v", c.args, line.options.FaultKinds, c.want)
 			}
 		})
 	}
