--- a/cmd/sender/main.go
+++ b/cmd/sender/main.go
@@ -1,5 +1,5 @@
-// Command sender is the real sender: it reads its configuration, listens, and serves until SIGTERM. SIGHUP
-// makes it read the configuration again.
+// Command sender runs one message sender: it reads its configuration, accepts messages of clients and delivers them
+// until SIGTERM. SIGHUP makes it read the configuration again.
 package main
 
 import (
@@ -9,7 +9,7 @@
 )
 
 func main() {
-	if sender.RunProcess(sender.OperatingSystem()) != nil { // it has logged why
+	if sender.RunProcess(sender.OperatingSystem()) != nil { // RunProcess has logged the error
 		os.Exit(1)
 	}
 }
--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -19,7 +19,7 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// TestMain is the sender itself when a test starts it as a process of its own.
+// TestMain runs the sender instead of the tests if a test has started this program as a sender's process.
 func TestMain(m *testing.M) {
 	if os.Getenv("SENDER_TEST_CHILD") != "" {
 		main()
@@ -28,25 +28,25 @@
 	os.Exit(m.Run())
 }
 
-// process is a sender that can be killed.
+// process is a sender that runs as a process of its own, so that a test can kill it.
 type process struct {
 	*exec.Cmd
 	addr   string
 	config string
 }
 
-// reload replaces the configuration's file and sends SIGHUP.
-func (c *process) reload(t *testing.T, text []byte) {
+// reload replaces the configuration file and sends SIGHUP.
+func (p *process) reload(t *testing.T, text []byte) {
 	t.Helper()
-	if err := os.WriteFile(c.config, text, 0o600); err != nil {
+	if err := os.WriteFile(p.config, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Process.Signal(syscall.SIGHUP); err != nil {
+	if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// freeAddr is an address that nobody listens on.
+// freeAddr returns an address on which no process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,17 +58,18 @@
 }
 
 // start runs a sender and waits until it is ready.
-func start(t *testing.T, p *st.Agent, state string) *process {
+func start(t *testing.T, agent *st.Agent, state string) *process {
 	t.Helper()
-	c := launch(t, p, state, freeAddr(t), nil)
-	c.waitReady(t)
-	return c
+	p := launch(t, agent, state, freeAddr(t), nil)
+	p.waitReady(t)
+	return p
 }
 
-func (c *process) waitReady(t *testing.T) {
+// waitReady waits until the sender reports that it is ready.
+func (p *process) waitReady(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(st.Timeout); ; time.Sleep(10 * time.Millisecond) {
-		resp, err := http.Get("http://" + c.addr + "/-/ready")
+		resp, err := http.Get("http://" + p.addr + "/-/ready")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -76,12 +77,12 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("the sender does not become ready")
+			t.Fatal("the sender is not ready in time")
 		}
 	}
 }
 
-// passedSocket is a clients' socket that the platform holds: each process inherits it.
+// passedSocket returns a listening socket for clients, as the platform holds one: each process inherits it.
 func passedSocket(t *testing.T) (addr string, socket *os.File) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,49 +97,49 @@
 	return l.Addr().String(), socket
 }
 
-// startBeside runs a sender on a socket that it inherits and waits until HEALTH says ok.
-func startBeside(t *testing.T, p *st.Agent, state, addr string, socket *os.File) *process {
+// startOnSocket runs a sender on a socket that it inherits and waits until HEALTH returns ok.
+func startOnSocket(t *testing.T, agent *st.Agent, state, addr string, socket *os.File) *process {
 	t.Helper()
 	admin := freeAddr(t)
-	c := launch(t, p, state, addr, socket, "EDGE_PASSED_SOCKET=3", "EDGE_ADMIN_ADDR="+admin)
+	p := launch(t, agent, state, addr, socket, "EDGE_PASSED_SOCKET=3", "EDGE_ADMIN_ADDR="+admin)
 	for end := time.Now().Add(st.Timeout); ; time.Sleep(10 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", admin); err == nil {
 			_, _ = io.WriteString(conn, "HEALTH\n")
 			reply, _ := io.ReadAll(conn)
 			_ = conn.Close()
 			if string(reply) == "ok\n" {
-				return c
+				return p
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("the sender does not become healthy")
+			t.Fatal("the sender is not healthy in time")
 		}
 	}
 }
 
 // launch starts a sender's process.
-func launch(t *testing.T, p *st.Agent, state, addr string, socket *os.File, env ...string) *process {
+func launch(t *testing.T, agent *st.Agent, state, addr string, socket *os.File, env ...string) *process {
 	t.Helper()
-	return launchLogging(t, p, state, addr, socket, os.Stderr, env...)
+	return launchLogging(t, agent, state, addr, socket, os.Stderr, env...)
 }
 
-// launchLogging starts a sender's process whose log goes to a file.
-func launchLogging(t *testing.T, p *st.Agent, state, addr string, socket, log *os.File, env ...string) *process {
+// launchLogging starts a sender's process that writes its log to a file.
+func launchLogging(t *testing.T, agent *st.Agent, state, addr string, socket, log *os.File, env ...string) *process {
 	t.Helper()
-	return launchProgram(t, os.Args[0], p, state, addr, socket, log, env...)
+	return launchProgram(t, os.Args[0], agent, state, addr, socket, log, env...)
 }
 
-// launchProgram starts a process of a given program.
+// launchProgram starts a sender's process from the given program.
 func launchProgram(
 	t *testing.T,
 	program string,
-	p *st.Agent,
+	agent *st.Agent,
 	state, addr string,
 	socket, log *os.File,
 	env ...string,
 ) *process {
 	t.Helper()
-	raw, err := json.Marshal(st.Config(p, state))
+	raw, err := json.Marshal(st.Config(agent, state))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,8 +147,8 @@
 	if err := os.WriteFile(config, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := &process{exec.Command(program), addr, config}
-	c.Env = append(
+	p := &process{exec.Command(program), addr, config}
+	p.Env = append(
 		os.Environ(),
 		"SENDER_TEST_CHILD=1",
 		"GORACE=atexit_sleep_ms=0",
@@ -155,50 +156,52 @@
 		"EDGE_LISTEN="+addr,
 		"EDGE_STATE="+state,
 	)
-	c.Env = append(c.Env, env...)
+	p.Env = append(p.Env, env...)
 	if socket != nil {
-		c.ExtraFiles = []*os.File{socket}
+		p.ExtraFiles = []*os.File{socket}
 	}
-	c.Stderr = log
-	if err := c.Start(); err != nil {
+	p.Stderr = log
+	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = c.Process.Kill() // it may have ended
-		_ = c.Wait()
+		_ = p.Process.Kill() // it may have ended
+		_ = p.Wait()
 	})
-	return c
+	return p
 }
 
-// Accepted messages outlive a kill: a message whose call was in flight is sent again with its id, key and body where
-// its class allows a repeat, and ends by a notice where it does not. What was delivered stays so.
-func TestMessagesOutliveAKill(t *testing.T) {
+// Guards against accepted messages that are lost or delivered twice when the sender is killed. The next process must
+// send a message whose call was in flight again, with the same id, key and body, if its class allows a repeat, and else
+// end it by a notice. It must not send delivered messages again.
+func TestMessagesSurviveAKill(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Hang)
 	good := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, good.Addr, silent.Addr, silent.Addr)
+	agent := st.NewAgent(t, good.Addr, silent.Addr, silent.Addr)
 	state := t.TempDir()
-	s := start(t, p, state)
-	st.Submit(t, s.addr, "done", "unsafe", 0, 15*time.Second)
+	sender := start(t, agent, state)
+	st.Submit(t, sender.addr, "done", "unsafe", 0, 15*time.Second)
 	good.Next(t)
-	st.Submit(t, s.addr, "keyed", "keyed", 1, 15*time.Second)
+	st.Submit(t, sender.addr, "keyed", "keyed", 1, 15*time.Second)
 	first := silent.Next(t)
-	st.Submit(t, s.addr, "unsafe", "unsafe", 2, 15*time.Second)
+	st.Submit(t, sender.addr, "unsafe", "unsafe", 2, 15*time.Second)
 	silent.Next(t)
-	// The answer to "done" is read by the sender in its own time: its end shows in a second message.
-	st.Submit(t, s.addr, "done-2", "unsafe", 0, 15*time.Second)
+	// The test cannot see when the sender has read the response to "done", so it waits for two delivered messages in
+	// the journal: "done" and "done-2".
+	st.Submit(t, sender.addr, "done-2", "unsafe", 0, 15*time.Second)
 	good.Next(t)
-	waitFor(t, filepath.Join(state, "messages.journal"), 2, `"how":"delivered"`)
-	_ = s.Process.Kill()
-	_ = s.Wait()
+	waitForText(t, filepath.Join(state, "messages.journal"), 2, `"how":"delivered"`)
+	_ = sender.Process.Kill()
+	_ = sender.Wait()
 
-	again := st.NewEndpoint(t, st.Status(200))
-	p.Change(st.Server("s-1", again.Addr, 1, "SERVING"))
-	start(t, p, state)
-	if c := again.Next(t); c.ID != "keyed" || c.Key != first.Key || c.Body != first.Body {
-		t.Errorf("resumed as %+v, was %+v", c, first)
+	replacement := st.NewEndpoint(t, st.Status(200))
+	agent.Change(st.Server("s-1", replacement.Addr, 1, "SERVING"))
+	start(t, agent, state)
+	if c := replacement.Next(t); c.ID != "keyed" || c.Key != first.Key || c.Body != first.Body {
+		t.Errorf("sent again as %+v, first sent as %+v", c, first)
 	}
-	if n := st.Receive(t, p.Notices); n.Message != "unsafe" || n.Outcome != "given_up" {
-		t.Errorf("notice %+v", n)
+	if n := st.Receive(t, agent.Notices); n.Message != "unsafe" || n.Outcome != "given_up" {
+		t.Errorf("unexpected notice %+v", n)
 	}
 	select {
 	case c := <-good.Calls:
@@ -207,8 +210,8 @@
 	}
 }
 
-// waitFor waits until a text stands so often in a file.
-func waitFor(t *testing.T, file string, times int, text string) {
+// waitForText waits until a file contains a text the given number of times.
+func waitForText(t *testing.T, file string, times int, text string) {
 	t.Helper()
 	for end := time.Now().Add(st.Timeout); ; time.Sleep(5 * time.Millisecond) {
 		raw, _ := os.ReadFile(file)
@@ -222,32 +225,33 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s holds %q %d times", file, text, n)
+			t.Fatalf("%s contains %q only %d times", file, text, n)
 		}
 	}
 }
 
-// After SIGTERM new clients are still served, on connections that end with the response; the process ends by itself in
-// time, and what is not done is done by the next one.
+// Guards against requests that are refused, and messages that are lost, after SIGTERM. Clients still connect then,
+// and must be served on connections that are closed with the response. The process must exit by itself in time, and
+// the next process must deliver the message that is still in flight.
 func TestRequestsAreServedDuringTheGracePeriod(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Hang)
 	good := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, good.Addr, silent.Addr)
+	agent := st.NewAgent(t, good.Addr, silent.Addr)
 	state := t.TempDir()
-	s := start(t, p, state)
-	st.Submit(t, s.addr, "slow", "keyed", 1, 15*time.Second)
+	sender := start(t, agent, state)
+	st.Submit(t, sender.addr, "slow", "keyed", 1, 15*time.Second)
 	silent.Next(t)
 	began := time.Now()
-	if err := s.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := sender.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	// Clients come on fresh connections for a while yet, and each gets its answer.
+	// Clients still open new connections for a while, and each must get its response.
 	closes := 0
 	for n := 0; time.Since(began) < time.Second; n++ {
-		r := st.Request(t, s.addr, "late"+strconv.Itoa(n), "keyed", 0, 15*time.Second, "late")
+		r := st.Request(t, sender.addr, "late"+strconv.Itoa(n), "keyed", 0, 15*time.Second, "late")
 		resp, body := st.Do(t, r)
 		if resp.StatusCode != http.StatusAccepted {
-			t.Fatalf("after SIGTERM: %s %s", resp.Status, body)
+			t.Fatalf("response after SIGTERM: %s %s", resp.Status, body)
 		}
 		good.Next(t)
 		if resp.Close {
@@ -256,35 +260,36 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if closes == 0 {
-		t.Error("connections are kept after SIGTERM")
+		t.Error("connections are kept open after SIGTERM")
 	}
-	if err := s.Wait(); err != nil {
-		t.Errorf("it leaves with %v", err)
+	if err := sender.Wait(); err != nil {
+		t.Errorf("the sender exits with %v", err)
 	}
 	if took := time.Since(began); took > 3700*time.Millisecond {
-		t.Errorf("it left after %v", took)
+		t.Errorf("the sender exited only after %v", took)
 	}
-	again := st.NewEndpoint(t, st.Status(200))
-	p.Change(st.Server("s-1", again.Addr, 1, "SERVING"))
-	start(t, p, state)
-	if c := again.Next(t); c.ID != "slow" {
-		t.Errorf("resumed %+v", c)
+	replacement := st.NewEndpoint(t, st.Status(200))
+	agent.Change(st.Server("s-1", replacement.Addr, 1, "SERVING"))
+	start(t, agent, state)
+	if c := replacement.Next(t); c.ID != "slow" {
+		t.Errorf("the next process sent %+v, want message slow", c)
 	}
 }
 
-// A second process is started beside the first, and a third beside that; the platform holds the clients' socket.
-// Clients that connect for each request are served at any moment, whether the predecessor ends on SIGTERM or is
-// killed, and what it had in flight is sent again only once it is gone.
-func TestUpgradesByProcessesLoseNothing(t *testing.T) {
+// Guards against messages that are lost or refused in an upgrade. A second process is started while the first runs, and
+// a third while the second runs; the platform holds the clients' socket. Clients that open a connection for each
+// request must be served at any time, whether the predecessor exits on SIGTERM or is killed. A call that the
+// predecessor has in flight must be made again only once the predecessor has exited.
+func TestUpgradesLoseNoMessages(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Hang)
 	good := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, good.Addr, silent.Addr)
+	agent := st.NewAgent(t, good.Addr, silent.Addr)
 	state := t.TempDir()
 	addr, socket := passedSocket(t)
 
-	stop, stopped, taken := make(chan struct{}), make(chan struct{}), 0
-	var between sync.Mutex // held while a request is under way: a kill cuts off those on the dead one's connections
-	one := startBeside(t, p, state, addr, socket)
+	stop, stopped, accepted := make(chan struct{}), make(chan struct{}), 0
+	var requestMutex sync.Mutex // held during a request, as a kill would break it
+	first := startOnSocket(t, agent, state, addr, socket)
 	client := &http.Client{Timeout: st.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	go func() {
 		defer close(stopped)
@@ -294,42 +299,42 @@
 				return
 			default:
 			}
-			between.Lock()
-			resp, err := client.Do(st.Request(t, addr, "m"+strconv.Itoa(taken), "unsafe", 0, 15*time.Second, "x"))
+			requestMutex.Lock()
+			resp, err := client.Do(st.Request(t, addr, "m"+strconv.Itoa(accepted), "unsafe", 0, 15*time.Second, "x"))
 			if err != nil {
-				t.Errorf("message %d: %v", taken, err)
-				between.Unlock()
+				t.Errorf("message %d is not answered: %v", accepted, err)
+				requestMutex.Unlock()
 				return
 			}
 			_ = resp.Body.Close()
-			between.Unlock()
+			requestMutex.Unlock()
 			if resp.StatusCode != http.StatusAccepted {
-				t.Errorf("message %d: %s", taken, resp.Status)
+				t.Errorf("message %d is answered %s", accepted, resp.Status)
 				return
 			}
-			taken++
+			accepted++
 			<-good.Calls
 		}
 	}()
 	st.Submit(t, addr, "out", "safe", 1, 15*time.Second)
 	silent.Next(t)
-	two := startBeside(t, p, state, addr, socket)
-	if err := one.Process.Signal(syscall.SIGTERM); err != nil {
+	second := startOnSocket(t, agent, state, addr, socket)
+	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := one.Wait(); err != nil {
-		t.Errorf("the first leaves with %v", err)
+	if err := first.Wait(); err != nil {
+		t.Errorf("the first process exits with %v", err)
 	}
 	if c := silent.Next(t); c.ID != "out" {
-		t.Errorf("sent again: %+v", c)
+		t.Errorf("the second process sent %+v, want message out", c)
 	}
-	startBeside(t, p, state, addr, socket)
-	between.Lock()
-	_ = two.Process.Kill()
-	_ = two.Wait()
-	between.Unlock()
+	startOnSocket(t, agent, state, addr, socket)
+	requestMutex.Lock()
+	_ = second.Process.Kill()
+	_ = second.Wait()
+	requestMutex.Unlock()
 	if c := silent.Next(t); c.ID != "out" {
-		t.Errorf("sent again: %+v", c)
+		t.Errorf("the third process sent %+v, want message out", c)
 	}
 	close(stop)
 	<-stopped
@@ -339,48 +344,48 @@
 	}
 }
 
-// SIGHUP moves the sender to the platform's new address, for the endpoint list and for notices. An invalid file is a
-// line in the log and nothing more.
-func TestSIGHUPMovesThePlatform(t *testing.T) {
-	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, old.Addr)
-	s := start(t, p, t.TempDir())
+// Guards against a reload that is not applied completely: after SIGHUP the sender must use the platform's new address
+// both for the endpoint list and for notices. An invalid file must change nothing; it is only logged.
+func TestSIGHUPChangesThePlatformAddress(t *testing.T) {
+	oldEndpoint, newEndpoint := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	agent := st.NewAgent(t, oldEndpoint.Addr)
+	sender := start(t, agent, t.TempDir())
 	for _, bad := range []string{"", "{", `{"discovery":"nowhere","settings":{}}`, `{"discovery":5}`} {
-		s.reload(t, []byte(bad))
+		sender.reload(t, []byte(bad))
 	}
-	st.Submit(t, s.addr, "a", "keyed", 0, 15*time.Second)
-	if c := old.Next(t); c.ID != "a" {
+	st.Submit(t, sender.addr, "a", "keyed", 0, 15*time.Second)
+	if c := oldEndpoint.Next(t); c.ID != "a" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
-	moved := st.NewAgent(t, other.Addr)
-	p.RejectNotices(true)
-	raw, err := json.Marshal(st.Config(moved, ""))
+	newAgent := st.NewAgent(t, newEndpoint.Addr)
+	agent.RejectNotices(true)
+	raw, err := json.Marshal(st.Config(newAgent, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.reload(t, raw)
-	for st.Receive(t, moved.ListRequests) != "" { // the full list, and then
+	sender.reload(t, raw)
+	for st.Receive(t, newAgent.ListRequests) != "" { // the request for the full list
 		t.Error("the first request to the new address is for changes")
 	}
-	st.Receive(t, moved.ListRequests) // it is watched
-	st.Submit(t, s.addr, "b", "keyed", 0, 15*time.Second)
-	if c := other.Next(t); c.ID != "b" {
+	st.Receive(t, newAgent.ListRequests) // the request for changes
+	st.Submit(t, sender.addr, "b", "keyed", 0, 15*time.Second)
+	if c := newEndpoint.Next(t); c.ID != "b" {
 		t.Errorf("the new endpoint got %s", c.ID)
 	}
-	st.Submit(t, s.addr, "c", "keyed", 9, 100*time.Millisecond) // there is no such destination
-	if n := st.Receive(t, moved.Notices); n.Message != "c" || n.Outcome != "given_up" {
-		t.Errorf("notice %+v", n)
+	st.Submit(t, sender.addr, "c", "keyed", 9, 100*time.Millisecond) // there is no such destination
+	if n := st.Receive(t, newAgent.Notices); n.Message != "c" || n.Outcome != "given_up" {
+		t.Errorf("unexpected notice %+v", n)
 	}
 }
 
-// During the shutdown a further SIGTERM changes nothing, and each SIGHUP is obeyed as before: the notices that are
-// left go to the platform's new address.
+// Guards against signals that disturb a shutdown or are ignored in it: a second SIGTERM must change nothing, and each
+// SIGHUP must be applied as before, so that the remaining notices go to the platform's new address.
 func TestSignalsDuringTheShutdown(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Hang)
 	platforms := []*st.Agent{st.NewAgent(t, silent.Addr), st.NewAgent(t, silent.Addr)}
 	admin := freeAddr(t)
-	s := launch(t, platforms[0], t.TempDir(), freeAddr(t), nil, "EDGE_ADMIN_ADDR="+admin)
-	until := func(call, want string) {
+	sender := launch(t, platforms[0], t.TempDir(), freeAddr(t), nil, "EDGE_ADMIN_ADDR="+admin)
+	waitAdmin := func(call, want string) {
 		t.Helper()
 		for end := time.Now().Add(st.Timeout); ; time.Sleep(5 * time.Millisecond) {
 			var reply []byte
@@ -393,39 +398,39 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s gives %q, not %q", call, reply, want)
+				t.Fatalf("the reply to %s is %q, want %q", call, reply, want)
 			}
 		}
 	}
-	until("HEALTH", "ok")
-	st.Submit(t, s.addr, "out", "unsafe", 0, 1500*time.Millisecond)
+	waitAdmin("HEALTH", "ok")
+	st.Submit(t, sender.addr, "out", "unsafe", 0, 1500*time.Millisecond)
 	silent.Next(t)
 	for range 2 {
-		if err := s.Process.Signal(syscall.SIGTERM); err != nil {
+		if err := sender.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		until("HEALTH", "fail leaving")
+		waitAdmin("HEALTH", "fail leaving")
 	}
 	for n := range 5 {
 		raw, err := json.Marshal(st.Config(platforms[(n+1)%2], ""))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.reload(t, raw)
-		until("DUMP", "sighup_applied="+strconv.Itoa(n+1)+"\n")
+		sender.reload(t, raw)
+		waitAdmin("DUMP", "sighup_applied="+strconv.Itoa(n+1)+"\n")
 	}
 	if n := st.Receive(t, platforms[1].Notices); n.Message != "out" || n.Outcome != "given_up" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("unexpected notice %+v", n)
 	}
-	if err := s.Wait(); err != nil {
-		t.Errorf("it leaves with %v", err)
+	if err := sender.Wait(); err != nil {
+		t.Errorf("the sender exits with %v", err)
 	}
 }
 
 func TestInvalidConfigurationEndsTheProcessWithOneLine(t *testing.T) {
 	services := func(list string) string { return `{"services":[` + list + `]}` }
 	const class = `{"name":"a","effect":"read_like","slo":1,"giveUp":2}`
-	for settings, named := range map[string]string{
+	for settings, want := range map[string]string{
 		`{"step":"soon"}`:                "setting step",
 		`{"balancers":0}`:                "balancers: 0",
 		`{"balancers":-3}`:               "balancers: -3",
@@ -454,39 +459,40 @@
 		c := exec.Command(os.Args[0])
 		c.Env = append(os.Environ(), "SENDER_TEST_CHILD=1", "EDGE_CONFIG="+file)
 		out, err := c.CombinedOutput()
-		if err == nil || bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte(named)) {
-			t.Errorf("%s: %v: %s", settings, err, out)
+		if err == nil || bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte(want)) {
+			t.Errorf("settings %s: exit %v, output %s", settings, err, out)
 		}
 	}
 }
 
-// A log that nobody reads stops no sender: neither where its reader is gone nor where it stands still.
-func TestBlockedLogStopsNothing(t *testing.T) {
-	for name, gone := range map[string]bool{"its reader has gone": true, "its reader stands still": false} {
+// Guards against a sender that stops because its log cannot be written: the reader of the pipe has closed it, or does
+// not read.
+func TestBlockedLogDoesNotStopTheSender(t *testing.T) {
+	for name, readerClosed := range map[string]bool{"reader closed": true, "reader does not read": false} {
 		t.Run(name, func(t *testing.T) {
 			good := st.NewEndpoint(t, st.Status(200))
-			p := st.NewAgent(t, good.Addr)
+			agent := st.NewAgent(t, good.Addr)
 			r, w, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer r.Close()
 			defer w.Close()
-			c := launchLogging(t, p, t.TempDir(), freeAddr(t), nil, w, "EDGE_LOG_LEVEL=debug")
-			c.waitReady(t)
+			p := launchLogging(t, agent, t.TempDir(), freeAddr(t), nil, w, "EDGE_LOG_LEVEL=debug")
+			p.waitReady(t)
 			_ = w.Close()
-			if gone {
+			if readerClosed {
 				_ = r.Close()
 			}
 			client := &http.Client{Timeout: 2 * time.Second}
-			for n := range 300 { // some 600 bytes of log each
-				resp, err := client.Do(st.Request(t, c.addr, "m"+strconv.Itoa(n), "safe", 0, 5*time.Second, "body"))
+			for n := range 300 { // each logs about 600 bytes
+				resp, err := client.Do(st.Request(t, p.addr, "m"+strconv.Itoa(n), "safe", 0, 5*time.Second, "body"))
 				if err != nil {
-					t.Fatalf("message %d: %v", n, err)
+					t.Fatalf("message %d is not answered: %v", n, err)
 				}
 				_ = resp.Body.Close()
 				if resp.StatusCode != http.StatusAccepted {
-					t.Fatalf("message %d: %s", n, resp.Status)
+					t.Fatalf("message %d is answered %s", n, resp.Status)
 				}
 				good.Next(t)
 			}
--- a/cmd/sender/release_test.go
+++ b/cmd/sender/release_test.go
@@ -15,11 +15,11 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// release is one that is in service. It hands over to this program in an upgrade, and takes over from it in a
-// roll-back.
+// release is a released version that is in use. It hands over to this program in an upgrade, and takes over from it in
+// a roll-back.
 type release struct {
 	commit  string
-	command string // the sender's package
+	command string // package of the sender's command
 }
 
 var releases = []release{
@@ -27,7 +27,7 @@
 	{commit: "09cb254", command: "./cmd/sender"},
 }
 
-// build builds the program of the release from the history and returns its path.
+// build builds the program of the release from its commit and returns the path.
 func (r release) build(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -49,7 +49,7 @@
 	return program
 }
 
-// adminReply is the reply to one call at the operators' address, empty while nobody answers there.
+// adminReply returns the reply to one call at the operators' address, "" if there is none.
 func adminReply(admin, call string) string {
 	conn, err := net.Dial("tcp", admin)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return string(reply)
 }
 
-// waitReply waits until a reply holds all texts.
+// waitReply waits until the reply to a call contains all texts.
 func waitReply(t *testing.T, admin, call string, texts ...string) {
 	t.Helper()
 	for end := time.Now().Add(st.Timeout); ; time.Sleep(5 * time.Millisecond) {
@@ -76,15 +76,16 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s gives %q, without %q", call, reply, missing)
+			t.Fatalf("the reply to %s is %q, without %q", call, reply, missing)
 		}
 	}
 }
 
-// Each release hands over to this program, and that to the release again. A call that is in flight at the time ends
-// once and where it is counted, a message that waits is delivered by the successor, and a request that still comes on
-// a connection to the predecessor is answered there.
-func TestReleaseHandsOverAndTakesOverAgain(t *testing.T) {
+// Guards against an incompatible change of the hand-over: each release must hand over to this program, and this program
+// to the release again. A call that is in flight then must end once, and be counted once, by the successor. The
+// successor must deliver a message that waits for an endpoint. A request that a client sends on a connection to the
+// predecessor must be answered on that connection.
+func TestUpgradeAndRollBack(t *testing.T) {
 	for _, r := range releases {
 		t.Run(r.commit, func(t *testing.T) { testUpgradeAndRollBack(t, r.build(t)) })
 	}
@@ -93,20 +94,20 @@
 func testUpgradeAndRollBack(t *testing.T, release string) {
 	addr, socket := passedSocket(t)
 	state := t.TempDir()
-	opened := make(chan struct{}, 1)
+	unblocked := make(chan struct{}, 1)
 	slow := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
-		<-opened
+		<-unblocked
 		return st.Status(200)(c, conn)
 	})
 	quick := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, slow.Addr, quick.Addr)
+	agent := st.NewAgent(t, slow.Addr, quick.Addr)
 
 	start := func(program string) (*process, string) {
 		admin := freeAddr(t)
-		c := launchProgram(
+		p := launchProgram(
 			t,
 			program,
-			p,
+			agent,
 			state,
 			addr,
 			socket,
@@ -115,13 +116,13 @@
 			"EDGE_ADMIN_ADDR="+admin,
 		)
 		waitReply(t, admin, "HEALTH", "ok\n")
-		return c, admin
+		return p, admin
 	}
 	before, beforeAdmin := start(release)
 	for stage, program := range []string{os.Args[0], release} {
 		name := []string{"upgrade", "roll-back"}[stage]
 		client := &http.Client{Transport: &http.Transport{}, Timeout: st.Timeout}
-		handIn := func(id string, destination int) {
+		submit := func(id string, destination int) {
 			t.Helper()
 			resp, err := client.Do(st.Request(t, addr, id, "unsafe", destination, 15*time.Second, "body of "+id))
 			if err != nil {
@@ -133,21 +134,21 @@
 				t.Fatalf("%s is answered %s", id, resp.Status)
 			}
 		}
-		unlisted := 10 + stage // a destination that has no endpoint yet
-		handIn(name+" in flight", 0)
+		unlisted := 10 + stage // a destination without endpoints yet
+		submit(name+" in flight", 0)
 		if c := slow.Next(t); c.ID != name+" in flight" {
 			t.Fatalf("the slow endpoint got %s", c.ID)
 		}
-		handIn(name+" waiting", unlisted)
+		submit(name+" waiting", unlisted)
 
 		after, afterAdmin := start(program)
 		waitReply(t, beforeAdmin, "HEALTH", "fail leaving\n")
 		waitReply(t, afterAdmin, "DUMP", "outstanding=2\n", "forwards=0\n")
-		handIn(name+" forwarded", 1) // on the connection to the predecessor
+		submit(name+" forwarded", 1) // on the connection to the predecessor
 		if c := quick.Next(t); c.ID != name+" forwarded" || c.Body != "body of "+name+" forwarded" {
 			t.Errorf("the quick endpoint got %+v", c)
 		}
-		opened <- struct{}{}
+		unblocked <- struct{}{}
 		waitReply(
 			t,
 			afterAdmin,
@@ -157,7 +158,7 @@
 			"aborted.unsafe=0\n",
 			"forwards=1\n",
 		)
-		p.Change(st.Server("late-"+name, quick.Addr, unlisted, "SERVING"))
+		agent.Change(st.Server("late-"+name, quick.Addr, unlisted, "SERVING"))
 		if c := quick.Next(t); c.ID != name+" waiting" || c.Body != "body of "+name+" waiting" {
 			t.Errorf("the quick endpoint got %+v", c)
 		}
@@ -167,7 +168,7 @@
 			t.Fatal(err)
 		}
 		if err := before.Wait(); err != nil {
-			t.Errorf("%s: the predecessor leaves with %v", name, err)
+			t.Errorf("%s: the predecessor exits with %v", name, err)
 		}
 		before, beforeAdmin = after, afterAdmin
 	}
@@ -179,8 +180,8 @@
 		}
 	}
 	select {
-	case n := <-p.Notices:
-		t.Errorf("a notice of %s: %s", n.Message, n.Outcome)
+	case n := <-agent.Notices:
+		t.Errorf("unexpected notice of message %s: %s", n.Message, n.Outcome)
 	default:
 	}
 }
