--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,7 +47,7 @@
 
 // File descriptors are divided so that all uses fit even when each is at its maximum: clients get half (they use a
 // third, and connections of other programs need some as well), operators get a small part, ReservedDescriptors are set
-// aside, and calls get the rest. Idle connections to endpoints use the part of it that calls leave over.
+// aside, and calls get the rest. Idle connections to endpoints use the part of the rest that calls leave over.
 const (
 	// AdminConnectionLimit is the maximum number of operators' connections. With few descriptors there are fewer.
 	AdminConnectionLimit = 64
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -30,7 +30,7 @@
 type ReadFile func(path string) ([]byte, error)
 
 // Load reads the file that EDGE_CONFIG names and applies the other environment variables. It retries transient errors
-// until ctx is done.
+// as retry.OnTransient does, and stops when ctx ends.
 func Load(ctx context.Context, log *slog.Logger, readFile ReadFile, getenv func(string) string) (*Config, error) {
 	var raw []byte
 	err := retry.OnTransient(ctx, log, "the configuration", func() (err error) {
