--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -25,7 +25,7 @@
 	decoder *gob.Decoder
 	out     chan outgoing
 	once    sync.Once
-	gone    chan struct{}
+	closed  chan struct{}
 
 	takesConnections bool // the other process takes connections with a snapshot; set before the link is given out
 }
@@ -44,7 +44,7 @@
 		conn:    conn,
 		decoder: gob.NewDecoder(conn),
 		out:     make(chan outgoing, linkQueue),
-		gone:    make(chan struct{}),
+		closed:  make(chan struct{}),
 	}
 	go l.write()
 	return l
@@ -65,7 +65,7 @@
 				l.Close()
 				return
 			}
-		case <-l.gone:
+		case <-l.closed:
 			return
 		}
 	}
@@ -134,13 +134,13 @@
 	lost()
 }
 
-// Gone is closed when the link has ended.
-func (l *Link) Gone() <-chan struct{} { return l.gone }
+// Closed returns a channel that is closed when the link has ended.
+func (l *Link) Closed() <-chan struct{} { return l.closed }
 
-// IsGone reports whether the link has ended.
-func (l *Link) IsGone() bool {
+// IsClosed reports whether the link has ended.
+func (l *Link) IsClosed() bool {
 	select {
-	case <-l.gone:
+	case <-l.closed:
 		return true
 	default:
 		return false
@@ -150,7 +150,7 @@
 // Close ends the link. It may be called more than once.
 func (l *Link) Close() {
 	l.once.Do(func() {
-		close(l.gone)
+		close(l.closed)
 		_ = l.conn.Close() // both sides know by then that it ends
 	})
 }
@@ -161,7 +161,7 @@
 	l.enqueue(outgoing{flushed: written})
 	select {
 	case <-written:
-	case <-l.gone:
+	case <-l.closed:
 	case <-time.After(CancelTimeout):
 	}
 	l.Close()
--- a/internal/sender/forwarding.go
+++ b/internal/sender/forwarding.go
@@ -58,7 +58,7 @@
 				RetryAfter: response.RetryAfter,
 				Text:       response.Text,
 			})
-		case <-from.Gone():
+		case <-from.Closed():
 		case <-ctx.Done():
 		}
 	}()
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -186,7 +186,7 @@
 func (u *upgrade) forward(sub ingress.Submission) {
 	u.lastForwarded++
 	successor := u.successor
-	if successor != nil && successor.IsGone() { // its loss is about to be posted
+	if successor != nil && successor.IsClosed() { // its loss is about to be posted
 		successor = nil
 	}
 	u.forwarded[u.lastForwarded] = forwardedRequest{Submission: sub, sent: successor != nil}
