--- a/internal/handover/descriptors.go
+++ b/internal/handover/descriptors.go
@@ -9,23 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connections go to the other process as descriptors beside the bytes of the stream (SCM_RIGHTS). A release that does
-// not know of them reads the bytes alone, and the kernel closes the descriptors.
+// Connections are passed to the other process as file descriptors in control messages (SCM_RIGHTS) that accompany the
+// bytes of the stream. An earlier release without support for them reads the bytes only, and the kernel closes the
+// descriptors.
 
-// maxPassedConnections bounds the connections that go with one packet.
+// maxPassedConnections is the maximum number of connections that are passed with one packet.
 const maxPassedConnections = 8
 
-var errNoDescriptor = errors.New("a connection without a descriptor")
+var errNoDescriptor = errors.New("the connection has no file descriptor")
 
-// descriptorConn is the Unix connection of a link, with the descriptors that pass on it. Reading and writing are for
-// one goroutine each.
+// descriptorConn is the Unix connection of a link, together with the descriptors that are passed on it. One goroutine
+// may read and one may write at a time.
 type descriptorConn struct {
 	*net.UnixConn
-	outgoing []net.Conn // to go with the next bytes written
-	received []int      // descriptors not yet taken by takeReceived
+	outgoing []net.Conn // to be passed with the next bytes written
+	received []int      // descriptors that takeReceived has not yet returned
 }
 
-// Write writes bytes, and with the first of them the outgoing connections.
+// Write writes bytes, and passes the outgoing connections with the first of them.
 func (c *descriptorConn) Write(b []byte) (int, error) {
 	if len(c.outgoing) == 0 {
 		return c.UnixConn.Write(b)
@@ -44,8 +45,9 @@
 	return written + n, err
 }
 
-// withDescriptors calls use with the descriptors of connections, behind those that are given. None of them can be
-// closed meanwhile. A copy of a descriptor would take one more, which the machine may not have.
+// withDescriptors calls use with the given descriptors followed by those of conns. No connection can be closed during
+// the call. The descriptors are not duplicated, because a duplicate needs a further descriptor and the machine may have
+// none left.
 func withDescriptors(conns []net.Conn, descriptors []int, use func(descriptors []int) error) error {
 	if len(conns) == 0 {
 		return use(descriptors)
@@ -65,7 +67,7 @@
 	return errors.Join(err, useErr)
 }
 
-// Read reads bytes and keeps the descriptors that come with them.
+// Read reads bytes and stores the descriptors that are received with them.
 func (c *descriptorConn) Read(b []byte) (int, error) {
 	control := make([]byte, unix.CmsgSpace(maxPassedConnections*4))
 	n, controlLength, _, _, err := c.ReadMsgUnix(b, control)
@@ -75,7 +77,7 @@
 	return max(0, n), err // n is -1 after an error
 }
 
-// parseDescriptors returns the descriptors of a control message. What cannot be parsed has none.
+// parseDescriptors returns the descriptors in a control message, and none if it cannot be parsed.
 func parseDescriptors(control []byte) []int {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
@@ -90,8 +92,8 @@
 	return descriptors
 }
 
-// takeReceived returns the connections of the descriptors that were received, in order, nil for one of which none can
-// be made. It keeps none of them.
+// takeReceived returns the connections of the received descriptors in order, and clears the list of descriptors. The
+// entry is nil for a descriptor that cannot be converted to a connection.
 func (c *descriptorConn) takeReceived() []net.Conn {
 	var conns []net.Conn
 	for _, descriptor := range c.received {
@@ -101,8 +103,8 @@
 	return conns
 }
 
-// connectionOf makes a connection of a descriptor, which it closes. It is nil if that fails, as it needs a second
-// descriptor for a moment.
+// connectionOf converts a descriptor to a connection and closes the descriptor. It returns nil if the conversion fails,
+// which can happen because it needs a second descriptor for a moment.
 func connectionOf(descriptor int) net.Conn {
 	file := os.NewFile(uintptr(descriptor), "passed connection")
 	defer file.Close()
@@ -113,7 +115,7 @@
 	return conn
 }
 
-// closeAll closes connections on which nothing was sent, those that are not nil.
+// closeAll closes the connections that are not nil. Nothing was sent on any of them.
 func closeAll(conns []net.Conn) {
 	for _, conn := range conns {
 		if conn != nil {
--- a/internal/handover/descriptors_test.go
+++ b/internal/handover/descriptors_test.go
@@ -11,7 +11,7 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// unixPair is two ends of a Unix connection.
+// unixPair returns the two ends of a Unix connection.
 func unixPair(t *testing.T) (owner, successor *net.UnixConn) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "socket")
@@ -31,7 +31,7 @@
 	return owner, successor
 }
 
-// platformConnection is a connection to a platform's address, and the platform's end of it.
+// platformConnection opens a connection to a listener that stands in for the platform, and returns both of its ends.
 func platformConnection(t *testing.T) (ours, platform net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,7 +50,7 @@
 	return ours, platform
 }
 
-// readAll reads a connection to its end.
+// readAll reads from a connection until its other end is closed.
 func readAll(t *testing.T, c net.Conn) string {
 	t.Helper()
 	text, err := io.ReadAll(c)
@@ -60,8 +60,9 @@
 	return string(text)
 }
 
-// A successor gets connections to the platform with the snapshot and can use them; the owner keeps none of them.
-func TestConnectionsGoWithTheSnapshot(t *testing.T) {
+// Guards against connections to the platform that are lost or mixed up when they are passed with a snapshot, or that
+// the lock owner keeps open as well.
+func TestConnectionsArePassedWithTheSnapshot(t *testing.T) {
 	t.Parallel()
 	ownerConn, successorConn := unixPair(t)
 	owner, successor := newLink(ownerConn), newLink(successorConn)
@@ -75,39 +76,39 @@
 		Connections: []PassedConnection{{Address: "a:1", Conn: first}, {Address: "b:2", Conn: second}},
 	})
 	owner.Send(ForwardedResponse{Sequence: 2})
-	if p, err := successor.receiveWithin(); err != nil || p.(ForwardedResponse).Sequence != 1 {
-		t.Fatalf("%+v, %v", p, err)
+	if p, err := successor.receiveWithTimeout(); err != nil || p.(ForwardedResponse).Sequence != 1 {
+		t.Fatalf("received the packet %+v with the error %v", p, err)
 	}
-	p, err := successor.receiveWithin()
+	p, err := successor.receiveWithTimeout()
 	if err != nil {
 		t.Fatal(err)
 	}
 	snapshot, ok := p.(*Snapshot)
 	if !ok || snapshot.ListVersion != 5 || len(snapshot.Connections) != 2 {
-		t.Fatalf("%+v", p)
+		t.Fatalf("received the packet %+v, want a snapshot of list version 5 with two connections", p)
 	}
-	if p, err := successor.receiveWithin(); err != nil || p.(ForwardedResponse).Sequence != 2 {
-		t.Fatalf("%+v, %v", p, err)
+	if p, err := successor.receiveWithTimeout(); err != nil || p.(ForwardedResponse).Sequence != 2 {
+		t.Fatalf("received the packet %+v with the error %v", p, err)
 	}
 	for i, want := range []string{"a:1", "b:2"} {
 		passed := snapshot.Connections[i]
 		if passed.Address != want {
-			t.Errorf("connection %d is to %s, want %s", i, passed.Address, want)
+			t.Errorf("connection %d has the address %s, want %s", i, passed.Address, want)
 		}
 		if _, err := io.WriteString(passed.Conn, want); err != nil {
 			t.Error(err)
 		}
 		_ = passed.Conn.Close()
 	}
-	// Their ends come only when no process has a descriptor of them any more.
+	// The platform reads to the end of a connection only if no process holds a descriptor of it any more.
 	if got := readAll(t, firstPlatform) + readAll(t, secondPlatform); got != "a:1b:2" {
 		t.Errorf("the platform reads %q", got)
 	}
 }
 
-// A connection that has been closed before the snapshot is written ends the link as any failed write does: the
-// successor asks again.
-func TestAClosedConnectionIsNotPassed(t *testing.T) {
+// A connection that is closed before the snapshot is written makes the write fail, which closes the link, as any failed
+// write does. The successor then requests the snapshot again.
+func TestClosedConnectionIsNotPassed(t *testing.T) {
 	t.Parallel()
 	ownerConn, successorConn := unixPair(t)
 	owner, successor := newLink(ownerConn), newLink(successorConn)
@@ -116,13 +117,14 @@
 	closed, _ := platformConnection(t)
 	_ = closed.Close()
 	owner.Send(&Snapshot{Connections: []PassedConnection{{Address: "a:1", Conn: closed}}})
-	if p, err := successor.receiveWithin(); err == nil {
-		t.Errorf("the successor gets %+v", p)
+	if p, err := successor.receiveWithTimeout(); err == nil {
+		t.Errorf("the successor received %+v, want an error", p)
 	}
 }
 
-// A release that knows nothing of connections reads a snapshot that comes with some, and the kernel closes them.
-func TestAnEarlierReleaseReadsASnapshotWithConnections(t *testing.T) {
+// An earlier release, which does not support connections, must be able to read a snapshot that has some. The kernel
+// closes the connections then.
+func TestEarlierReleaseReadsSnapshotWithConnections(t *testing.T) {
 	t.Parallel()
 	type earlierSnapshot struct{ ListVersion int64 }
 	type earlierPacket struct{ Estate *earlierSnapshot }
@@ -134,19 +136,20 @@
 	var read earlierPacket
 	_ = successorConn.SetDeadline(time.Now().Add(st.Timeout))
 	if err := gob.NewDecoder(successorConn).Decode(&read); err != nil || read.Estate.ListVersion != 5 {
-		t.Fatalf("%+v, %v", read, err)
+		t.Fatalf("the earlier release read %+v with the error %v", read, err)
 	}
 	if got := readAll(t, platform); got != "" {
 		t.Errorf("the platform reads %q", got)
 	}
 }
 
-// A successor that was not given connections, as by an earlier release, has none.
-func TestASnapshotWithoutConnectionsHasNone(t *testing.T) {
+// If the descriptors are missing, a snapshot must not have connections that are nil: only their addresses were
+// received.
+func TestAddressesWithoutDescriptorsAreDropped(t *testing.T) {
 	t.Parallel()
-	s := &Snapshot{Connections: []PassedConnection{{Address: "a:1"}}} // the descriptor did not come
+	s := &Snapshot{Connections: []PassedConnection{{Address: "a:1"}}} // its descriptor was not received
 	s.attachConnections(nil)
 	if len(s.Connections) != 0 {
-		t.Errorf("connections %+v", s.Connections)
+		t.Errorf("the snapshot has the connections %+v, want none", s.Connections)
 	}
 }
--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -15,13 +15,14 @@
 	"onyxdyke.example/onyxdyke/internal/golden"
 )
 
-// The hand-over's format outlives a release. The streams under testdata were written by the release of commit
-// 5d1fee9, and the texts beside them list their fields.
+// These tests guard the compatibility of the hand-over's wire format across releases. The .gob files under testdata
+// were written by the release of commit 5d1fee9, and the .txt files beside them list the fields in them.
 
+// Two releases find one another only if both derive the same socket name from the state directory.
 func TestSocketKeepsItsReleasedName(t *testing.T) {
 	err := WithSocket("/state", func(path string) error {
 		if name := filepath.Base(path); name != "saffronyard-87517253f26a8523.sock" {
-			t.Errorf("the socket is named %s", name)
+			t.Errorf("the socket has the name %s", name)
 		}
 		return nil
 	})
@@ -30,7 +31,7 @@
 	}
 }
 
-// appendFields lists the fields of a value that are not zero, with their paths.
+// appendFields appends a line with the path and the value of each field of v that is not zero.
 func appendFields(path string, v reflect.Value, to *[]string) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -70,6 +71,7 @@
 	}
 }
 
+// packetText returns the non-zero fields of a packet, one sorted line each.
 func packetText(p any) string {
 	var lines []string
 	appendFields("packet", reflect.ValueOf(p), &lines)
@@ -77,7 +79,9 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// Each packet of the release is read completely, and is written again with the same fields under the same names.
+// Guards against a field that is renamed, retyped or not translated: gob drops such a field without an error. Each
+// packet that the release wrote is read and written again, and must have the same fields under the same names both
+// times.
 func TestPacketsKeepTheReleasedFormat(t *testing.T) {
 	for _, name := range []string{"Hello", "Estate", "Submit", "Answer", "Ended", "Wait", "Cancel"} {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +95,7 @@
 			}
 			golden.Compare(t, name+".txt", packetText(read))
 			var stream bytes.Buffer
-			if err := gob.NewEncoder(&stream).Encode(read.thaw().freeze()); err != nil {
+			if err := gob.NewEncoder(&stream).Encode(read.fromWire().toWire()); err != nil {
 				t.Fatal(err)
 			}
 			var written frozenPacket
@@ -103,7 +107,8 @@
 	}
 }
 
-// An outcome has the same number on the wire as in the release.
+// Guards against a renumbering of the dispatcher's outcomes that changes the numbers on the wire: the two releases of
+// an upgrade would take one outcome for another.
 func TestOutcomesKeepTheirReleasedNumbers(t *testing.T) {
 	numbers := []dispatch.Outcome{
 		dispatch.Served,
@@ -118,9 +123,9 @@
 	}
 	for number, outcome := range numbers {
 		f := frozenOutcome{Outcome: uint8(number)}
-		written := freezeOutcome(dispatch.AttemptResult{Outcome: outcome})
-		if f.thaw().Outcome != outcome || written.Outcome != uint8(number) {
-			t.Errorf("outcome %s is not %d", outcome, number)
+		written := outcomeToWire(dispatch.AttemptResult{Outcome: outcome})
+		if f.fromWire().Outcome != outcome || written.Outcome != uint8(number) {
+			t.Errorf("outcome %s does not have the number %d on the wire", outcome, number)
 		}
 	}
 }
--- a/internal/handover/frozen.go
+++ b/internal/handover/frozen.go
@@ -1,15 +1,16 @@
 package handover
 
-// The hand-over's wire format. It is gob, so the field names below are what stands on the wire: gob matches fields by
-// name and drops, without an error, what the other side does not know. A release in service hands over to its
-// successor and takes over from it again on a roll-back, so these types keep the names that they had in the first
-// release with a hand-over. They are used for nothing else: packets are translated to and from them where they are
-// written and read.
+// The wire format of the hand-over. It is gob, which writes out the names of the fields below, matches fields by name,
+// and drops, without an error, a field that the receiver does not have. A release in service hands over to its
+// successor and, on a roll-back, takes over from it again. So the fields of these types keep the names that they had in
+// the first release with a hand-over. The types are used for nothing else: packets are translated to them before they
+// are written, and from them after they are read.
 //
-// FROZEN: never rename, retype or remove a field. A new field may be added; the other side may lack it.
+// FROZEN: never rename, retype or remove a field. A new field may be added, but the other process may not have it.
 
 import "time"
 
+// frozenPacket is a Packet of any type: exactly one of its fields is set.
 type frozenPacket struct {
 	Hello  *frozenHello
 	Estate *frozenSnapshot
@@ -20,11 +21,14 @@
 	Cancel *frozenAttemptID
 }
 
+// frozenHello is a Hello.
 type frozenHello struct {
 	Version     int
 	Connections bool
 }
 
+// frozenSnapshot is a Snapshot. Flights are the attempts in flight, Rests holds BackoffUntil, Memory the dispatcher's
+// snapshot, and Connections the addresses of the connections that are passed as descriptors.
 type frozenSnapshot struct {
 	ListVersion int64
 	Endpoints   []frozenTarget
@@ -34,6 +38,7 @@
 	Connections []string
 }
 
+// frozenTarget is an endpoint of the endpoint list.
 type frozenTarget struct {
 	ID     string
 	Addr   string
@@ -44,11 +49,13 @@
 	Weight float64
 }
 
+// frozenAttemptID is an AttemptID. Try is the index of the attempt.
 type frozenAttemptID struct {
 	ID  string
 	Try int
 }
 
+// frozenFlight is an InFlightAttempt. At is when it was sent.
 type frozenFlight struct {
 	ID       frozenAttemptID
 	Call     uint64
@@ -57,12 +64,14 @@
 	Timeout  time.Duration
 }
 
+// frozenAttemptEnd is an AttemptReport.
 type frozenAttemptEnd struct {
 	Flight frozenAttemptID
 	End    frozenOutcome
 }
 
-// frozenOutcome is how an attempt ended. The values of Outcome are those of frozenOutcomes.
+// frozenOutcome is the result of an attempt; outcomeToWire maps its fields. The values of Outcome are the indexes of
+// outcomesByNumber.
 type frozenOutcome struct {
 	Message  uint64
 	Attempt  int
@@ -77,17 +86,19 @@
 	Limit    float64
 }
 
+// frozenWait is a RetryAfterReport. Endpoint is the endpoint's ID on the endpoint list.
 type frozenWait struct {
 	Endpoint string
 	Wait     time.Duration
 }
 
+// frozenRequest is a ForwardedRequest.
 type frozenRequest struct {
 	Seq    uint64
 	Record frozenRecord
 }
 
-// frozenRecord is a journal record. A request sets only the fields of its message.
+// frozenRecord is a journal record. A forwarded request sets only the fields that describe its message.
 type frozenRecord struct {
 	Op       string
 	ID       string
@@ -101,6 +112,7 @@
 	Tries    []frozenTry
 }
 
+// frozenRules are the rules in a journal record; recordToWire maps their fields.
 type frozenRules struct {
 	Effect    uint8
 	InZone    bool
@@ -113,6 +125,7 @@
 	LateWorth float64
 }
 
+// frozenTry is an attempt of a journal record. At is when it was sent. Never states that it surely had no effect.
 type frozenTry struct {
 	At       time.Duration
 	Endpoint string
@@ -120,6 +133,7 @@
 	Never    bool
 }
 
+// frozenAnswer is a ForwardedResponse.
 type frozenAnswer struct {
 	Seq    uint64
 	Status int
@@ -127,7 +141,8 @@
 	Text   string
 }
 
-// frozenMemory is the dispatcher's snapshot.
+// frozenMemory is the snapshot of the dispatcher; dispatcherToWire maps its fields. An entry of Tenants holds the
+// recent and the long-term rate, an entry of Classes the counts of ended and of served messages.
 type frozenMemory struct {
 	Started time.Duration
 	Came    frozenFading
@@ -140,11 +155,13 @@
 	Ends    []frozenEndpoint
 }
 
+// frozenFading is a decaying count: its value and the time of its last update.
 type frozenFading struct {
 	N    float64
 	When time.Duration
 }
 
+// frozenOracle is the snapshot of a latency estimator; estimatorToWire maps its fields.
 type frozenOracle struct {
 	Count, Sum                                 []float64
 	Seen                                       int
@@ -152,7 +169,8 @@
 	Best, Median, Quickest, Doubled, DoubledAt time.Duration
 }
 
-// frozenRoute is a route's state. The values of State are 0 for healthy, 1 for unavailable and 2 for warming up.
+// frozenRoute is the state of a route; routeToWire maps its fields. The values of State are 0 for healthy, 1 for
+// unavailable and 2 for warming up.
 type frozenRoute struct {
 	Destination uint32
 	Endpoint    uint32
@@ -169,6 +187,7 @@
 	State                                       uint8
 }
 
+// frozenEndpoint is the state of an endpoint; dispatcherToWire maps its fields.
 type frozenEndpoint struct {
 	Endpoint      uint32
 	Recent, Fails float64
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -8,58 +8,59 @@
 )
 
 const (
-	// linkTimeout bounds the writing of a packet, and the wait for a snapshot.
+	// linkTimeout bounds connecting to the socket, the write of one packet, and the wait for the first packet.
 	linkTimeout = 2 * time.Second
-	// linkQueue is how many packets may be on their way to the other process.
-	linkQueue = 4096
-	// peerDeathDelay is how long after the end of a link the other sockets of a dead process may still be open.
-	peerDeathDelay = 30 * time.Millisecond
-	// CancelTimeout bounds, at the end of a process, the wait for its cancelled calls to be reported.
+	// linkQueueLength is the maximum number of packets that wait to be written to the other process.
+	linkQueueLength = 4096
+	// peerExitDelay is how long the other sockets of a process that has exited may stay open after its link has ended.
+	peerExitDelay = 30 * time.Millisecond
+	// CancelTimeout bounds how long a process that exits waits until the results of its cancelled calls are reported.
 	CancelTimeout = 250 * time.Millisecond
 )
 
-// Link is the connection to the other process. It is safe for concurrent use, but for Receive and Listen, which one
-// goroutine calls.
+// Link is the connection to the other process of an upgrade. It is safe for concurrent use, except that only one
+// goroutine may call Receive and Listen.
 type Link struct {
-	conn    *descriptorConn
-	decoder *gob.Decoder
-	out     chan outgoing
-	once    sync.Once
-	closed  chan struct{}
+	conn      *descriptorConn
+	decoder   *gob.Decoder
+	queue     chan outgoing
+	closeOnce sync.Once
+	closed    chan struct{}
 
-	takesConnections bool // the other process takes connections with a snapshot; set before the link is given out
+	takesConnections bool // the other process accepts connections with a snapshot; set before the link is returned
 }
 
-// outgoing is a packet to be written, or with flushed a question whether all before it has been.
+// outgoing is an entry of the write queue: a packet, or a flush marker without a packet.
 type outgoing struct {
-	packet  Packet        // nil with flushed
-	flushed chan struct{} // closed when all packets before it have been written
+	packet  Packet        // nil if flushed is set
+	flushed chan struct{} // closed once all packets queued before this entry have been written
 }
 
-// newLink makes a link on a connection. Its writer's goroutine ends with Close; nobody waits for it, as a write that
-// blocks would then hold up the event loop.
+// newLink creates a link on a connection and starts the goroutine that writes to it, which ends after Close. Nothing
+// waits for that goroutine, because a write that blocks would then block the event loop as well.
 func newLink(c *net.UnixConn) *Link {
 	conn := &descriptorConn{UnixConn: c}
 	l := &Link{
 		conn:    conn,
 		decoder: gob.NewDecoder(conn),
-		out:     make(chan outgoing, linkQueue),
+		queue:   make(chan outgoing, linkQueueLength),
 		closed:  make(chan struct{}),
 	}
 	go l.write()
 	return l
 }
 
+// write writes the queued packets until the link is closed. It closes the link if a write fails.
 func (l *Link) write() {
 	encoder := gob.NewEncoder(l.conn)
 	for {
 		select {
-		case o := <-l.out:
+		case o := <-l.queue:
 			if o.flushed != nil {
 				close(o.flushed)
 				continue
 			}
-			// A connection that takes no deadline fails in the write as well.
+			// A connection that rejects the deadline fails in the write as well.
 			_ = l.conn.SetWriteDeadline(time.Now().Add(linkTimeout))
 			if l.writePacket(encoder, o.packet) != nil {
 				l.Close()
@@ -71,44 +72,47 @@
 	}
 }
 
-// writePacket writes a packet. The connections of a snapshot are the other process's from then on.
+// writePacket writes a packet. The connections of a snapshot belong to the other process afterwards.
 func (l *Link) writePacket(encoder *gob.Encoder, p Packet) error {
 	if snapshot, ok := p.(*Snapshot); ok {
 		l.conn.outgoing = snapshot.connections()
 		defer closeAll(l.conn.outgoing)
 	}
-	return encoder.Encode(p.freeze())
+	return encoder.Encode(p.toWire())
 }
 
-// Send queues a packet. It never waits: a process that accepts nothing is as good as dead, and the link is closed.
+// Send queues a packet for writing. It never blocks: if the queue is full, the other process is considered dead and the
+// link is closed.
 func (l *Link) Send(p Packet) { l.enqueue(outgoing{packet: p}) }
 
 func (l *Link) enqueue(o outgoing) {
 	select {
-	case l.out <- o:
+	case l.queue <- o:
 	default:
 		l.Close()
 	}
 }
 
-// Receive waits for the next packet of the other process. The packet is nil if this release does not know it.
+// Receive waits for the next packet from the other process. It returns a nil packet for a type that this release does
+// not know.
 func (l *Link) Receive() (Packet, error) {
 	var f frozenPacket
 	if err := l.decoder.Decode(&f); err != nil {
 		closeAll(l.conn.takeReceived())
 		return nil, err
 	}
-	p := f.thaw()
-	// The decoder reads ahead: what came with a snapshot may have come with a packet before it.
+	p := f.fromWire()
+	// The decoder reads ahead, so the descriptors of a snapshot may have been received while an earlier packet was
+	// read.
 	if snapshot, ok := p.(*Snapshot); ok {
 		snapshot.attachConnections(l.conn.takeReceived())
 	}
 	return p, nil
 }
 
-// receiveWithin waits for the next packet for as long as linkTimeout.
-func (l *Link) receiveWithin() (Packet, error) {
-	// A connection that takes no deadline fails in the read as well.
+// receiveWithTimeout waits for the next packet for at most linkTimeout.
+func (l *Link) receiveWithTimeout() (Packet, error) {
+	// A connection that rejects the deadline fails in the read as well.
 	_ = l.conn.SetReadDeadline(time.Now().Add(linkTimeout))
 	p, err := l.Receive()
 	if err == nil {
@@ -117,10 +121,11 @@
 	return p, err
 }
 
-// TakesConnections reports whether the other process, a successor, takes connections with the snapshot.
+// TakesConnections reports whether the other process, a successor, accepts connections with the snapshot.
 func (l *Link) TakesConnections() bool { return l.takesConnections }
 
-// Listen passes on what the other process sends until the link ends, and then that it is lost. It returns after that.
+// Listen calls receive for each packet from the other process until the link ends, and then calls lost once, after
+// peerExitDelay.
 func (l *Link) Listen(receive func(Packet), lost func()) {
 	for {
 		p, err := l.Receive()
@@ -130,7 +135,7 @@
 		receive(p)
 	}
 	l.Close()
-	time.Sleep(peerDeathDelay)
+	time.Sleep(peerExitDelay)
 	lost()
 }
 
@@ -149,13 +154,13 @@
 
 // Close ends the link. It may be called more than once.
 func (l *Link) Close() {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
-		_ = l.conn.Close() // both sides know by then that it ends
+		_ = l.conn.Close() // an error has no effect: both sides already treat the link as closed
 	})
 }
 
-// Drain waits until what was sent is written, or CancelTimeout has passed, and closes the link.
+// Drain waits until all queued packets have been written, for at most CancelTimeout, and then closes the link.
 func (l *Link) Drain() {
 	written := make(chan struct{})
 	l.enqueue(outgoing{flushed: written})
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// LockStateDir takes the lock on the state directory. The file is nil if another process holds the lock; closing it
-// frees the lock.
+// LockStateDir tries to take the lock on a state directory. It returns the lock file, whose closing releases the lock,
+// or nil without an error if another process holds the lock.
 func LockStateDir(dir string) (*os.File, error) {
 	lock, err := os.Open(dir)
 	if err != nil {
@@ -20,16 +20,16 @@
 	if err == nil {
 		return lock, nil
 	}
-	_ = lock.Close() // nothing was written
+	_ = lock.Close() // it was opened for reading only
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return nil, nil
 	}
 	return nil, err
 }
 
-// WithSocket calls use with the path of the socket on which the lock owner listens for a successor. The socket is in
-// the temporary directory, because the files in the state directory are kept and count against the disk limit. The
-// length of a socket's path is limited, so the path leads through the directory's descriptor.
+// WithSocket calls use with the path of the Unix socket on which the lock owner listens for a successor. The socket is
+// in the temporary directory, because files in the state directory are kept and count towards the disk limit. The
+// length of a socket's path is limited, so the path refers to the directory by its descriptor.
 func WithSocket(stateDir string, use func(path string) error) error {
 	if abs, err := filepath.Abs(stateDir); err == nil {
 		stateDir = abs
--- a/internal/handover/packet.go
+++ b/internal/handover/packet.go
@@ -10,27 +10,27 @@
 )
 
 // Packet is one message between the two processes of an upgrade: Hello, *Snapshot, ForwardedRequest, ForwardedResponse,
-// AttemptReport, RetryAfterReport or CancelAttempt. A packet that this release does not know is read as nil.
+// AttemptReport, RetryAfterReport or CancelAttempt. A packet of a type that this release does not know is read as nil.
 type Packet interface {
-	// freeze translates the packet to what is written.
-	freeze() frozenPacket
+	// toWire translates the packet to its wire format.
+	toWire() frozenPacket
 }
 
 // Hello is the successor's request for the snapshot.
 type Hello struct {
 	Version          int
-	TakesConnections bool // the successor takes connections with the snapshot
+	TakesConnections bool // the successor accepts connections with the snapshot
 }
 
-// Snapshot is what the lock owner hands over beside the journal.
+// Snapshot is the state that the lock owner passes to its successor in addition to the journal.
 type Snapshot struct {
 	ListVersion  int64
-	Endpoints    []endpointlist.Endpoint // by the dispatcher's number; deleted ones keep their place as DELETED
+	Endpoints    []endpointlist.Endpoint // indexed by the dispatcher's number; deleted ones stay in the state DELETED
 	InFlight     []InFlightAttempt
-	BackoffUntil map[string]time.Duration // by message ID: when its next attempt may start after a failed one
+	BackoffUntil map[string]time.Duration // by message ID: when the next attempt may start after a failed one
 	Dispatcher   dispatch.Snapshot
-	// Connections belong to the sender of the snapshot until it is written, and then to its receiver. They are for a
-	// successor that takes them.
+	// Connections belong to the process that sends the snapshot until the snapshot is written, and then to the process
+	// that receives it. They are set only for a successor that accepts them.
 	Connections []PassedConnection
 }
 
@@ -40,7 +40,7 @@
 	Conn    net.Conn
 }
 
-// connections returns the connections that go with the snapshot, in the order of their addresses on the wire.
+// connections returns the connections that are passed with the snapshot, in the order of their addresses on the wire.
 func (s *Snapshot) connections() []net.Conn {
 	var conns []net.Conn
 	for _, passed := range s.Connections {
@@ -49,8 +49,9 @@
 	return conns
 }
 
-// attachConnections adds the connections that came with a snapshot to their addresses. Addresses without one are
-// dropped, and all connections are closed if it is not clear which is which.
+// attachConnections assigns the connections that were received with the snapshot to their addresses, in order. It drops
+// an address whose connection is nil. If the numbers of connections and addresses differ, the connections cannot be
+// assigned, and it closes them all.
 func (s *Snapshot) attachConnections(received []net.Conn) {
 	addresses := s.Connections
 	s.Connections = nil
@@ -59,13 +60,13 @@
 		return
 	}
 	for i, conn := range received {
-		if conn != nil { // else it could not be taken
+		if conn != nil { // nil if its descriptor could not be converted
 			s.Connections = append(s.Connections, PassedConnection{Address: addresses[i].Address, Conn: conn})
 		}
 	}
 }
 
-// AttemptID names an attempt: both processes know a message by its ID, and its attempts by their index in the journal.
+// AttemptID identifies an attempt in both processes: by the message's ID and the attempt's index in the journal.
 type AttemptID struct {
 	Message string
 	Attempt int
@@ -74,26 +75,26 @@
 // InFlightAttempt is an attempt that the predecessor has in flight.
 type InFlightAttempt struct {
 	ID       AttemptID
-	Call     uint64 // the attempts of one call share it
+	Call     uint64 // the number of the call; all attempts of a batch have the same one
 	Endpoint dispatch.EndpointID
 	SentAt   time.Duration
 	Timeout  time.Duration
 }
 
-// AttemptReport is the predecessor's report of how an attempt ended.
+// AttemptReport is the predecessor's report of the result of an attempt.
 type AttemptReport struct {
 	Attempt AttemptID
 	Result  dispatch.AttemptResult
 }
 
-// RetryAfterReport is the predecessor's report that an endpoint asked for a pause in a response whose call has not
-// ended yet.
+// RetryAfterReport is the predecessor's report that an endpoint requested a pause (Retry-After) in a response whose
+// call has not ended yet.
 type RetryAfterReport struct {
 	Endpoint   string // its ID on the endpoint list
 	RetryAfter time.Duration
 }
 
-// ForwardedRequest is a client's request that came on one of the predecessor's connections.
+// ForwardedRequest is a client's request that the predecessor received on one of its connections.
 type ForwardedRequest struct {
 	Sequence uint64
 	Record   journal.Record
@@ -107,5 +108,5 @@
 	Text       string
 }
 
-// CancelAttempt is the successor's instruction to cancel an attempt's call.
+// CancelAttempt is the successor's request to cancel the call of an attempt.
 type CancelAttempt struct{ Attempt AttemptID }
--- a/internal/handover/translate.go
+++ b/internal/handover/translate.go
@@ -1,6 +1,6 @@
 package handover
 
-// Packets to and from the wire format.
+// Translation of packets to and from the wire format, which frozen.go defines.
 
 import (
 	"onyxdyke.example/onyxdyke/internal/dispatch"
@@ -8,44 +8,44 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-func (h Hello) freeze() frozenPacket {
+func (h Hello) toWire() frozenPacket {
 	return frozenPacket{Hello: &frozenHello{Version: h.Version, Connections: h.TakesConnections}}
 }
 
-func (s *Snapshot) freeze() frozenPacket {
-	return frozenPacket{Estate: freezeSnapshot(s)}
+func (s *Snapshot) toWire() frozenPacket {
+	return frozenPacket{Estate: snapshotToWire(s)}
 }
 
-func (r ForwardedRequest) freeze() frozenPacket {
-	return frozenPacket{Submit: &frozenRequest{Seq: r.Sequence, Record: freezeRecord(r.Record)}}
+func (r ForwardedRequest) toWire() frozenPacket {
+	return frozenPacket{Submit: &frozenRequest{Seq: r.Sequence, Record: recordToWire(r.Record)}}
 }
 
-func (r ForwardedResponse) freeze() frozenPacket {
+func (r ForwardedResponse) toWire() frozenPacket {
 	return frozenPacket{Answer: &frozenAnswer{Seq: r.Sequence, Status: r.Status, Retry: r.RetryAfter, Text: r.Text}}
 }
 
-func (r AttemptReport) freeze() frozenPacket {
-	return frozenPacket{Ended: &frozenAttemptEnd{Flight: freezeAttemptID(r.Attempt), End: freezeOutcome(r.Result)}}
+func (r AttemptReport) toWire() frozenPacket {
+	return frozenPacket{Ended: &frozenAttemptEnd{Flight: attemptIDToWire(r.Attempt), End: outcomeToWire(r.Result)}}
 }
 
-func (r RetryAfterReport) freeze() frozenPacket {
+func (r RetryAfterReport) toWire() frozenPacket {
 	return frozenPacket{Wait: &frozenWait{Endpoint: r.Endpoint, Wait: r.RetryAfter}}
 }
 
-func (c CancelAttempt) freeze() frozenPacket {
-	id := freezeAttemptID(c.Attempt)
+func (c CancelAttempt) toWire() frozenPacket {
+	id := attemptIDToWire(c.Attempt)
 	return frozenPacket{Cancel: &id}
 }
 
-// thaw translates what was read to a packet, nil if this release does not know it.
-func (f frozenPacket) thaw() Packet {
+// fromWire translates a packet from the wire format. It returns nil if this release does not know the packet's type.
+func (f frozenPacket) fromWire() Packet {
 	switch {
 	case f.Hello != nil:
 		return Hello{Version: f.Hello.Version, TakesConnections: f.Hello.Connections}
 	case f.Estate != nil:
-		return f.Estate.thaw()
+		return f.Estate.fromWire()
 	case f.Submit != nil:
-		return ForwardedRequest{Sequence: f.Submit.Seq, Record: f.Submit.Record.thaw()}
+		return ForwardedRequest{Sequence: f.Submit.Seq, Record: f.Submit.Record.fromWire()}
 	case f.Answer != nil:
 		return ForwardedResponse{
 			Sequence:   f.Answer.Seq,
@@ -54,41 +54,41 @@
 			Text:       f.Answer.Text,
 		}
 	case f.Ended != nil:
-		return AttemptReport{Attempt: f.Ended.Flight.thaw(), Result: f.Ended.End.thaw()}
+		return AttemptReport{Attempt: f.Ended.Flight.fromWire(), Result: f.Ended.End.fromWire()}
 	case f.Wait != nil:
 		return RetryAfterReport{Endpoint: f.Wait.Endpoint, RetryAfter: f.Wait.Wait}
 	case f.Cancel != nil:
-		return CancelAttempt{Attempt: f.Cancel.thaw()}
+		return CancelAttempt{Attempt: f.Cancel.fromWire()}
 	}
 	return nil
 }
 
-func freezeAttemptID(id AttemptID) frozenAttemptID {
+func attemptIDToWire(id AttemptID) frozenAttemptID {
 	return frozenAttemptID{ID: id.Message, Try: id.Attempt}
 }
 
-func (f frozenAttemptID) thaw() AttemptID { return AttemptID{Message: f.ID, Attempt: f.Try} }
+func (f frozenAttemptID) fromWire() AttemptID { return AttemptID{Message: f.ID, Attempt: f.Try} }
 
-func freezeSnapshot(s *Snapshot) *frozenSnapshot {
-	f := &frozenSnapshot{ListVersion: s.ListVersion, Rests: s.BackoffUntil, Memory: freezeMemory(s.Dispatcher)}
-	for _, t := range s.Endpoints {
+func snapshotToWire(s *Snapshot) *frozenSnapshot {
+	f := &frozenSnapshot{ListVersion: s.ListVersion, Rests: s.BackoffUntil, Memory: dispatcherToWire(s.Dispatcher)}
+	for _, e := range s.Endpoints {
 		f.Endpoints = append(f.Endpoints, frozenTarget{
-			ID:     t.ID,
-			Addr:   t.Addr,
-			Zone:   t.Zone,
-			Kind:   t.Kind,
-			Cell:   t.Cell,
-			State:  t.State,
-			Weight: t.Weight,
+			ID:     e.ID,
+			Addr:   e.Addr,
+			Zone:   e.Zone,
+			Kind:   e.Kind,
+			Cell:   e.Cell,
+			State:  e.State,
+			Weight: e.Weight,
 		})
 	}
-	for _, l := range s.InFlight {
+	for _, attempt := range s.InFlight {
 		f.Flights = append(f.Flights, frozenFlight{
-			ID:       freezeAttemptID(l.ID),
-			Call:     l.Call,
-			Endpoint: uint32(l.Endpoint),
-			At:       l.SentAt,
-			Timeout:  l.Timeout,
+			ID:       attemptIDToWire(attempt.ID),
+			Call:     attempt.Call,
+			Endpoint: uint32(attempt.Endpoint),
+			At:       attempt.SentAt,
+			Timeout:  attempt.Timeout,
 		})
 	}
 	for _, c := range s.Connections {
@@ -97,26 +97,26 @@
 	return f
 }
 
-func (f *frozenSnapshot) thaw() *Snapshot {
-	s := &Snapshot{ListVersion: f.ListVersion, BackoffUntil: f.Rests, Dispatcher: f.Memory.thaw()}
-	for _, t := range f.Endpoints {
+func (f *frozenSnapshot) fromWire() *Snapshot {
+	s := &Snapshot{ListVersion: f.ListVersion, BackoffUntil: f.Rests, Dispatcher: f.Memory.fromWire()}
+	for _, e := range f.Endpoints {
 		s.Endpoints = append(s.Endpoints, endpointlist.Endpoint{
-			ID:     t.ID,
-			Addr:   t.Addr,
-			Zone:   t.Zone,
-			Kind:   t.Kind,
-			Cell:   t.Cell,
-			State:  t.State,
-			Weight: t.Weight,
+			ID:     e.ID,
+			Addr:   e.Addr,
+			Zone:   e.Zone,
+			Kind:   e.Kind,
+			Cell:   e.Cell,
+			State:  e.State,
+			Weight: e.Weight,
 		})
 	}
-	for _, l := range f.Flights {
+	for _, attempt := range f.Flights {
 		s.InFlight = append(s.InFlight, InFlightAttempt{
-			ID:       l.ID.thaw(),
-			Call:     l.Call,
-			Endpoint: dispatch.EndpointID(l.Endpoint),
-			SentAt:   l.At,
-			Timeout:  l.Timeout,
+			ID:       attempt.ID.fromWire(),
+			Call:     attempt.Call,
+			Endpoint: dispatch.EndpointID(attempt.Endpoint),
+			SentAt:   attempt.At,
+			Timeout:  attempt.Timeout,
 		})
 	}
 	for _, address := range f.Connections {
@@ -125,8 +125,8 @@
 	return s
 }
 
-// frozenOutcomes gives each outcome's number on the wire.
-var frozenOutcomes = [...]dispatch.Outcome{
+// outcomesByNumber maps the numbers on the wire to the outcomes.
+var outcomesByNumber = [...]dispatch.Outcome{
 	0: dispatch.Served,
 	1: dispatch.Errored,
 	2: dispatch.Rejected,
@@ -138,30 +138,30 @@
 	8: dispatch.NotStarted,
 }
 
-func freezeOutcome(e dispatch.AttemptResult) frozenOutcome {
+func outcomeToWire(result dispatch.AttemptResult) frozenOutcome {
 	f := frozenOutcome{
-		Message:  uint64(e.Message),
-		Attempt:  e.Attempt,
-		Endpoint: uint32(e.Endpoint),
-		Outcome:  uint8(e.Outcome),
-		Elapsed:  e.Elapsed,
-		Idle:     e.ConnectionIdle,
-		Over:     e.Final,
-		Wait:     e.RetryAfter,
-		Reported: e.HasLoadReport,
-		Left:     e.QuotaLeft,
-		Limit:    e.RateLimit,
-	}
-	for number, outcome := range frozenOutcomes {
-		if outcome == e.Outcome {
+		Message:  uint64(result.Message),
+		Attempt:  result.Attempt,
+		Endpoint: uint32(result.Endpoint),
+		Outcome:  uint8(result.Outcome),
+		Elapsed:  result.Elapsed,
+		Idle:     result.ConnectionIdle,
+		Over:     result.Final,
+		Wait:     result.RetryAfter,
+		Reported: result.HasLoadReport,
+		Left:     result.QuotaLeft,
+		Limit:    result.RateLimit,
+	}
+	for number, outcome := range outcomesByNumber {
+		if outcome == result.Outcome {
 			f.Outcome = uint8(number)
 		}
 	}
 	return f
 }
 
-func (f frozenOutcome) thaw() dispatch.AttemptResult {
-	e := dispatch.AttemptResult{
+func (f frozenOutcome) fromWire() dispatch.AttemptResult {
+	result := dispatch.AttemptResult{
 		Message:        dispatch.MessageID(f.Message),
 		Attempt:        f.Attempt,
 		Endpoint:       dispatch.EndpointID(f.Endpoint),
@@ -174,13 +174,13 @@
 		QuotaLeft:      f.Left,
 		RateLimit:      f.Limit,
 	}
-	if int(f.Outcome) < len(frozenOutcomes) {
-		e.Outcome = frozenOutcomes[f.Outcome]
+	if int(f.Outcome) < len(outcomesByNumber) {
+		result.Outcome = outcomesByNumber[f.Outcome]
 	}
-	return e
+	return result
 }
 
-func freezeRecord(r journal.Record) frozenRecord {
+func recordToWire(r journal.Record) frozenRecord {
 	f := frozenRecord{
 		Op:       string(r.Kind),
 		ID:       r.ID,
@@ -204,13 +204,13 @@
 			LateWorth: r.Rules.LateWeight,
 		}
 	}
-	for _, t := range r.Attempts {
-		f.Tries = append(f.Tries, frozenTry{At: t.SentAt, Endpoint: t.Endpoint, Zone: t.Zone, Never: t.NeverRan})
+	for _, a := range r.Attempts {
+		f.Tries = append(f.Tries, frozenTry{At: a.SentAt, Endpoint: a.Endpoint, Zone: a.Zone, Never: a.NeverRan})
 	}
 	return f
 }
 
-func (f frozenRecord) thaw() journal.Record {
+func (f frozenRecord) fromWire() journal.Record {
 	r := journal.Record{
 		Kind:        journal.RecordKind(f.Op),
 		ID:          f.ID,
@@ -234,12 +234,12 @@
 			LateWeight:        f.Rules.LateWorth,
 		}
 	}
-	for _, t := range f.Tries {
+	for _, a := range f.Tries {
 		r.Attempts = append(r.Attempts, journal.Attempt{
-			SentAt:   t.At,
-			Endpoint: t.Endpoint,
-			Zone:     t.Zone,
-			NeverRan: t.Never,
+			SentAt:   a.At,
+			Endpoint: a.Endpoint,
+			Zone:     a.Zone,
+			NeverRan: a.Never,
 		})
 	}
 	return r
--- a/internal/handover/translatesnapshot.go
+++ b/internal/handover/translatesnapshot.go
@@ -1,33 +1,33 @@
 package handover
 
-// The dispatcher's snapshot to and from the wire format.
+// Translation of the dispatcher's snapshot to and from the wire format, which frozen.go defines.
 
 import "onyxdyke.example/onyxdyke/internal/dispatch"
 
-func freezeFading(f dispatch.DecayingCount) frozenFading {
-	return frozenFading{N: f.Value, When: f.UpdatedAt}
+func countToWire(c dispatch.DecayingCount) frozenFading {
+	return frozenFading{N: c.Value, When: c.UpdatedAt}
 }
 
-func (f frozenFading) thaw() dispatch.DecayingCount {
+func (f frozenFading) fromWire() dispatch.DecayingCount {
 	return dispatch.DecayingCount{Value: f.N, UpdatedAt: f.When}
 }
 
-func freezeOracle(o dispatch.EstimatorSnapshot) frozenOracle {
+func estimatorToWire(e dispatch.EstimatorSnapshot) frozenOracle {
 	return frozenOracle{
-		Count:     o.BucketWeights,
-		Sum:       o.BucketSums,
-		Seen:      o.Samples,
-		Past:      o.UnansweredWeight,
-		Mean:      o.Mean,
-		Best:      o.OptimalTau,
-		Median:    o.Median,
-		Quickest:  o.MinLatency,
-		Doubled:   o.DoubledTau,
-		DoubledAt: o.DoubledAt,
+		Count:     e.BucketWeights,
+		Sum:       e.BucketSums,
+		Seen:      e.Samples,
+		Past:      e.UnansweredWeight,
+		Mean:      e.Mean,
+		Best:      e.OptimalTau,
+		Median:    e.Median,
+		Quickest:  e.MinLatency,
+		Doubled:   e.DoubledTau,
+		DoubledAt: e.DoubledAt,
 	}
 }
 
-func (f frozenOracle) thaw() dispatch.EstimatorSnapshot {
+func (f frozenOracle) fromWire() dispatch.EstimatorSnapshot {
 	return dispatch.EstimatorSnapshot{
 		BucketWeights:    f.Count,
 		BucketSums:       f.Sum,
@@ -42,24 +42,24 @@
 	}
 }
 
-func freezeMemory(m dispatch.Snapshot) frozenMemory {
+func dispatcherToWire(s dispatch.Snapshot) frozenMemory {
 	f := frozenMemory{
-		Started: m.StartedAt,
-		Came:    freezeFading(m.Arrivals),
-		All:     freezeOracle(m.Overall),
-		Keep:    m.IdleTimeouts,
-		Random:  m.Random,
+		Started: s.StartedAt,
+		Came:    countToWire(s.Arrivals),
+		All:     estimatorToWire(s.Overall),
+		Keep:    s.IdleTimeouts,
+		Random:  s.Random,
 	}
-	for _, t := range m.Tenants {
+	for _, t := range s.Tenants {
 		f.Tenants = append(f.Tenants, [2]float64{t.RecentRate, t.LongTermRate})
 	}
-	for _, c := range m.Classes {
-		f.Classes = append(f.Classes, [2]frozenFading{freezeFading(c.Ended), freezeFading(c.Served)})
+	for _, c := range s.Classes {
+		f.Classes = append(f.Classes, [2]frozenFading{countToWire(c.Ended), countToWire(c.Served)})
 	}
-	for _, r := range m.Routes {
-		f.Routes = append(f.Routes, freezeRoute(r))
+	for _, r := range s.Routes {
+		f.Routes = append(f.Routes, routeToWire(r))
 	}
-	for _, e := range m.Endpoints {
+	for _, e := range s.Endpoints {
 		f.Ends = append(f.Ends, frozenEndpoint{
 			Endpoint: uint32(e.Endpoint),
 			Recent:   e.Latency,
@@ -70,37 +70,37 @@
 	return f
 }
 
-func (f frozenMemory) thaw() dispatch.Snapshot {
-	m := dispatch.Snapshot{
+func (f frozenMemory) fromWire() dispatch.Snapshot {
+	s := dispatch.Snapshot{
 		StartedAt:    f.Started,
-		Arrivals:     f.Came.thaw(),
-		Overall:      f.All.thaw(),
+		Arrivals:     f.Came.fromWire(),
+		Overall:      f.All.fromWire(),
 		IdleTimeouts: f.Keep,
 		Random:       f.Random,
 	}
 	for _, t := range f.Tenants {
-		m.Tenants = append(m.Tenants, dispatch.TenantSnapshot{RecentRate: t[0], LongTermRate: t[1]})
+		s.Tenants = append(s.Tenants, dispatch.TenantSnapshot{RecentRate: t[0], LongTermRate: t[1]})
 	}
 	for _, c := range f.Classes {
-		m.Classes = append(m.Classes, dispatch.ClassSnapshot{Ended: c[0].thaw(), Served: c[1].thaw()})
+		s.Classes = append(s.Classes, dispatch.ClassSnapshot{Ended: c[0].fromWire(), Served: c[1].fromWire()})
 	}
 	for _, r := range f.Routes {
-		m.Routes = append(m.Routes, r.thaw())
+		s.Routes = append(s.Routes, r.fromWire())
 	}
 	for _, e := range f.Ends {
-		m.Endpoints = append(m.Endpoints, dispatch.EndpointSnapshot{
+		s.Endpoints = append(s.Endpoints, dispatch.EndpointSnapshot{
 			Endpoint:       dispatch.EndpointID(e.Endpoint),
 			Latency:        e.Recent,
 			FailureRate:    e.Fails,
 			IdleTimeoutCut: e.Crowded,
 		})
 	}
-	return m
+	return s
 }
 
-func freezeRoute(r dispatch.RouteSnapshot) frozenRoute {
+func routeToWire(r dispatch.RouteSnapshot) frozenRoute {
 	return frozenRoute{Destination: uint32(r.Destination), Endpoint: uint32(r.Endpoint), Apart: r.PerEndpoint,
-		Oracle: freezeOracle(r.Estimator), Tried: freezeFading(r.SentCalls), Done: freezeFading(r.ServedCalls),
+		Oracle: estimatorToWire(r.Estimator), Tried: countToWire(r.SentCalls), Done: countToWire(r.ServedCalls),
 		Window: r.Window, Fails: r.FailureRate, Recent: r.Latency, Served: r.RecentServed, Before: r.RateBefore,
 		Limit: r.Limit, Pace: r.Pace, Tokens: r.Tokens,
 		HalvedAt: r.HalvedAt, ClosedUntil: r.BackoffUntil, Pause: r.BackoffStep, Reopens: r.ReopensAt,
@@ -109,10 +109,10 @@
 		Bad: r.ConsecutiveFailures, Lost: r.ConsecutiveLosses, State: r.State}
 }
 
-func (f frozenRoute) thaw() dispatch.RouteSnapshot {
+func (f frozenRoute) fromWire() dispatch.RouteSnapshot {
 	return dispatch.RouteSnapshot{Destination: dispatch.DestinationID(f.Destination),
 		Endpoint: dispatch.EndpointID(f.Endpoint), PerEndpoint: f.Apart,
-		Estimator: f.Oracle.thaw(), SentCalls: f.Tried.thaw(), ServedCalls: f.Done.thaw(),
+		Estimator: f.Oracle.fromWire(), SentCalls: f.Tried.fromWire(), ServedCalls: f.Done.fromWire(),
 		Window: f.Window, FailureRate: f.Fails, Latency: f.Recent, RecentServed: f.Served, RateBefore: f.Before,
 		Limit: f.Limit, Pace: f.Pace, Tokens: f.Tokens,
 		HalvedAt: f.HalvedAt, BackoffUntil: f.ClosedUntil, BackoffStep: f.Pause, ReopensAt: f.Reopens,
