--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// ioBufferSize is the size in bytes of the buffers that a file is read and compacted through.
+// ioBufferSize is the size in bytes of the buffers for reading a file and for writing a compacted one.
 const ioBufferSize = 64 << 10
 
-// newFileSuffix names the file that a compaction writes, until it takes the journal's place.
+// newFileSuffix is appended to the journal's name for the file that a compaction writes, until that file replaces the
+// journal.
 const newFileSuffix = ".new"
 
-// Compact writes a new file of the live state and puts it in the old one's place. A kill before that leaves the old
-// file as it was, and beside it at most a part of the new one, which is never read.
+// Compact writes the live state to a new file and replaces the old one by it. A kill before the replacement leaves the
+// old file unchanged, and at most an incomplete new file next to it, which is never read.
 func (j *Journal) Compact() error {
 	err := j.rewrite()
 	j.failed, j.compactedAt = err != nil, time.Now()
 	if err != nil {
-		// Where it cannot be removed, the next compaction truncates it.
+		// If the new file cannot be removed, the next compaction truncates it.
 		_ = j.files.Remove(j.path + newFileSuffix)
 		return fmt.Errorf("journal: %w", err)
 	}
 	return nil
 }
 
-// rewrite replaces the file by a compacted one, and leaves everything as it was on an error.
+// rewrite replaces the file by a compacted one. On an error it leaves the file and the state in memory unchanged.
 func (j *Journal) rewrite() error {
 	file, err := j.files.OpenFile(j.path+newFileSuffix, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -43,14 +44,14 @@
 		return errors.Join(err, file.Close())
 	}
 	if j.file != nil {
-		_ = j.file.Close() // The file has been replaced: nothing of it is needed any more.
+		_ = j.file.Close() // The file has been replaced, so an error loses nothing.
 	}
 	j.file, j.size, j.order = file, size, messages
 	j.buffer.Reset()
 	return nil
 }
 
-// liveMessages returns the messages that the journal still has to keep, in the order in which they were accepted.
+// liveMessages returns the messages that have not ended or whose notice is pending, in the order of their acceptance.
 func (j *Journal) liveMessages() []*Message {
 	live := make([]*Message, 0, len(j.byID))
 	for _, m := range j.order {
@@ -61,7 +62,7 @@
 	return live
 }
 
-// liveRecords yields the records of a compacted file.
+// liveRecords returns an iterator over the records of a compacted file.
 func (j *Journal) liveRecords(messages []*Message) iter.Seq[*Record] {
 	return func(yield func(*Record) bool) {
 		if !yield(&Record{Kind: KindClock, Clock: j.clock.Epoch()}) {
@@ -88,7 +89,7 @@
 	}
 }
 
-// writeRecords writes records to a file and returns how many bytes they take.
+// writeRecords writes records to a file and returns their size in bytes.
 func writeRecords(file File, records iter.Seq[*Record]) (size int64, err error) {
 	w := bufio.NewWriterSize(file, ioBufferSize)
 	for r := range records {
--- a/internal/journal/endedids_test.go
+++ b/internal/journal/endedids_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// The id of a message that has ended is known for a while, also by the next process. That of a rejected one is not, as
-// its client may submit it again.
+// Guards against a message that is accepted twice: its client submits it again after a broken connection, to the same
+// process or to the next one. The id of a rejected message must not be known, as its client may submit it again.
 func TestIDsOfEndedMessagesAreKnownUnlessRejected(t *testing.T) {
 	t.Parallel()
 	directory := t.TempDir()
-	j := openTest(t, directory, 1<<20)
+	j := openJournal(t, directory, 1<<20)
 	wantKnown := map[Outcome]bool{
 		OutcomeDelivered: true, OutcomeGivenUp: true, OutcomeReturned: false, OutcomeAnswered: false,
 	}
@@ -27,28 +27,28 @@
 		t.Helper()
 		for outcome, want := range wantKnown {
 			if j.Knows(string(outcome)) != want {
-				t.Errorf("%s is known: %v", outcome, !want)
+				t.Errorf("a message with the outcome %s: Knows returns %v", outcome, !want)
 			}
 		}
 	}
 	check(j)
-	closeTest(t, j)
+	closeJournal(t, j)
 	for range 3 { // Each start compacts the file.
-		j = openTest(t, directory, 1<<20)
+		j = openJournal(t, directory, 1<<20)
 		check(j)
-		closeTest(t, j)
+		closeJournal(t, j)
 	}
 }
 
-// An id that is submitted again after it was forgotten, and rejected then, may be submitted once more, whatever the
-// file says of its first end.
+// Guards against a rejected message whose id stays known because of an earlier outcome in the file. The id was
+// delivered, dropped from the ended ids, submitted again and rejected: its client may submit it once more.
 func TestReusedIDIsKnownByItsLastOutcome(t *testing.T) {
 	t.Parallel()
 	for name, compacted := range map[string]bool{"after a compaction": true, "without a compaction": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			directory := t.TempDir()
-			j := openTest(t, directory, 1<<20)
+			j := openJournal(t, directory, 1<<20)
 			for _, outcome := range []Outcome{OutcomeDelivered, OutcomeAnswered} {
 				m := acceptRecord(t, j, Record{ID: "a", Class: "safe"})
 				j.AppendMessageEnded(m, outcome, 0)
@@ -57,19 +57,21 @@
 						t.Fatal(err)
 					}
 				}
-				if outcome == OutcomeDelivered { // The id is forgotten.
+				if outcome == OutcomeDelivered { // Drop the id from the ended ones.
 					j.ended.current, j.ended.previous = idGeneration{}, idGeneration{}
 				}
 			}
-			closeTest(t, j)
-			if openTest(t, directory, 1<<20).Knows("a") {
-				t.Error("the id of a rejected message is known as one that has ended")
+			closeJournal(t, j)
+			if openJournal(t, directory, 1<<20).Knows("a") {
+				t.Error("the id of a rejected message is known as that of an ended one")
 			}
 		})
 	}
 }
 
-func TestEndedIDsAreForgottenByGeneration(t *testing.T) {
+// Guards against ids that are dropped too early or never: a complete generation stays until the next one is complete.
+// The size must count each id once, as it is part of the budget.
+func TestEndedIDsAreDroppedByGeneration(t *testing.T) {
 	t.Parallel()
 	e := endedIDs{maxGenerationSize: 1 << 30}
 	idOf := func(i int) string { return strconv.Itoa(1e6 + i) }
@@ -79,33 +81,34 @@
 		}
 	}
 	size := e.size()
-	add(0, maxEndedIDs)
+	add(0, maxIDsPerGeneration)
 	generationSize := e.size() - size
-	add(maxEndedIDs, 2*maxEndedIDs)
-	if !e.contains(idOf(0)) || !e.contains(idOf(maxEndedIDs)) || e.size() != 2*generationSize {
-		t.Errorf("two generations have %d bytes, one has %d", e.size(), generationSize)
+	add(maxIDsPerGeneration, 2*maxIDsPerGeneration)
+	if !e.contains(idOf(0)) || !e.contains(idOf(maxIDsPerGeneration)) || e.size() != 2*generationSize {
+		t.Errorf("ids are missing, or two generations take %d bytes while one takes %d", e.size(), generationSize)
 	}
-	add(2*maxEndedIDs, 2*maxEndedIDs+1)
-	if e.contains(idOf(0)) || !e.contains(idOf(maxEndedIDs)) || !e.contains(idOf(2*maxEndedIDs)) {
-		t.Error("the previous generation is not the last one that is complete")
+	add(2*maxIDsPerGeneration, 2*maxIDsPerGeneration+1)
+	if e.contains(idOf(0)) || !e.contains(idOf(maxIDsPerGeneration)) || !e.contains(idOf(2*maxIDsPerGeneration)) {
+		t.Error("the previous generation is not the last complete one")
 	}
-	if e.size() != generationSize+generationSize/maxEndedIDs {
-		t.Errorf("a generation and an id have %d bytes, a generation has %d", e.size(), generationSize)
+	if e.size() != generationSize+generationSize/maxIDsPerGeneration {
+		t.Errorf("one generation and one id take %d bytes, one generation takes %d", e.size(), generationSize)
 	}
 	sizeBefore := e.size()
-	e.add(idOf(2*maxEndedIDs), 2)
+	e.add(idOf(2*maxIDsPerGeneration), 2)
 	if e.size() != sizeBefore {
 		t.Error("an id that is added again is counted twice")
 	}
 }
 
-// The ids of ended messages count towards the budget, and leave space for further messages at any time.
+// Guards against ids of ended messages that exceed the budget or leave no space for new messages, as they would if the
+// ids were not counted or not limited.
 func TestEndedIDsStayWithinTheBudget(t *testing.T) {
 	t.Parallel()
 	const budget, messages = 64 << 10, 5000
 	directory := t.TempDir()
-	j := openTest(t, directory, budget)
-	// The JSON of "<" takes six bytes: no id is longer.
+	j := openJournal(t, directory, budget)
+	// The JSON of "<" takes six bytes, so these ids have the maximum size.
 	idOf := func(i int) string { return strings.Repeat("<", MaxNameLength-5) + strconv.Itoa(i) }
 	for i := range messages {
 		m, err := j.Accept(Record{ID: idOf(i), Class: "safe"})
@@ -117,14 +120,15 @@
 			t.Fatalf("message %d: %v", i, err)
 		}
 		if size := directorySize(t, directory); size > budget {
-			t.Fatalf("%d bytes after message %d", size, i)
+			t.Fatalf("the files have %d bytes after message %d, which exceeds the budget", size, i)
 		}
 	}
 	if !j.Knows(idOf(messages - 1)) {
-		t.Error("the last id is forgotten")
+		t.Error("the last id is not known")
 	}
 }
 
+// directorySize returns the total size of the files in a directory.
 func directorySize(t *testing.T, directory string) (size int64) {
 	t.Helper()
 	entries, err := os.ReadDir(directory)
--- a/internal/journal/endpointliststore.go
+++ b/internal/journal/endpointliststore.go
@@ -6,21 +6,22 @@
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 )
 
-// Changes of the endpoint list may take 1/endpointListBudgetDivisor of the journal's budget.
+// endpointListBudgetDivisor limits the changes of the endpoint list to 1/endpointListBudgetDivisor of the journal's
+// budget.
 const endpointListBudgetDivisor = 16
 
-// endpointListStore keeps what discovery has sent beyond the configuration's endpoint list, for the next process. One
-// that starts while discovery does not answer has nothing else: the configuration's list may be older, and the drains
-// that an earlier process was sent are binding all the same.
+// endpointListStore stores, for the next process, the changes that discovery has sent since the endpoint list of the
+// configuration. A process that starts while discovery does not answer depends on them: the configuration's list may be
+// older, and the process must respect the drains that were sent to an earlier process.
 type endpointListStore struct {
 	version int64                   // of the last change
-	changes []endpointlist.Endpoint // one for each endpoint, those that changed last at the end
-	size    int64                   // upper bound of their bytes in a compacted file
-	maxSize int64                   // bound of size
+	changes []endpointlist.Endpoint // the last change of each endpoint, ordered from the oldest to the newest
+	size    int64                   // upper bound of the bytes of changes in a compacted file
+	maxSize int64                   // limit for size
 }
 
-// apply takes in changes. Beyond the bound the oldest are dropped, those of serving endpoints first: without them some
-// capacity is lost, without the others calls are made that are forbidden.
+// apply stores changes. If they exceed maxSize, it drops the oldest ones, those of serving endpoints first: a missing
+// one of these loses some capacity, while a missing drain or deletion leads to calls that are not allowed.
 func (s *endpointListStore) apply(version int64, changes []endpointlist.Endpoint) {
 	s.version = max(s.version, version)
 	lastIndex := make(map[string]int, len(changes)) // of each endpoint's last change, by its id
@@ -41,7 +42,7 @@
 	s.trim(func(endpointlist.Endpoint) bool { return true })
 }
 
-// trim drops the oldest of the changes that may be dropped, until the others are within the bound.
+// trim drops the oldest changes for which mayDrop is true, until the others are within maxSize.
 func (s *endpointListStore) trim(mayDrop func(endpointlist.Endpoint) bool) {
 	if s.size <= s.maxSize {
 		return
@@ -49,8 +50,8 @@
 	s.deleteFunc(func(e endpointlist.Endpoint) bool { return s.size > s.maxSize && mayDrop(e) })
 }
 
-// deleteFunc drops the changes for which drop is true, from the oldest to the newest. The size is up to date at each
-// call.
+// deleteFunc drops the changes for which drop is true, from the oldest to the newest. It updates the size before the
+// next call of drop.
 func (s *endpointListStore) deleteFunc(drop func(endpointlist.Endpoint) bool) {
 	s.changes = slices.DeleteFunc(s.changes, func(e endpointlist.Endpoint) bool {
 		if !drop(e) {
@@ -61,12 +62,13 @@
 	})
 }
 
-// mergeInto returns the configuration's list with the changes, unless it is as new as they are.
+// mergeInto returns the configuration's list with the changes applied, or the list itself if its version is at least
+// that of the changes.
 func (s *endpointListStore) mergeInto(configured endpointlist.Update) endpointlist.Update {
 	if len(configured.Endpoints) > 0 && configured.Version >= s.version {
 		return configured
 	}
-	unmerged := make(map[string]endpointlist.Endpoint, len(s.changes)) // changes by endpoint
+	unmerged := make(map[string]endpointlist.Endpoint, len(s.changes)) // by the endpoint's id
 	for _, e := range s.changes {
 		unmerged[e.ID] = e
 	}
@@ -88,7 +90,7 @@
 	return merged
 }
 
-// record returns the record of all changes for a compacted file, nil if there are none.
+// record returns the record of all changes for a compacted file, or nil if there are none.
 func (s *endpointListStore) record() *Record {
 	if len(s.changes) == 0 {
 		return nil
--- a/internal/journal/endpointliststore_test.go
+++ b/internal/journal/endpointliststore_test.go
@@ -18,6 +18,8 @@
 	return endpointlist.Endpoint{ID: id, State: endpointlist.StateDeleted}
 }
 
+// Guards against a process that starts with an outdated list while discovery does not answer: it must apply the stored
+// changes to the configuration's list, unless that list is as new as they are.
 func TestEndpointListChangesAreMergedIntoTheConfiguration(t *testing.T) {
 	t.Parallel()
 	s := endpointListStore{maxSize: 1 << 20}
@@ -29,16 +31,17 @@
 	want := endpointlist.Update{Version: 4, Full: true,
 		Endpoints: []endpointlist.Endpoint{draining("a"), serving("c"), serving("d"), serving("new")}}
 	if got := s.mergeInto(configured); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("the merged list is %+v, want %+v", got, want)
 	}
 	configured.Version = 8
 	if got := s.mergeInto(configured); !reflect.DeepEqual(got, configured) {
-		t.Errorf("a list that is as new is changed to %+v", got)
+		t.Errorf("a list of the same version is changed to %+v", got)
 	}
 }
 
-// Where there is no space for all changes, those that forbid calls are kept longest.
-func TestEndpointListStoreStaysWithinItsBound(t *testing.T) {
+// Guards against stored changes that exceed their share of the budget, and against the loss of a drain or a deletion
+// while the change of a serving endpoint is kept: calls that are not allowed would follow.
+func TestEndpointListStoreStaysWithinItsLimit(t *testing.T) {
 	t.Parallel()
 	s := endpointListStore{maxSize: 20 * encodedItemSize(deleted("x10"))}
 	for n := range 100 {
@@ -48,29 +51,30 @@
 	for _, c := range s.changes {
 		sum += encodedItemSize(c)
 		if c.State == endpointlist.StateServing {
-			t.Errorf("%s is kept, which is serving", c.ID)
+			t.Errorf("the change of the serving endpoint %s is kept", c.ID)
 		}
 	}
 	if sum != s.size || s.size > s.maxSize || len(s.changes) < 18 {
-		t.Errorf("%d changes take %d bytes, counted as %d, at most %d", len(s.changes), sum, s.size, s.maxSize)
+		t.Errorf("%d changes take %d bytes, are counted as %d, and may take %d", len(s.changes), sum, s.size, s.maxSize)
 	}
 }
 
-// The changes outlive compactions and processes, and count towards the budget.
-func TestEndpointListChangesOutliveTheProcess(t *testing.T) {
+// Guards against changes of the endpoint list that are lost by a compaction or a restart, or that do not count towards
+// the budget.
+func TestEndpointListChangesSurviveTheProcess(t *testing.T) {
 	t.Parallel()
 	directory := t.TempDir()
-	j := openTest(t, directory, 1<<20)
+	j := openJournal(t, directory, 1<<20)
 	want := []endpointlist.Endpoint{deleted("a"), serving("b")}
 	j.AppendEndpointList(3, want)
-	flushTest(t, j)
+	flushJournal(t, j)
 	for range 2 {
-		j = openTest(t, directory, 1<<20)
+		j = openJournal(t, directory, 1<<20)
 		if !reflect.DeepEqual(j.endpointList.changes, want) || j.endpointList.version != 3 {
-			t.Fatalf("%+v", j.endpointList)
+			t.Fatalf("the endpoint list is restored as %+v", j.endpointList)
 		}
 		if j.size > j.liveBytes() {
-			t.Errorf("the file has %d bytes, and %d at most are counted", j.size, j.liveBytes())
+			t.Errorf("the file has %d bytes, its upper bound is %d", j.size, j.liveBytes())
 		}
 	}
 }
--- a/internal/journal/filesystem.go
+++ b/internal/journal/filesystem.go
@@ -12,13 +12,13 @@
 	io.Closer
 }
 
-// FileSystem is the part of a file system that the journal needs. Its errors are those of package os.
+// FileSystem is the part of a file system that the journal needs. Its methods return the errors of package os.
 type FileSystem interface {
-	// OpenFile is os.OpenFile.
+	// OpenFile opens a file, as os.OpenFile does.
 	OpenFile(path string, flag int, mode os.FileMode) (File, error)
-	// Rename is os.Rename.
+	// Rename renames a file, as os.Rename does.
 	Rename(from, to string) error
-	// Remove is os.Remove.
+	// Remove removes a file, as os.Remove does.
 	Remove(path string) error
 }
 
@@ -29,7 +29,7 @@
 func (OSFileSystem) OpenFile(path string, flag int, mode os.FileMode) (File, error) {
 	f, err := os.OpenFile(path, flag, mode)
 	if err != nil {
-		return nil, err // f is a nil *os.File, which is not equal to a nil File.
+		return nil, err // not f: a nil *os.File in a File is not equal to nil
 	}
 	return f, nil
 }
--- a/internal/journal/format_test.go
+++ b/internal/journal/format_test.go
@@ -15,9 +15,10 @@
 	"onyxdyke.example/onyxdyke/internal/golden"
 )
 
-// The journal's format outlives a release. The files under testdata were written by the release of commit 5d1fee9.
+// These tests guard the compatibility of the journal's format across releases. The files under testdata were written by
+// the release of commit 5d1fee9.
 
-// distantDeadline is not reached by any test: nothing is dropped for its age.
+// distantDeadline is so late that no message expires during a test.
 const distantDeadline = 200 * 365 * 24 * time.Hour
 
 var goldenRules = Rules{
@@ -43,7 +44,7 @@
 	{Destination: 4, Endpoint: "s-2", WarmingUp: true, Since: 120, StartedAt: 80, RateBefore: 0.5},
 }
 
-// writeGoldenJournal writes a record of every kind.
+// writeGoldenJournal writes records of all kinds.
 func writeGoldenJournal(t *testing.T, j *Journal) {
 	t.Helper()
 	accept := func(id string, effect dispatch.Effect) *Message {
@@ -67,10 +68,10 @@
 	j.AppendMessageEnded(accept("answered", dispatch.NonIdempotent), OutcomeAnswered, 0)
 	j.AppendMessageEnded(accept("given-up", dispatch.NonIdempotent), OutcomeGivenUp, 0)
 	j.AppendMessageEnded(accept("handed-back", dispatch.Idempotent), OutcomeReturned, 750*time.Millisecond)
-	announced := accept("told", dispatch.NonIdempotent)
-	j.AppendMessageEnded(announced, OutcomeGivenUp, 0)
-	j.AppendNoticeDelivered(announced)
-	flushTest(t, j)
+	notified := accept("told", dispatch.NonIdempotent)
+	j.AppendMessageEnded(notified, OutcomeGivenUp, 0)
+	j.AppendNoticeDelivered(notified)
+	flushJournal(t, j)
 }
 
 var (
@@ -79,15 +80,15 @@
 	clockState  = regexp.MustCompile(`"clock":\{"boot":"[^"]*","offset":-?[0-9]+,"uptime":[0-9]+\}`)
 )
 
-// sortedRecords returns a file's records as JSON in alphabetical order, as the ids of ended messages are written in no
-// fixed order. It checks and drops their checksums, and masks the times of writing.
+// sortedRecords returns the records of a file as JSON in alphabetical order, because the ids of ended messages are
+// written in no fixed order. It checks and removes their checksums, and replaces the times of writing by fixed values.
 func sortedRecords(t *testing.T, path string) string {
 	t.Helper()
 	var lines []string
 	for line := range strings.Lines(string(readFile(t, path))) {
 		parts := lineFormat.FindStringSubmatch(strings.TrimSuffix(line, "\n"))
 		if parts == nil || parts[1] != fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(parts[2]))) {
-			t.Fatalf("a line without its checksum: %q", line)
+			t.Fatalf("a line without a correct checksum: %q", line)
 		}
 		text := clockState.ReplaceAllString(parts[2], `"clock":{"boot":"B","offset":0,"uptime":0}`)
 		lines = append(lines, timeWritten.ReplaceAllString(text, `"at":1`)+"\n")
@@ -96,25 +97,27 @@
 	return strings.Join(lines, "")
 }
 
+// Guards against a change of what is written, which an earlier release could not read after a roll-back.
 func TestJournalIsWrittenAsReleased(t *testing.T) {
 	directory := t.TempDir()
-	writeGoldenJournal(t, openTest(t, directory, 1<<20))
+	writeGoldenJournal(t, openJournal(t, directory, 1<<20))
 	golden.Compare(t, "written.txt", sortedRecords(t, filepath.Join(directory, "messages.journal")))
 }
 
-// openGoldenJournal opens a copy of a journal that the release wrote.
+// openGoldenJournal opens a copy of the journal under testdata.
 func openGoldenJournal(t *testing.T) (j *Journal, directory string) {
 	t.Helper()
 	directory = t.TempDir()
 	raw := readFile(t, filepath.Join("testdata", "messages.journal"))
 	writeFile(t, filepath.Join(directory, "messages.journal"), raw)
-	return openTest(t, directory, 1<<20), directory
+	return openJournal(t, directory, 1<<20), directory
 }
 
+// Guards against a change that keeps this release from reading the journal of an earlier one after an upgrade.
 func TestReleasedJournalIsReadWithEqualState(t *testing.T) {
 	j, directory := openGoldenJournal(t)
 	if j.DamagedLines() != 0 || len(j.byID) != 4 {
-		t.Fatalf("%d damaged lines, %d messages", j.DamagedLines(), len(j.byID))
+		t.Fatalf("the journal has %d damaged lines and %d messages, want 0 and 4", j.DamagedLines(), len(j.byID))
 	}
 	t.Run("a message without attempts", func(t *testing.T) {
 		m := requireMessage(t, j, "waiting")
@@ -168,6 +171,7 @@
 	})
 }
 
+// requireMessage returns the message with an id, and fails the test if it or its rules are missing.
 func requireMessage(t *testing.T, j *Journal, id string) *Message {
 	t.Helper()
 	m := j.byID[id]
--- a/internal/journal/helpers_test.go
+++ b/internal/journal/helpers_test.go
@@ -8,8 +8,8 @@
 	"onyxdyke.example/onyxdyke/internal/clock"
 )
 
-// openTest opens the journal in a directory, as a process does after a kill of the one before.
-func openTest(t *testing.T, directory string, budget int64) *Journal {
+// openJournal opens the journal in a directory, as a process does after the previous one was killed.
+func openJournal(t *testing.T, directory string, budget int64) *Journal {
 	t.Helper()
 	j, err := Open(OSFileSystem{}, clock.New(time.Now()), directory, budget)
 	if err != nil {
@@ -18,14 +18,15 @@
 	return j
 }
 
-// acceptTest accepts a message whose key and body can be told from its id.
-func acceptTest(t *testing.T, j *Journal, id string) *Message {
+// acceptMessage accepts a message whose key and body are derived from its id.
+func acceptMessage(t *testing.T, j *Journal, id string) *Message {
 	t.Helper()
 	return acceptRecord(t, j, Record{
 		ID: id, Class: "keyed", Key: "k" + id, Destination: 3, Deadline: 99, Body: []byte("body " + id),
 	})
 }
 
+// acceptRecord accepts a message and fails the test on an error.
 func acceptRecord(t *testing.T, j *Journal, r Record) *Message {
 	t.Helper()
 	m, err := j.Accept(r)
@@ -35,14 +36,14 @@
 	return m
 }
 
-func flushTest(t *testing.T, j *Journal) {
+func flushJournal(t *testing.T, j *Journal) {
 	t.Helper()
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func closeTest(t *testing.T, j *Journal) {
+func closeJournal(t *testing.T, j *Journal) {
 	t.Helper()
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -13,19 +13,20 @@
 const (
 	// FileName is the name of the journal in the state directory.
 	FileName = "messages.journal"
-	// RetryInterval is the pause between compactions while they fail.
+	// RetryInterval is the minimum time between two attempts to compact the file while they fail.
 	RetryInterval = 200 * time.Millisecond
 
-	// clockReserve is how many bytes the record of the clock may take.
+	// clockReserve is the maximum size in bytes of the record of the clock.
 	clockReserve = 256
-	// recordReserve is how many bytes a record of the endpoint list or of outages adds to its items.
+	// recordReserve is the maximum size in bytes of a record of the endpoint list or of outages without its items.
 	recordReserve = 128
-	// Accept leaves 1/acceptReserveDivisor of the budget free: with less, every further record would take a compaction.
+	// acceptReserveDivisor is the divisor of the budget that gives the space which Accept leaves free for the records
+	// of accepted messages. With less free space, every further record would require a compaction.
 	acceptReserveDivisor = 10
 )
 
-// ErrFull says that nothing is written: the budget is used up, or a write has failed and the last compaction was tried
-// less than RetryInterval ago.
+// ErrFull is returned when nothing was written because the budget is used up, or because a write has failed and the
+// last attempt to compact the file was less than RetryInterval ago.
 var ErrFull = errors.New("journal: no space left")
 
 // Journal is an open journal. Only one goroutine may use it.
@@ -33,17 +34,17 @@
 	path   string
 	files  FileSystem
 	clock  *clock.Clock
-	budget int64 // bytes that the old and the new file may take together
+	budget int64 // maximum size of the old and the new file together, in bytes
 
 	file        File
-	size        int64        // bytes in file
-	buffer      bytes.Buffer // lines that Flush will write
-	failed      bool         // the last write failed: nothing is written until a compaction succeeds
-	compactedAt time.Time    // when a compaction was last tried
+	size        int64        // of file, in bytes
+	buffer      bytes.Buffer // lines that the next Flush writes
+	failed      bool         // the last write failed: nothing is appended until a compaction succeeds
+	compactedAt time.Time    // time of the last attempt to compact the file
 
 	byID         map[string]*Message
-	order        []*Message // as accepted; messages that are not in byID any more are dropped by a compaction
-	messageBytes int64      // the sum of reservedBytes of the messages in byID
+	order        []*Message // in order of acceptance; a compaction drops the messages that are no longer in byID
+	messageBytes int64      // sum of reservedBytes of the messages in byID
 	ended        endedIDs
 	endpointList endpointListStore
 	outages      outageStore
@@ -51,8 +52,8 @@
 	damagedLines int
 }
 
-// Accept writes that a message is accepted. Where it returns an error, ErrFull or that of the file system, the message
-// is not accepted.
+// Accept writes the record of a message that is accepted. If it returns an error, which is ErrFull or an error of the
+// file system, the message is not accepted.
 func (j *Journal) Accept(r Record) (*Message, error) {
 	r.Kind = KindMessageAccepted
 	var line bytes.Buffer
@@ -72,9 +73,10 @@
 	return m, nil
 }
 
-// makeSpace compacts the file if a new message does not fit otherwise, or if the last write failed.
+// makeSpace compacts the file if the last write failed or if a new message does not fit otherwise. It returns ErrFull
+// if the message does not fit after a compaction either.
 func (j *Journal) makeSpace(m *Message) error {
-	// The message takes its bytes in the file, and once more in the file of the next compaction.
+	// The message needs its bytes twice: in the current file and in the file that the next compaction writes.
 	fitsWithFileSize := func(size int64) bool {
 		return size+j.liveBytes()+2*m.reservedBytes <= j.budget-j.budget/acceptReserveDivisor
 	}
@@ -91,20 +93,21 @@
 	return nil
 }
 
-// AppendAttemptStarted records the next attempt of a message.
+// AppendAttemptStarted records the start of a message's next attempt.
 func (j *Journal) AppendAttemptStarted(m *Message, attempt Attempt) {
 	attempt.Endpoint = attempt.Endpoint[:min(len(attempt.Endpoint), maxEndpointLength)]
 	j.appendToMessage(m, Record{Kind: KindAttemptStarted, AttemptIndex: len(m.Attempts), StartedAttempt: &attempt})
 }
 
-// AppendAttemptEnded records that an attempt ended without ending its message, and whether it surely had no effect.
+// AppendAttemptEnded records that an attempt ended without ending its message. neverRan states that the attempt surely
+// had no effect.
 func (j *Journal) AppendAttemptEnded(m *Message, attemptIndex int, neverRan bool) {
 	j.appendToMessage(m, Record{Kind: KindAttemptEnded, AttemptIndex: attemptIndex, NeverRan: neverRan})
 }
 
-// AppendMessageEnded records a message's outcome. After OutcomeDelivered and OutcomeAnswered the journal drops the
-// message; after the others it keeps it, without its body, until AppendNoticeDelivered. A returned message may be
-// submitted again after retryAfter, which is stored in milliseconds.
+// AppendMessageEnded records the outcome of a message. After OutcomeDelivered and OutcomeAnswered the journal drops the
+// message. After the other outcomes it keeps the message without its body until AppendNoticeDelivered is called. The
+// client may submit a returned message again after retryAfter, which is stored in milliseconds.
 func (j *Journal) AppendMessageEnded(m *Message, outcome Outcome, retryAfter time.Duration) {
 	j.appendToMessage(m, Record{
 		Kind:         KindMessageEnded,
@@ -114,13 +117,13 @@
 	})
 }
 
-// AppendNoticeDelivered records that the platform has taken the notice of a message's end. The journal drops the
+// AppendNoticeDelivered records that the platform has accepted the notice of a message's end. The journal drops the
 // message.
 func (j *Journal) AppendNoticeDelivered(m *Message) {
 	j.appendToMessage(m, Record{Kind: KindNoticeDelivered, EndedAt: j.clock.Now()})
 }
 
-// appendToMessage buffers a record on a message, and updates the message.
+// appendToMessage buffers a record about a message, and updates the message accordingly.
 func (j *Journal) appendToMessage(m *Message, r Record) {
 	r.ID = m.ID
 	j.bufferRecord(&r)
@@ -136,7 +139,8 @@
 		return
 	}
 	j.endpointList.apply(version, changes)
-	// Of more changes than fit only the last are kept; the file need not have the others either.
+	// If the changes exceed the limit, the store keeps only the last ones, and the file does not need the others
+	// either.
 	kept := j.endpointList.changes[max(0, len(j.endpointList.changes)-len(changes)):]
 	j.bufferRecord(&Record{Kind: KindEndpointListDelta, Version: version, Endpoints: kept})
 }
@@ -147,14 +151,15 @@
 	j.outages.apply(changes)
 }
 
+// bufferRecord adds a record to the buffer. A record that cannot be encoded counts as a failed write.
 func (j *Journal) bufferRecord(r *Record) {
 	if _, err := encode(&j.buffer, r); err != nil {
 		j.failed = true
 	}
 }
 
-// Flush writes the buffered records, or compacts the file where they do not fit. After a failed write the file may lack
-// records, so that nothing more is added to it: then a compaction writes the state that the records led to.
+// Flush writes the buffered records, or compacts the file if they do not fit. After a failed write the file may lack
+// records, so nothing more is appended to it: a compaction writes the state in memory instead.
 func (j *Journal) Flush() error {
 	if j.buffer.Len() == 0 {
 		return nil
@@ -177,25 +182,29 @@
 	return nil
 }
 
-// isRetryTooEarly reports whether the last write failed and the pause after it is not over.
+// isRetryTooEarly reports whether the last write failed and RetryInterval has not yet passed since the last attempt to
+// compact the file.
 func (j *Journal) isRetryTooEarly() bool {
 	return j.failed && time.Since(j.compactedAt) < RetryInterval
 }
 
-// unflushedSize is the size of the file with the buffered records, in bytes.
+// unflushedSize returns the size of the file including the buffered records, in bytes.
 func (j *Journal) unflushedSize() int64 { return j.size + int64(j.buffer.Len()) }
 
-// liveBytes is an upper bound of a compacted file's size, now and until its messages have ended.
+// liveBytes returns an upper bound of the size of a compacted file in bytes, both now and until its messages have
+// ended.
 func (j *Journal) liveBytes() int64 {
 	return clockReserve + 2*recordReserve + j.messageBytes + j.ended.size() + j.endpointList.size + j.outages.size
 }
 
+// add adds a message to the state in memory.
 func (j *Journal) add(m *Message) {
 	j.byID[m.ID] = m
 	j.order = append(j.order, m)
 	j.messageBytes += m.reservedBytes
 }
 
+// remove removes a message from the state in memory. The next compaction drops it from order.
 func (j *Journal) remove(m *Message) {
 	if j.byID[m.ID] == m {
 		delete(j.byID, m.ID)
@@ -204,8 +213,9 @@
 	}
 }
 
-// finish removes a message after its final record, and remembers its id. One that was rejected, in the answer to its
-// client or by a notice, is not remembered, as its client may submit it again.
+// finish removes a message after its final record and stores its id among those of ended messages. The id of a message
+// that was rejected, in the response to its client or by a notice, is not stored, because the client may submit it
+// again.
 func (j *Journal) finish(m *Message, final *Record) {
 	j.remove(m)
 	if final.Outcome != OutcomeAnswered && m.PendingOutcome != OutcomeReturned {
@@ -222,29 +232,29 @@
 	return err
 }
 
-// Failed reports whether the last write failed: nothing is written until a compaction succeeds.
+// Failed reports whether the last write failed. If so, nothing is appended until a compaction succeeds.
 func (j *Journal) Failed() bool { return j.failed }
 
-// DamagedLines returns how many lines of the file were damaged when it was opened.
+// DamagedLines returns the number of damaged lines that were found when the file was opened.
 func (j *Journal) DamagedLines() int { return j.damagedLines }
 
-// Knows reports whether a message was accepted and has not ended, or ended recently otherwise than by a rejection.
+// Knows reports whether a message with this id was accepted and either has not ended or ended recently with an outcome
+// other than a rejection.
 func (j *Journal) Knows(id string) bool { return j.byID[id] != nil || j.ended.contains(id) }
 
-// Messages returns the messages that have not ended or whose notice is pending, in the order in which they were
-// accepted.
+// Messages returns the messages that have not ended or whose notice is pending, in the order of their acceptance.
 func (j *Journal) Messages() []*Message { return j.order }
 
-// Message returns the message with an id, nil if there is none.
+// Message returns the message with an id, or nil if there is none.
 func (j *Journal) Message(id string) *Message { return j.byID[id] }
 
 // Len returns the number of messages that have not ended or whose notice is pending.
 func (j *Journal) Len() int { return len(j.byID) }
 
-// MergeEndpointList returns the configuration's endpoint list with the changes that discovery has sent since.
+// MergeEndpointList returns the configuration's endpoint list with the changes applied that discovery has sent since.
 func (j *Journal) MergeEndpointList(configured endpointlist.Update) endpointlist.Update {
 	return j.endpointList.mergeInto(configured)
 }
 
-// Outages returns the outages that are not resolved, those that changed last at the end.
+// Outages returns the unresolved outages, ordered by their last change from the oldest to the newest.
 func (j *Journal) Outages() []Outage { return j.outages.outages }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -9,20 +9,21 @@
 	"testing"
 )
 
-// requireWithinBudget fails the test unless the file and a compaction of it fit into the budget together.
+// requireWithinBudget fails the test unless the file and its compacted version fit into the budget together.
 func requireWithinBudget(t *testing.T, j *Journal, accepted int) {
 	t.Helper()
 	if j.size+j.liveBytes() > j.budget {
-		t.Fatalf("after message %d: %d bytes and a compaction of up to %d", accepted, j.size, j.liveBytes())
+		t.Fatalf("after message %d: the file has %d bytes and a compacted one up to %d, which exceeds the budget",
+			accepted, j.size, j.liveBytes())
 	}
 }
 
-// Old and new file together stay within the budget, however many messages there have been. A message without space is
-// rejected, and one that ends makes space again.
+// Guards against files that exceed the budget after many messages. A message for which there is no space must be
+// rejected, and a message that ends must free its space again.
 func TestFilesStayWithinTheBudget(t *testing.T) {
 	const budget, messages = 64 << 10, 3000
 	directory := t.TempDir()
-	j := openTest(t, directory, budget)
+	j := openJournal(t, directory, budget)
 	var accepted []*Message
 	rejected := 0
 	for i := range messages {
@@ -41,7 +42,7 @@
 				j.AppendAttemptStarted(m, Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"})
 				j.AppendAttemptEnded(m, n, true)
 			}
-			flushTest(t, j)
+			flushJournal(t, j)
 		}
 		requireWithinBudget(t, j, i)
 		if i%3 == 0 && len(accepted) > 0 {
@@ -50,22 +51,22 @@
 		}
 	}
 	if rejected == 0 || len(accepted) == 0 || rejected == messages {
-		t.Errorf("%d rejected, %d accepted and not ended", rejected, len(accepted))
+		t.Errorf("%d messages are rejected, %d are accepted and have not ended", rejected, len(accepted))
 	}
-	closeTest(t, j)
-	if again := openTest(t, directory, budget); len(again.byID) != len(accepted) {
-		t.Errorf("%d of %d are restored", len(again.byID), len(accepted))
+	closeJournal(t, j)
+	if again := openJournal(t, directory, budget); len(again.byID) != len(accepted) {
+		t.Errorf("%d of %d messages are restored", len(again.byID), len(accepted))
 	}
 	if _, err := os.Stat(filepath.Join(directory, FileName+".new")); !os.IsNotExist(err) {
 		t.Errorf("the new file is left: %v", err)
 	}
 }
 
-// The settings limit the number of pending messages, not the journal: of what a message may come to only its line in a
-// compacted file is reserved. And a few records more do not take a compaction each.
+// Guards against a journal that limits the number of pending messages before the settings do, which happens if more is
+// reserved for a message than its line in a compacted file. It also guards against a compaction for every few records.
 func TestJournalHasSpaceForTheMessagesThatTheSettingsAllow(t *testing.T) {
 	const maxPending, bodySize, budget = 650, 600, 2_880_000 // the budget of a limit of 3 MB of disk
-	j := openTest(t, t.TempDir(), budget)
+	j := openJournal(t, t.TempDir(), budget)
 	compactions, lastCompaction := 0, j.compactedAt
 	idOf := func(i int) string { return fmt.Sprintf("%016x", i) }
 	for i := range 4 * maxPending {
@@ -74,12 +75,12 @@
 			Destination: 10, Deadline: 1 << 60, Body: bytes.Repeat([]byte{255}, bodySize),
 		})
 		if err != nil {
-			t.Fatalf("after %d, %d of them pending: %v", i, len(j.byID), err)
+			t.Fatalf("message %d is rejected with %d messages pending: %v", i, len(j.byID), err)
 		}
 		for n := range 3 {
 			j.AppendAttemptStarted(m, Attempt{SentAt: 1 << 60, Endpoint: "s-5be2a07c"})
 			j.AppendAttemptEnded(m, n, true)
-			flushTest(t, j)
+			flushJournal(t, j)
 			if j.compactedAt != lastCompaction {
 				compactions, lastCompaction = compactions+1, j.compactedAt
 			}
@@ -90,16 +91,17 @@
 		}
 	}
 	if compactions > maxPending/10 {
-		t.Errorf("%d compactions", compactions)
+		t.Errorf("%d compactions are too many", compactions)
 	}
 }
 
-// While the disk is full, messages are rejected and nothing is lost that was written. When there is space again, the
-// state is written as a whole.
+// Guards against a loss of messages on a full disk. While writes fail, new messages must be rejected and the written
+// ones stay. When there is space again, a compaction must write the whole state, including the record that was not
+// written.
 func TestFullDiskRejectsMessagesAndLosesNone(t *testing.T) {
 	directory := t.TempDir()
-	j := openTest(t, directory, 1<<20)
-	a := acceptTest(t, j, "a")
+	j := openJournal(t, directory, 1<<20)
+	a := acceptMessage(t, j, "a")
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	if err != nil {
 		t.Skip(err)
@@ -108,7 +110,7 @@
 		t.Fatal(err)
 	}
 	j.file = full
-	// No new file can be made either: a directory is in its place.
+	// A directory at the path of the new file makes compactions fail, too.
 	if err := os.MkdirAll(filepath.Join(j.path+".new", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -125,9 +127,9 @@
 		t.Fatal(err)
 	}
 	j.compactedAt = j.compactedAt.Add(-RetryInterval)
-	acceptTest(t, j, "c")
-	again := openTest(t, directory, 1<<20)
+	acceptMessage(t, j, "c")
+	again := openJournal(t, directory, 1<<20)
 	if m := again.byID["a"]; len(again.byID) != 2 || m == nil || len(m.Attempts) != 1 {
-		t.Errorf("%d messages are restored, a is %+v", len(again.byID), m)
+		t.Errorf("%d messages are restored, want 2; message a is %+v", len(again.byID), m)
 	}
 }
--- a/internal/journal/message.go
+++ b/internal/journal/message.go
@@ -1,23 +1,25 @@
 package journal
 
-// messageReserve is how many bytes a message's attempts and its end may add to its line in a compacted file. No more is
-// reserved for them: the records of the single events are dropped by the next compaction.
+// messageReserve is the number of bytes that are reserved for what a message's attempts and its end may add to its line
+// in a compacted file. Nothing is reserved for the records of the single events, because the next compaction drops
+// them.
 const messageReserve = 640
 
-// maxReplayedAttempts bounds the number of attempts that a record read from the file may claim.
+// maxReplayedAttempts is the largest attempt index that is used from a record in the file. It bounds the number of
+// unknown attempts that a damaged file can add to a message.
 const maxReplayedAttempts = 100
 
-// Message is a message as the journal stores it, with the attempts that were made.
+// Message is a message in the journal, with the attempts to deliver it.
 type Message struct {
 	Record // of KindMessageAccepted
 
-	PendingOutcome      Outcome // how the message ended, while the notice of that is pending; empty before the end
-	PendingRetryAfterMS int64   // what that notice tells the client, in milliseconds
+	PendingOutcome      Outcome // outcome of a message that has ended and whose notice is pending; empty before the end
+	PendingRetryAfterMS int64   // retry time in that notice, in milliseconds
 
-	reservedBytes int64 // upper bound of its line in a compacted file
+	reservedBytes int64 // upper bound of the size of its line in a compacted file
 }
 
-// newMessage makes a message of the record that it was accepted, as a line of lineLength bytes.
+// newMessage creates a message from the record of its acceptance, whose line has lineLength bytes.
 func newMessage(r Record, lineLength int) *Message {
 	return &Message{
 		Record:              r,
@@ -27,14 +29,14 @@
 	}
 }
 
-// apply updates the message by a later record.
+// apply updates the message according to a later record.
 func (m *Message) apply(r *Record) {
 	switch r.Kind {
 	case KindAttemptStarted:
 		if r.StartedAttempt == nil {
 			return
 		}
-		// Where the record of an earlier attempt is damaged, that one may have run, at an unknown time.
+		// If the record of an earlier attempt is damaged, that attempt may have run at an unknown time.
 		for len(m.Attempts) < min(r.AttemptIndex, maxReplayedAttempts) {
 			m.addUnknownAttempt()
 		}
@@ -53,7 +55,7 @@
 	m.Attempts = append(m.Attempts, Attempt{})
 }
 
-// FirstPossibleRun returns the first attempt that may have run, and whether there is one.
+// FirstPossibleRun returns the first attempt that may have had an effect, and whether there is one.
 func (m *Message) FirstPossibleRun() (first Attempt, found bool) {
 	for _, attempt := range m.Attempts {
 		if !attempt.NeverRan {
@@ -63,7 +65,7 @@
 	return Attempt{}, false
 }
 
-// compacted returns the record that states the message and all that has become of it.
+// compacted returns the record of the message for a compacted file, which includes its attempts and its outcome.
 func (m *Message) compacted() Record {
 	r := m.Record
 	r.Outcome, r.RetryAfterMS = m.PendingOutcome, m.PendingRetryAfterMS
--- a/internal/journal/message_test.go
+++ b/internal/journal/message_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// Where the records of earlier attempts are lost, those may have run.
+// Guards against a message that is sent again although an earlier attempt may have run: if the records of earlier
+// attempts are missing, they count as unknown attempts. A damaged index must not add an unlimited number of them.
 func TestAttemptsBeforeAnIntactOneMayHaveRun(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		index, want int
 	}{
-		"the first attempt":    {index: 0, want: 1},
-		"two attempts lost":    {index: 2, want: 3},
-		"an index that is off": {index: 1 << 40, want: maxReplayedAttempts + 1},
+		"the first attempt":     {index: 0, want: 1},
+		"two attempts missing":  {index: 2, want: 3},
+		"an index out of range": {index: 1 << 40, want: maxReplayedAttempts + 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -24,18 +25,19 @@
 				t.Fatalf("%d attempts, want %d", len(m.Attempts), c.want)
 			}
 			if first, mayHaveRun := m.FirstPossibleRun(); !mayHaveRun || (first.SentAt == 1) != (c.want == 1) {
-				t.Errorf("the first one that may have run is %+v, %v", first, mayHaveRun)
+				t.Errorf("the first attempt that may have run is %+v, found %v", first, mayHaveRun)
 			}
 		})
 	}
 }
 
-func TestStoredEndpointNamesAreBounded(t *testing.T) {
+// Guards against records of attempts that grow with the length of an endpoint's name.
+func TestStoredEndpointNamesAreTruncated(t *testing.T) {
 	t.Parallel()
-	j := openTest(t, t.TempDir(), 1<<20)
-	m := acceptTest(t, j, "a")
+	j := openJournal(t, t.TempDir(), 1<<20)
+	m := acceptMessage(t, j, "a")
 	j.AppendAttemptStarted(m, Attempt{SentAt: 1, Endpoint: strings.Repeat("s", MaxNameLength)})
 	if got := m.Attempts[0].Endpoint; got != strings.Repeat("s", maxEndpointLength) {
-		t.Errorf("%q", got)
+		t.Errorf("the stored name of the endpoint is %q", got)
 	}
 }
--- a/internal/journal/outagestore.go
+++ b/internal/journal/outagestore.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Outages may take 1/outagesBudgetDivisor of the journal's budget.
+// outagesBudgetDivisor limits the outages to 1/outagesBudgetDivisor of the journal's budget.
 const outagesBudgetDivisor = 32
 
-// Outage is a dispatch.Outage as it is stored: it names its endpoint by id, as numbers of endpoints are only valid
-// within a process.
+// Outage is the stored form of a dispatch.Outage. It refers to its endpoint by id, because the dispatcher's endpoint
+// numbers are valid only within a process.
 type Outage struct {
 	Destination uint32        `json:"dest"`
-	Endpoint    string        `json:"endpoint,omitempty"` // where endpoints have circuit breakers of their own
+	Endpoint    string        `json:"endpoint,omitempty"` // set if each endpoint has a circuit breaker of its own
 	Resolved    bool          `json:"over,omitempty"`
 	WarmingUp   bool          `json:"cold,omitempty"`
-	Since       time.Duration `json:"since,omitempty"`  // when the present state began
+	Since       time.Duration `json:"since,omitempty"`  // when the current state began
 	StartedAt   time.Duration `json:"began,omitempty"`  // when the outage began
 	RateBefore  float64       `json:"before,omitempty"` // calls per second before the outage
 }
 
-// outageStore keeps the outages that are not resolved, for the next process.
+// outageStore stores the unresolved outages for the next process.
 type outageStore struct {
-	outages []Outage // those that changed last at the end
-	size    int64    // upper bound of their bytes in a compacted file
-	maxSize int64    // bound of size
+	outages []Outage // ordered by their last change, from the oldest to the newest
+	size    int64    // upper bound of the bytes of outages in a compacted file
+	maxSize int64    // limit for size
 }
 
-// apply takes in changes. Beyond the bound the oldest outages are dropped.
+// apply stores changes. If the outages exceed maxSize, it drops the oldest ones.
 func (s *outageStore) apply(changes []Outage) {
 	for _, changed := range changes {
 		isSame := func(o Outage) bool { return o.Destination == changed.Destination && o.Endpoint == changed.Endpoint }
@@ -49,7 +49,7 @@
 	s.outages = slices.Delete(s.outages, i, i+1)
 }
 
-// record returns the record of all outages for a compacted file, nil if there are none.
+// record returns the record of all outages for a compacted file, or nil if there are none.
 func (s *outageStore) record() *Record {
 	if len(s.outages) == 0 {
 		return nil
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -13,10 +13,10 @@
 	"onyxdyke.example/onyxdyke/internal/endpointlist"
 )
 
-// The format of the file outlives a release: neither the kinds of records, nor the keys of their JSON, nor the words
-// and numbers stored under them ever change.
+// The format of the file has to stay compatible across releases: the kinds of records, the keys of their JSON, and the
+// words and numbers stored under these keys must never change.
 
-// RecordKind is what a record states.
+// RecordKind is the type of a record.
 type RecordKind string
 
 // The kinds of records, as they are stored.
@@ -32,25 +32,28 @@
 	KindOutagesDelta      RecordKind = "outages"
 )
 
-// Outcome is how a message ended, as it is stored.
+// Outcome is the stored outcome of a message.
 type Outcome string
 
-// The outcomes of a message. Those that the platform gets a notice of are the notice's words.
+// The outcomes of a message. The platform receives a notice of OutcomeGivenUp and OutcomeReturned, which has the same
+// words.
 const (
 	OutcomeDelivered Outcome = "delivered"
-	OutcomeAnswered  Outcome = "answered" // in the response to its client: rejected, failed or cancelled
+	OutcomeAnswered  Outcome = "answered" // rejected, failed or cancelled, and reported in the response to the client
 	OutcomeGivenUp   Outcome = "given_up"
 	OutcomeReturned  Outcome = "handed_back"
 )
 
-// MaxNameLength bounds ids, keys and endpoint names in bytes: without it a record would have no bound.
+// MaxNameLength is the maximum length in bytes of ids, keys and endpoint names. It bounds the size of a record.
 const MaxNameLength = 128
 
-// maxEndpointLength bounds an endpoint's name in an attempt, in bytes: it is stored for whoever reads the file only.
+// maxEndpointLength is the length in bytes to which an endpoint's name is truncated in an attempt. The name is stored
+// only for people who read the file.
 const maxEndpointLength = 24
 
-// Record is one line of the file. Which fields it has depends on its kind. Its times are those of the sender's clock,
-// and the first line of a file states how to read them; without that line they are Unix time.
+// Record is one line of the file. Its kind determines which fields it has. Its times are those of the sender's clock.
+// The first line of a file, a record of KindClock, states how that clock is read by another process; without that line
+// the times are Unix time.
 type Record struct {
 	Kind RecordKind `json:"op"`
 	ID   string     `json:"id"` // of the message
@@ -62,11 +65,11 @@
 	// KindOutagesDelta: the outages that changed.
 	Outages []Outage `json:"outages,omitempty"`
 
-	// KindClock: how the times of all records are to be read.
+	// KindClock: the epoch of the clock that the times of all records refer to.
 	Clock *clock.Epoch `json:"clock,omitempty"`
 
-	// KindMessageAccepted: the message as its client submitted it. In a compacted file Attempts, Outcome and
-	// RetryAfterMS state what has become of it since.
+	// KindMessageAccepted: the message as its client submitted it. In a compacted file, Attempts, Outcome and
+	// RetryAfterMS hold its later state.
 	Key         string        `json:"key,omitempty"`
 	Class       string        `json:"class,omitempty"`
 	Tenant      string        `json:"tenant,omitempty"`
@@ -76,12 +79,12 @@
 	Body        []byte        `json:"body,omitempty"`
 	Attempts    []Attempt     `json:"tries,omitempty"`
 
-	// KindAttemptStarted and KindAttemptEnded: which attempt of the message, counted from 0.
+	// KindAttemptStarted and KindAttemptEnded: the index of the attempt among those of the message, from 0.
 	AttemptIndex   int      `json:"try,omitempty"`
 	StartedAttempt *Attempt `json:"sent,omitempty"`  // KindAttemptStarted
 	NeverRan       bool     `json:"never,omitempty"` // KindAttemptEnded: the attempt surely had no effect
 
-	// KindMessageEnded: one of the outcomes, and for a returned message when its client may submit it again.
+	// KindMessageEnded: the outcome, and for a returned message the time after which its client may submit it again.
 	Outcome      Outcome `json:"how,omitempty"`
 	RetryAfterMS int64   `json:"retry_ms,omitempty"` // in milliseconds
 
@@ -89,7 +92,7 @@
 	EndedAt time.Duration `json:"at,omitempty"`
 }
 
-// isFinal reports whether the journal has nothing to keep of the message after this record but its id: no notice of
+// isFinal reports whether the journal needs to keep only the id of the message after this record, because no notice of
 // its end is pending.
 func (r *Record) isFinal() bool {
 	switch r.Kind {
@@ -102,8 +105,8 @@
 	}
 }
 
-// Rules are the rules that a message was accepted under. By the time that the record is read the settings may define
-// its class otherwise, or not at all.
+// Rules are the rules of a message's class at the time of its acceptance. When the record is read, the settings may
+// define that class differently, or not at all.
 type Rules struct {
 	Effect            dispatch.Effect `json:"e,omitempty"`
 	KeyScopedToZone   bool            `json:"z,omitempty"`
@@ -116,7 +119,7 @@
 	LateWeight        float64         `json:"l,omitempty"`
 }
 
-// NewRules copies the rules of a class.
+// NewRules returns the rules of a class, with the maximum number of attempts.
 func NewRules(class dispatch.Class, maxAttempts int) *Rules {
 	return &Rules{
 		Effect:            class.Effect,
@@ -131,8 +134,8 @@
 	}
 }
 
-// ForDispatcher translates the rules for the dispatcher. It returns nil for nil rules, which a record has that was
-// written before rules were stored: the settings of the message's class decide then.
+// ForDispatcher translates the rules for the dispatcher. It returns nil for nil rules. A record has nil rules if it was
+// written before rules were stored; the current settings of the message's class apply then.
 func (r *Rules) ForDispatcher() *dispatch.Rules {
 	if r == nil {
 		return nil
@@ -152,19 +155,19 @@
 	}
 }
 
-// Attempt is one attempt to deliver a message. One whose end is not recorded may have run.
+// Attempt is one attempt to deliver a message. An attempt whose end is not recorded may have run.
 type Attempt struct {
 	SentAt   time.Duration `json:"at"`
 	Endpoint string        `json:"endpoint"`
 	Zone     int           `json:"zone,omitempty"`
-	NeverRan bool          `json:"never,omitempty"` // it surely had no effect
+	NeverRan bool          `json:"never,omitempty"` // the attempt surely had no effect
 }
 
 // A line is the CRC-32 of the record's JSON in hexadecimal, a space, the JSON and a newline.
 const (
 	checksumLength = 8
-	prefixLength   = checksumLength + 1 // with the space
-	// minLineLength is the length of a line with an empty record.
+	prefixLength   = checksumLength + 1 // the checksum and the space
+	// minLineLength is the length of a line without a record: the prefix and the newline.
 	minLineLength = prefixLength + 1
 )
 
@@ -177,7 +180,7 @@
 	return fmt.Fprintf(w, "%08x %s\n", crc32.ChecksumIEEE(text), text)
 }
 
-// decode reads a line, its newline included, into r. It reports whether the line is intact.
+// decode decodes a line, including its newline, into r. It reports whether the line is intact.
 func decode(line []byte, r *Record) bool {
 	if len(line) < minLineLength {
 		return false
@@ -187,11 +190,11 @@
 	return err == nil && uint32(checksum) == crc32.ChecksumIEEE(text) && json.Unmarshal(text, r) == nil
 }
 
-// encodedItemSize is how many bytes an item of a record's list takes, with its separator.
+// encodedItemSize returns the size in bytes of an item in a record's list, including its separator.
 func encodedItemSize(item any) int64 {
 	text, err := json.Marshal(item)
 	if err != nil {
-		return recordReserve // Items consist of plain values: this cannot happen.
+		return recordReserve // This cannot happen: items consist of plain values.
 	}
 	return int64(len(text)) + 1
 }
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -15,11 +15,11 @@
 	"onyxdyke.example/onyxdyke/internal/clock"
 )
 
-// Open replays the journal that an earlier process left in a directory and starts a compacted file. It makes the clock
+// Open replays the journal that an earlier process left in a directory and writes a compacted file. It makes the clock
 // continue that of the earlier process. The old and the new file together never take more than budget bytes.
 //
-// On a full disk it succeeds all the same: the old file stays as it is, and Failed reports true until a compacted one
-// can be written.
+// Open also succeeds on a full disk: the old file stays unchanged, and Failed reports true until a compacted file can
+// be written.
 func Open(files FileSystem, clock *clock.Clock, directory string, budget int64) (*Journal, error) {
 	j := &Journal{
 		files:        files,
@@ -34,14 +34,14 @@
 	if err := j.replayFile(); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	// Messages that have ended are dropped here and not only by the compaction, which may fail: this process must not
-	// resume them.
+	// Messages that have ended are dropped here, not only by the compaction, because this process must not resume them
+	// even if the compaction fails.
 	j.order = slices.DeleteFunc(j.order, func(m *Message) bool { return j.byID[m.ID] != m })
-	_ = j.Compact() // Failed reports an error until a later compaction succeeds.
+	_ = j.Compact() // After an error, Failed reports true until a later compaction succeeds.
 	return j, nil
 }
 
-// replayFile reads the file of an earlier process, if there is one.
+// replayFile replays the file of an earlier process, if there is one.
 func (j *Journal) replayFile() error {
 	file, err := j.files.OpenFile(j.path, os.O_RDONLY, 0)
 	if errors.Is(err, os.ErrNotExist) {
@@ -54,12 +54,13 @@
 	return j.replay(file)
 }
 
+// replay replays the lines of a file. Damaged lines are counted and skipped.
 func (j *Journal) replay(r io.Reader) error {
 	lines := bufio.NewReaderSize(r, ioBufferSize)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return nil // A line without its newline was torn by a kill.
+			return nil // A line without its newline was truncated by a kill.
 		}
 		if err != nil {
 			return err
@@ -75,7 +76,7 @@
 	}
 }
 
-// replayRecord takes in a record read from a line of the given length in bytes.
+// replayRecord applies a record from the file, whose line has lineLength bytes.
 func (j *Journal) replayRecord(r *Record, lineLength int) {
 	switch r.Kind {
 	case KindClock:
@@ -87,11 +88,11 @@
 	case KindOutagesDelta:
 		j.outages.apply(r.Outages)
 	case KindEndedID:
-		if age := j.clock.Now() - r.EndedAt; age < 2*endedIDsLifetime {
+		if age := j.clock.Now() - r.EndedAt; age < 2*endedIDGenerationPeriod {
 			j.ended.add(r.ID, r.EndedAt)
 		}
 	case KindMessageAccepted:
-		j.ended.remove(r.ID) // The id was submitted again after it had been forgotten.
+		j.ended.remove(r.ID) // The id was dropped from the ended ones and then submitted again.
 		if earlier := j.byID[r.ID]; earlier != nil {
 			j.remove(earlier) // An id is accepted again only after its message has ended.
 		}
@@ -101,7 +102,7 @@
 	}
 }
 
-// replayMessageRecord takes in a record on a message that was accepted before it.
+// replayMessageRecord applies a record about a message that was accepted earlier.
 func (j *Journal) replayMessageRecord(r *Record) {
 	m := j.byID[r.ID]
 	if m == nil {
@@ -114,9 +115,9 @@
 	}
 }
 
-// decodeDamaged reads a line, or the record at the end of a damaged one: where the end of a line is lost, the record
-// after it is still intact behind its own checksum. It also returns the part of the line that cannot be read, and
-// whether it found a record.
+// decodeDamaged decodes a line that may be damaged. If the end of a line is missing, its newline is missing too, and
+// the intact record that follows, with its own checksum, is at the end of the same line. decodeDamaged returns that
+// record, the damaged part of the line before it, and whether it found an intact record.
 func decodeDamaged(line []byte) (record Record, damaged []byte, found bool) {
 	for start := 0; ; {
 		record = Record{}
@@ -133,11 +134,12 @@
 	}
 }
 
-// damagedID finds the ids of messages in a damaged line.
+// damagedID matches the ids of messages in a damaged line.
 var damagedID = regexp.MustCompile(`"id":("(?:[^"\\]|\\.)*")`)
 
-// assumeAttempt adds an unknown attempt to the messages that a damaged line names, unless it is surely no record of a
-// started attempt: the message may have run.
+// assumeAttempt adds an unknown attempt to each message whose id is in a damaged line, because the line may have been
+// the record of a started attempt and the message may have run. It adds none if the line is surely a record of another
+// kind.
 func (j *Journal) assumeAttempt(line []byte) {
 	if namesOtherKind(line) {
 		return
@@ -153,7 +155,8 @@
 	}
 }
 
-// namesOtherKind reports whether a damaged line names a kind of record on a message that is no started attempt.
+// namesOtherKind reports whether a damaged line contains the kind of a record about a message other than that of a
+// started attempt.
 func namesOtherKind(line []byte) bool {
 	otherKinds := []RecordKind{
 		KindMessageAccepted, KindAttemptEnded, KindMessageEnded, KindNoticeDelivered, KindEndedID,
