--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,50 +14,50 @@
 )
 
 const (
-	// The platform behind the agents may be overloaded after a release, as it serves all senders of the deployment
-	// one after another. It takes serviceTimePerSender for each. Up to maxUncontendedSenders do not need to queue.
+	// The platform behind the agents may be overloaded after a release, because it serves all senders of the deployment
+	// one after another. It needs serviceTimePerSender for each. Up to maxUncontendedSenders do not have to queue.
 	serviceTimePerSender  = 300 * time.Millisecond
 	maxUncontendedSenders = 4
-	// maxQueueTime bounds how long all senders together are taken to need.
-	maxQueueTime = 4 * changeBindsAfter
+	// maxQueueTime bounds the estimate of the time that the platform needs to serve all senders.
+	maxQueueTime = 4 * changeEffectiveAfter
 
-	// The first calls of many senders are spread over a random delay. What an agent holds binds a new process from
-	// its start on, with the grace of 0.5 s that a drain leaves, so the delay is short.
+	// If there are many senders, each delays its first call by a random time. The list that an agent holds is in effect
+	// for a new process from its start, with the grace period of 0.5 s after a drain, so the delay is short.
 	maxInitialDelay       = 200 * time.Millisecond
 	initialDelayPerSender = serviceTimePerSender / 6
 
-	dialTimeout = 1 * time.Second // for a connection to the platform to come up
-	// maxDiscardedBytes bounds what is read of a body only so that its connection can be used again.
+	dialTimeout = 1 * time.Second // limit for opening a connection to the platform
+	// maxDiscardedBytes bounds how much of a body is read only to make its connection reusable.
 	maxDiscardedBytes = 64 << 10
 )
 
 // Reasons by which calls for the endpoint list are counted, with metrics.ReasonDiscovery.
 const (
-	ReasonHedged   = "hedged"  // a further request was made beside one that had no answer
+	ReasonHedged   = "hedged"  // a further request was sent while an earlier one was unanswered
 	ReasonRejected = "refused" // the platform answered with something other than the list
-	ReasonSilent   = "silent"  // a first request had no answer in its time
+	ReasonSilent   = "silent"  // the first request of a call timed out
 	ReasonMoved    = "moved"   // the platform moved to another address
-	ReasonStale    = "stale"   // no call could be made for longer than the lease lasts
+	ReasonStale    = "stale"   // no call could be made for longer than the duration of the lease
 )
 
-// StaleFunc is called when the endpoint list becomes stale, and when it is fresh again. Calls come from several
-// goroutines.
+// StaleFunc is called when the endpoint list becomes stale, and when it becomes fresh again. It may be called on
+// several goroutines.
 type StaleFunc func(stale bool)
 
 // Options configure a Client.
 type Options struct {
 	Address string // of the platform, host and port
 	Senders int    // in this deployment
-	// Polled says that the dispatcher requests each call after a failure; otherwise the platform pushes lists.
+	// Polled states that the dispatcher requests each watch after a failure. Otherwise the platform pushes lists.
 	Polled  bool
-	Metrics *metrics.Registry // nil for one that nobody reads
-	Log     *slog.Logger      // nil for none
-	// Control is called for each socket before it connects; nil for none.
+	Metrics *metrics.Registry // nil for a registry of its own
+	Log     *slog.Logger      // nil for no log
+	// Control is called for each socket before it connects, as by net.Dialer. It may be nil.
 	Control func(network, address string, c syscall.RawConn) error
 }
 
-// Client speaks with the platform: it follows the endpoint list and delivers notices. Its methods are safe for
-// concurrent use, except that SkipInitialDelay and OnStaleChange come before Follow.
+// Client calls the platform: it follows the endpoint list and delivers notices. Its methods are safe for concurrent
+// use, except that SkipInitialDelay and OnStaleChange must be called before Follow.
 type Client struct {
 	platform *platformState
 	reserved *connectionReserve
@@ -67,7 +67,7 @@
 	metrics  *metrics.Registry
 }
 
-// New makes a client. It makes no call before Follow.
+// New creates a client. It makes no call before Follow or DeliverNotices.
 func New(o Options) *Client {
 	if o.Metrics == nil {
 		o.Metrics = metrics.New(nil)
@@ -95,46 +95,47 @@
 			log:          o.Log,
 			knownVersion: noVersion,
 		},
-		// Notices have an HTTP client of their own: a list that fails leaves their connections alone.
+		// Notices have an HTTP client of their own, so that a failed call for the list does not close their
+		// connections.
 		notifier: &notifier{http: newHTTPClient(reserved.DialContext), platform: platform, reserved: reserved},
 		metrics:  o.Metrics,
 	}
 	c.Move(o.Address)
-	platform.noteContact()
+	platform.recordContact()
 	return c
 }
 
-// contention returns how long the platform may need for the calls of all senders, and a random delay for the first
-// call of this one. Both are zero where senders are few.
+// contention returns how long the platform may need to serve all senders, and a random delay for the first call of this
+// sender. Both are zero if there are few senders.
 func contention(senders int) (queueTime, initialDelay time.Duration) {
 	queued := time.Duration(max(0, senders-maxUncontendedSenders))
 	queueTime = min(queued*serviceTimePerSender, maxQueueTime)
-	if queueTime > 0 { // after a release all senders call at once
+	if queueTime > 0 { // after a release all senders call at the same time
 		initialDelay = rand.N(min(queued*initialDelayPerSender, maxInitialDelay))
 	}
 	return queueTime, initialDelay
 }
 
-// newHTTPClient makes a client that opens its connections by dial and follows no redirect.
+// newHTTPClient returns an HTTP client that opens its connections with dial and follows no redirects.
 func newHTTPClient(dial dialFunc) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:           dial,
 			DisableCompression:    true,
 			MaxIdleConnsPerHost:   2,
-			ResponseHeaderTimeout: polledLongPoll + changeBindsAfter,
+			ResponseHeaderTimeout: polledLongPoll + changeEffectiveAfter,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// discard reads the rest of a body that is of no use, so that its connection can be used again.
+// discard reads the rest of a body that is not needed, so that its connection can be reused.
 func discard(body io.Reader) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxDiscardedBytes)) // at worst the connection is closed
+	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxDiscardedBytes)) // an error only prevents the reuse
 }
 
-// Move turns to another address of the platform. Calls to the old one are cancelled and go to the new one, and so
-// do the reserved connections for notices. A move to the address of now does nothing.
+// Move switches to another address of the platform. Calls to the old address are cancelled and repeated at the new one,
+// and connections for notices are reserved to the new one. Move does nothing if the address is the current one.
 func (c *Client) Move(address string) {
 	if c.platform.move(address) {
 		c.metrics.CountReason(metrics.ReasonDiscovery, ReasonMoved)
@@ -142,40 +143,44 @@
 	}
 }
 
-// ReserveConnection opens the reserved connections for notices in the background, as far as they do not stand. The
-// event loop calls it now and then.
+// ReserveConnection opens the reserved connections for notices that are missing, in the background. The event loop
+// calls it from time to time.
 func (c *Client) ReserveConnection() { go c.reserved.refill() }
 
-// ReleaseReserved gives up the reserved connections for notices that are usable, to a successor: its machine may not
-// let it open one when it starts. The caller owns them.
+// ReleaseReserved removes the usable reserved connections for notices and returns them, to be passed to a successor,
+// which may be unable to open a connection when it starts because the machine is short of resources. The caller owns
+// them.
 func (c *Client) ReleaseReserved() []ReservedConnection { return c.reserved.release() }
 
-// AdoptReserved takes over the reserved connections of a predecessor.
+// AdoptReserved adds the reserved connections of a predecessor to those of this client.
 func (c *Client) AdoptReserved(reserved []ReservedConnection) { c.reserved.adopt(reserved) }
 
-// SkipInitialDelay makes the first call go out at once, as a process that takes over from another one does not start
-// together with all other senders. It is called before Follow.
+// SkipInitialDelay removes the delay before the first call, because a process that takes over from another one does not
+// start at the same time as all other senders. It must be called before Follow.
 func (c *Client) SkipInitialDelay() { c.watcher.initialDelay = 0 }
 
-// IsListStale reports whether the endpoint list is stale: the sender may call no endpoint by it.
+// IsListStale reports whether the endpoint list is stale. While it is, the sender must not call any endpoint.
 func (c *Client) IsListStale() bool { return c.lease.isStale() }
 
-// OnStaleChange sets the function that hears of staleness. It is called before Follow.
+// OnStaleChange sets the function that is called when the endpoint list becomes stale or fresh. It must be called
+// before Follow.
 func (c *Client) OnStaleChange(notify StaleFunc) { c.lease.onChange = notify }
 
-// Follow follows the endpoint list from a version on, -1 for none, until ctx ends. It watches when a request comes.
-// After a failure it calls failed and waits for the next request, and then it gets the full list, as changes may have
-// been missed. It calls updated and failed on its own goroutine.
+// Follow follows the endpoint list, starting after a version, or with the full list if the version is -1, until ctx
+// ends. It starts a watch when it receives from requests. After a failure it calls failed and waits for the next
+// request. The next watch starts with the full list, because changes may have been missed. Follow calls updated and
+// failed on the goroutine of its caller.
 func (c *Client) Follow(
 	ctx context.Context, version int64, requests <-chan struct{}, updated UpdateFunc, failed FailureFunc,
 ) {
 	c.watcher.follow(ctx, version, requests, updated, failed)
 }
 
-// DeliverNotices posts batches of notices until ctx ends, each once, and calls delivered after each post.
+// DeliverNotices posts each batch of notices once, until ctx ends, and calls delivered after each post.
 func (c *Client) DeliverNotices(ctx context.Context, batches <-chan []Notice, delivered DeliveredFunc) {
 	c.notifier.run(ctx, batches, delivered)
 }
 
-// Close closes the reserved connections for notices, for good. Follow and DeliverNotices end with their contexts.
+// Close closes the reserved connections for notices. No more are opened after that. Follow and DeliverNotices end with
+// their contexts.
 func (c *Client) Close() { c.reserved.close() }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -15,18 +15,18 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// fewSenders and manySenders are deployments without and with a queue in front of the platform.
+// fewSenders and manySenders are the sizes of deployments without and with a queue at the platform.
 const (
 	fewSenders  = 3
 	manySenders = 300
 )
 
-// newTestClient makes a client of one of so many senders, for lists that are pushed.
+// newTestClient returns the client of a sender in a deployment of the given size, for lists that are pushed.
 func newTestClient(address string, senders int) *Client {
 	return New(Options{Address: address, Senders: senders})
 }
 
-// newServer starts a server until the end of the test, and returns its host and port.
+// newServer starts a server that runs until the end of the test, and returns its host and port.
 func newServer(t *testing.T, handler http.Handler) (address string) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -37,13 +37,14 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// scriptedAgent answers the calls for the list by one script after another, and all further ones by the last script.
+// scriptedAgent is an agent that answers each call for the list with the next script, and all further ones with the
+// last.
 type scriptedAgent struct {
 	address string
-	called  chan struct{} // one value for each call
+	called  chan struct{} // receives a value for each call
 }
 
-// newScriptedAgent starts an agent.
+// newScriptedAgent starts an agent that runs until the end of the test.
 func newScriptedAgent(t *testing.T, scripts ...http.HandlerFunc) *scriptedAgent {
 	t.Helper()
 	agent := &scriptedAgent{called: make(chan struct{}, 1000)}
@@ -56,38 +57,38 @@
 	return agent
 }
 
-// write writes a part of an answer and sends it at once.
+// write writes a part of an answer and flushes it.
 func write(w http.ResponseWriter, text string) {
-	_, _ = io.WriteString(w, text) // the client may have given up the call
+	_, _ = io.WriteString(w, text) // the client may have cancelled the call
 	w.(http.Flusher).Flush()
 }
 
-// answerNothing is the script of an agent that is silent.
-func answerNothing(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+// neverAnswer is the script of an unresponsive agent.
+func neverAnswer(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// answerInPart is the script of an agent that falls silent in the middle of an answer.
-func answerInPart(w http.ResponseWriter, r *http.Request) {
+// answerPartially is the script of an agent that becomes unresponsive in the middle of an answer.
+func answerPartially(w http.ResponseWriter, r *http.Request) {
 	write(w, `{"version":9,"full":true,"ser`)
 	<-r.Context().Done()
 }
 
-// reject is the script of a platform that is overloaded.
+// reject is the script of an overloaded platform.
 func reject(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 
-// answerText makes the script of an agent that answers with a text.
+// answerText returns the script of an agent that answers with a text.
 func answerText(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, text) // the client may have given up the call
+		_, _ = io.WriteString(w, text) // the client may have cancelled the call
 	}
 }
 
-// answerVersion makes the script of an agent that answers with a full list of no endpoints.
+// answerVersion returns the script of an agent that answers with an empty full list of a version.
 func answerVersion(version int64) http.HandlerFunc {
 	return answerText(fmt.Sprintf(`{"version":%d,"full":true,"servers":[]}`, version))
 }
 
-// follow follows the list from a version on until the end of the test, requests a new watch after each failure, and
-// returns the updates.
+// follow follows the list from a version on until the end of the test, requesting a new watch after each failure. It
+// returns a channel with the updates.
 func follow(t *testing.T, client *Client, version int64) <-chan endpointlist.Update {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -108,32 +109,33 @@
 	return updates
 }
 
-// awaitVersion waits for an update to a version or a later one.
+// awaitVersion waits for an update to the given version or a later one.
 func awaitVersion(t *testing.T, updates <-chan endpointlist.Update, version int64) {
 	t.Helper()
 	for st.Receive(t, updates).Version < version {
 	}
 }
 
-// The list that the agent holds binds a sender from its start on, and a draining endpoint may get calls for 500 ms
-// more. Of three hundred senders those that called after 15 s, in turn, sent by an old list until then. Few senders
-// call at once.
-func TestInitialDelayIsRandomAndShorterThanADrainsGrace(t *testing.T) {
+// Guards against senders that call draining endpoints after their start. The agent's list is in effect for a sender
+// from its start, and a draining endpoint may get calls for only 500 ms more. When three hundred senders called one
+// after the other, the last ones did so after 15 s and used an old list until then. Few senders must call without a
+// delay.
+func TestInitialDelayIsRandomAndShorterThanTheGracePeriodOfADrain(t *testing.T) {
 	t.Parallel()
 	for _, senders := range []int{maxUncontendedSenders + 1, 80, manySenders, 100_000} {
 		delays := map[time.Duration]bool{}
 		for range 100 {
 			delay := newTestClient("127.0.0.1:1", senders).watcher.initialDelay
 			if delay > 200*time.Millisecond {
-				t.Fatalf("one of %d senders calls after %v", senders, delay)
+				t.Fatalf("one of %d senders has an initial delay of %v", senders, delay)
 			}
 			delays[delay] = true
 		}
 		if len(delays) < 10 {
-			t.Errorf("%d senders call at %d different times", senders, len(delays))
+			t.Errorf("%d senders have only %d different initial delays", senders, len(delays))
 		}
 	}
 	if delay := newTestClient("127.0.0.1:1", maxUncontendedSenders).watcher.initialDelay; delay != 0 {
-		t.Errorf("one of few senders waits for %v", delay)
+		t.Errorf("one of few senders has an initial delay of %v", delay)
 	}
 }
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -10,41 +10,44 @@
 )
 
 const (
-	// A call that is overdue by hedgeDelay is hedged by a further request every hedgeInterval, each of which may take
-	// hedgeTimeout beyond its long poll. With pushedLongPoll, a change is received within 0.25 s of the moment in
-	// which a silent agent speaks again; a sender may be paused for 0.15 s besides, and a drain's grace is 0.5 s.
+	// When the answer to a call is overdue by hedgeDelay, a further request is sent every hedgeInterval. Each of them
+	// may take hedgeTimeout beyond its long poll. With pushedLongPoll, a change is received within 0.25 s after an
+	// unresponsive agent answers again. A sender may also be paused for 0.15 s. A drain has a grace period of 0.5 s.
 	hedgeDelay    = 100 * time.Millisecond
 	hedgeInterval = 150 * time.Millisecond
 	hedgeTimeout  = 500 * time.Millisecond
-	// hedgeDelayInBody is how long an answer that has begun may take to be complete before its call is hedged again:
-	// a long list takes its time.
+	// hedgeDelayInBody is how long an answer that has begun may take before its call is hedged again: a long list takes
+	// longer to arrive.
 	hedgeDelayInBody = 250 * time.Millisecond
 
-	// An answer that is late by slowAnswer shows an overloaded platform, as does a rejection. After a rejection no
+	// An answer that is late by slowAnswer indicates an overloaded platform, as does a rejection. After a rejection, no
 	// call is hedged for hedgingPause.
 	slowAnswer   = 400 * time.Millisecond
 	hedgingPause = 10 * time.Second
 )
 
-// fetchResult is how one request of a hedged call ended.
+// fetchResult is the result of one request of a hedged call.
 type fetchResult struct {
 	update   endpointlist.Update
 	err      error
-	isHedge  bool          // not the first request of its call
-	lateness time.Duration // of the answer, beyond the long poll; without meaning after an error
+	isHedge  bool          // it was not the first request of its call
+	lateness time.Duration // time until the answer beyond the long poll; undefined after an error
 }
 
 // hedger decides when the calls for the list are hedged. It belongs to the watcher's goroutine.
 type hedger struct {
-	pausedUntil time.Time     // the platform has rejected a call: none is hedged until then
-	lateness    time.Duration // of the last answers, where they were slow; decays with prompt ones
-	silentSince time.Time     // when the first of the calls in a row without an answer was hedged, zero for none
+	pausedUntil time.Time // no call is hedged until then, because the platform has rejected a call
+	// lateness is that of the last slow answers. It decays with prompt ones.
+	lateness time.Duration
+	// unresponsiveSince is when the first of the consecutive unanswered calls was hedged, or zero if the last call was
+	// answered.
+	unresponsiveSince time.Time
 }
 
-// fetchHedged makes a call for the list and hedges it while it stays unanswered, each request on a connection of its
-// own. The first list that comes is the result, or the failure of the first request. The requests that are then still
-// unanswered are cancelled, and their goroutines end by that; nobody waits for them, as the next call must go out at
-// once.
+// fetchHedged makes a call for the list and hedges it while it is unanswered, each request on a connection of its own.
+// It returns the first list that is received, or the error of the first request if that fails before. It then cancels
+// the unanswered requests, which ends their goroutines. It does not wait for them, because the next call must be sent
+// at once.
 func (w *watcher) fetchHedged(
 	ctx context.Context, query listQuery, timeout time.Duration,
 ) (endpointlist.Update, error) {
@@ -61,14 +64,14 @@
 			return endpointlist.Update{}, ctx.Err()
 		case <-timer.C:
 			if w.mayHedge() {
-				w.noteHedge()
+				w.recordHedge()
 				go w.list.fetchInto(ctx, results, query, query.longPoll+hedgeTimeout, true)
 				timer.Reset(hedgeInterval)
 			}
 		case <-firstByte:
 			timer.Reset(hedgeDelayInBody)
 		case result := <-results:
-			w.noteResult(result)
+			w.recordResult(result)
 			if !result.isHedge || result.err == nil {
 				return result.update, result.err
 			}
@@ -76,19 +79,20 @@
 	}
 }
 
-// traceFirstByte returns a context for requests and a channel that tells that an answer to one of them has begun.
+// traceFirstByte returns a context for requests, and a channel that receives a value when an answer to one of them
+// begins.
 func traceFirstByte(ctx context.Context) (context.Context, <-chan struct{}) {
 	firstByte := make(chan struct{}, 1)
 	trace := &httptrace.ClientTrace{GotFirstResponseByte: func() {
 		select {
 		case firstByte <- struct{}{}:
-		default: // one signal waits already
+		default: // a value is pending already
 		}
 	}}
 	return httptrace.WithClientTrace(ctx, trace), firstByte
 }
 
-// fetchInto makes one request of a hedged call and passes its result on, unless the call is over by then.
+// fetchInto makes one request of a hedged call and sends its result to results, unless the call has ended by then.
 func (l *listClient) fetchInto(
 	ctx context.Context, results chan<- fetchResult, query listQuery, timeout time.Duration, isHedge bool,
 ) {
@@ -101,37 +105,37 @@
 	}
 }
 
-// mayHedge reports whether a call may be hedged now. Hedges would add to the load of a platform that is polled, as no
-// agent answers for it, or that is overloaded.
+// mayHedge reports whether a call may be hedged now. Calls are not hedged where lists are polled, because no agent
+// answers for the platform there, nor while the platform is overloaded: hedges would add to its load.
 func (w *watcher) mayHedge() bool {
 	return !w.polled && !time.Now().Before(w.hedger.pausedUntil)
 }
 
-// noteHedge counts a hedge.
-func (w *watcher) noteHedge() {
+// recordHedge counts a hedge, and records that the agent is unresponsive.
+func (w *watcher) recordHedge() {
 	w.metrics.CountReason(metrics.ReasonDiscovery, ReasonHedged)
-	if w.hedger.silentSince.IsZero() {
-		w.hedger.silentSince = time.Now()
+	if w.hedger.unresponsiveSince.IsZero() {
+		w.hedger.unresponsiveSince = time.Now()
 	}
 }
 
-// noteResult records how a request ended.
-func (w *watcher) noteResult(result fetchResult) {
+// recordResult records the result of a request.
+func (w *watcher) recordResult(result fetchResult) {
 	switch {
 	case isRejected(result.err):
 		w.hedger.pausedUntil = time.Now().Add(hedgingPause)
 		w.metrics.CountReason(metrics.ReasonDiscovery, ReasonRejected)
 	case result.err == nil:
-		w.hedger.noteLateness(result.lateness)
+		w.hedger.recordLateness(result.lateness)
 	}
 }
 
-// delay returns by how much a call has to be overdue before it is hedged: longer where the last answers were slow.
+// delay returns how long a call has to be overdue before it is hedged. The delay is longer after slow answers.
 func (h *hedger) delay() time.Duration { return max(hedgeDelay, 2*h.lateness) }
 
-// noteLateness records how late an answer came. After a slow one calls are hedged later; that decays with prompt
-// ones.
-func (h *hedger) noteLateness(lateness time.Duration) {
+// recordLateness records how late an answer was. After a slow answer, calls are hedged later; prompt answers reduce
+// that delay again.
+func (h *hedger) recordLateness(lateness time.Duration) {
 	h.lateness = h.lateness * 3 / 4
 	if lateness >= slowAnswer {
 		h.lateness = max(h.lateness, lateness)
@@ -141,11 +145,11 @@
 	}
 }
 
-// endSilence records an answer, and returns for how long calls had been without one.
-func (h *hedger) endSilence() (silence time.Duration) {
-	if !h.silentSince.IsZero() {
-		silence = time.Since(h.silentSince)
+// endUnresponsiveness records an answer, and returns how long calls had been unanswered before it.
+func (h *hedger) endUnresponsiveness() (duration time.Duration) {
+	if !h.unresponsiveSince.IsZero() {
+		duration = time.Since(h.unresponsiveSince)
 	}
-	h.silentSince = time.Time{}
-	return silence
+	h.unresponsiveSince = time.Time{}
+	return duration
 }
--- a/internal/discovery/hedge_test.go
+++ b/internal/discovery/hedge_test.go
@@ -12,26 +12,27 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// An agent that was silent answers no call of that time when it speaks again, and what it has by then binds at once.
-// A drain leaves 500 ms, of which a sender may be paused for 150 ms: the rest is the time to receive the change.
-func TestChangeIsReceivedSoonAfterSilenceEnds(t *testing.T) {
+// Guards against a change that is received too late after the agent was unresponsive. When the agent answers again, it
+// does not answer the earlier calls, and its changes take effect at once. The grace period of a drain is 500 ms, of
+// which the sender may be paused for 150 ms, so the change has to be received within the rest.
+func TestChangeIsReceivedSoonAfterAgentAnswersAgain(t *testing.T) {
 	t.Parallel()
 	const receivedWithin = 350 * time.Millisecond
-	silences := []time.Duration{50 * time.Millisecond, 700 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second}
+	pauses := []time.Duration{50 * time.Millisecond, 700 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second}
 	for _, senders := range []int{fewSenders, manySenders} {
-		for _, silence := range silences {
-			t.Run(fmt.Sprintf("%d senders, silent for %v", senders, silence), func(t *testing.T) {
+		for _, pause := range pauses {
+			t.Run(fmt.Sprintf("%d senders, unresponsive for %v", senders, pause), func(t *testing.T) {
 				t.Parallel()
 				agent := &interruptedAgent{version: 7, changed: make(chan struct{})}
 				updates := follow(t, newTestClient(newServer(t, agent), senders), noVersion)
 				st.Receive(t, updates)
 				for range 3 {
-					time.Sleep(110 * time.Millisecond) // the silences begin at several moments of a watch
-					version := agent.beSilent(silence)
+					time.Sleep(110 * time.Millisecond) // so that the pauses begin at different times of a watch
+					version := agent.stopAnswering(pause)
 					began := time.Now()
 					awaitVersion(t, updates, version)
 					if took := time.Since(began); took > receivedWithin {
-						t.Errorf("the change came %v after the end of the silence", took)
+						t.Errorf("the change was received %v after the agent answered again", took)
 					}
 				}
 			})
@@ -39,13 +40,14 @@
 	}
 }
 
-// A list that takes its time to arrive, as long ones do, is not requested again meanwhile.
+// Guards against hedges for an answer that has begun: a long list takes time to arrive, and further requests for it
+// would add to the load.
 func TestAnswerInProgressIsNotHedged(t *testing.T) {
 	t.Parallel()
 	var requests atomic.Int32 // for the full list
 	answerSlowly := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" { // a long poll
-			answerNothing(w, r)
+			neverAnswer(w, r)
 			return
 		}
 		requests.Add(1)
@@ -61,32 +63,33 @@
 	}
 }
 
-// interruptedAgent is an agent that is silent at times, and has a newer version of its list after each silence.
+// interruptedAgent is an agent that pauses, during which it is unresponsive, and has a newer version of its list after
+// each pause.
 type interruptedAgent struct {
-	mu       sync.Mutex
-	version  int64
-	isSilent bool
-	silences int           // that have begun
-	changed  chan struct{} // closed and replaced at each change of the fields above
+	mu             sync.Mutex
+	version        int64
+	isUnresponsive bool
+	pauses         int           // pauses that have begun
+	changed        chan struct{} // closed and replaced at each change of the fields above
 }
 
-// beSilent is silent for a time, and returns the version of the list after that. Calls that are under way when the
-// silence begins are lost as well as those that arrive in it.
-func (a *interruptedAgent) beSilent(length time.Duration) (version int64) {
+// stopAnswering makes the agent unresponsive for a time, and returns the version of the list after that. The calls that
+// are pending when the pause begins and those that arrive during it are never answered.
+func (a *interruptedAgent) stopAnswering(length time.Duration) (version int64) {
 	a.change(func() {
-		a.isSilent = true
-		a.silences++
+		a.isUnresponsive = true
+		a.pauses++
 	})
 	time.Sleep(length)
 	a.change(func() {
-		a.isSilent = false
+		a.isUnresponsive = false
 		a.version++
 		version = a.version
 	})
 	return version
 }
 
-// change makes a change with the lock held, and wakes the calls that are under way.
+// change calls apply with the lock held, and wakes up the pending calls.
 func (a *interruptedAgent) change(apply func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -98,18 +101,18 @@
 func (a *interruptedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	isFull := err != nil
-	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms")) // none for the full list
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms")) // 0 for the full list
 	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	a.mu.Lock()
-	isLost, silences := a.isSilent, a.silences
+	isDropped, pauses := a.isUnresponsive, a.pauses
 	a.mu.Unlock()
 	for isOver := false; ; {
 		a.mu.Lock()
 		version, changed := a.version, a.changed
-		isLost = isLost || a.silences != silences
+		isDropped = isDropped || a.pauses != pauses
 		a.mu.Unlock()
 		switch {
-		case isLost:
+		case isDropped:
 			<-r.Context().Done()
 			return
 		case isFull || version > after || isOver:
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -10,32 +10,34 @@
 )
 
 const (
-	// leaseDuration is how old the last call for the list may be before the list is stale, if no further call can be
-	// made. With the time that it takes to find that out, and a process that is paused for 0.15 s, it fits in a
-	// drain's grace of 0.5 s.
+	// leaseDuration is the maximum age of the last call for the list if no further call can be made; after that the
+	// list is stale. Together with the time to detect that calls fail, and a pause of the process of 0.15 s, it is
+	// shorter than the grace period of a drain of 0.5 s.
 	leaseDuration = 200 * time.Millisecond
-	// renewalTimeout is how long the call that ends staleness may go unanswered before the agent is taken to be
-	// silent. An answer ends staleness at once; until then one may be on its way that a busy machine delays.
+	// renewalTimeout is how long a call on a stale list may be unanswered before the agent is considered unresponsive,
+	// which makes the list fresh. An answer makes it fresh at once. The wait allows for an answer that a busy machine
+	// delays.
 	renewalTimeout = 300 * time.Millisecond
-	// maxStaleTime bounds staleness: otherwise a machine that lets no call be made for long would stop the sender.
+	// maxStaleTime bounds how long the list is stale. Without it, a machine on which no call can be made for a long
+	// time would stop the sender.
 	maxStaleTime = 3 * time.Second
 )
 
-// endpointListLease is the sender's lease on the endpoint list where lists are pushed. A sender that has just called
-// its agent holds a fresh list, whether the agent answers or is silent, as a silent one tells no sender anything. A
-// sender that cannot make a call, for want of a resource of this machine, does not know what has changed: its list is
-// stale, and it may call no endpoint by it. The lease is safe for concurrent use.
+// endpointListLease is the sender's lease on the endpoint list if lists are pushed. The list is fresh if the sender has
+// just called its agent, even if the agent does not answer, because an unresponsive agent delivers no changes to any
+// sender. If the sender cannot make a call, because this machine is short of a resource, it cannot know what has
+// changed: the list is stale, and the sender must not call any endpoint. The lease is safe for concurrent use.
 type endpointListLease struct {
-	onChange StaleFunc // nil for none; called at each change, without the lock
+	onChange StaleFunc // called at each change without the lock held; may be nil
 
 	mu           sync.Mutex
-	lastCallAt   time.Time // when a call was last made
-	failingSince time.Time // since when no call can be made, the zero time if one can
+	lastCallAt   time.Time // when the last call was made
+	failingSince time.Time // since when no call can be made; the zero time if calls can be made
 	stale        bool
 }
 
-// noteCall records that the agent has been called: a call was written, or nobody listened for it.
-func (l *endpointListLease) noteCall() {
+// recordCall records that the agent has been called: a request was written, or the connection was refused.
+func (l *endpointListLease) recordCall() {
 	l.mu.Lock()
 	l.lastCallAt, l.failingSince = time.Now(), time.Time{}
 	stale := l.stale
@@ -45,7 +47,8 @@
 	}
 }
 
-// renew ends staleness, unless calls fail again: the agent has answered, or is silent.
+// renew makes a stale list fresh, unless calls fail again. It is called when the agent has answered, or when it has not
+// answered within renewalTimeout.
 func (l *endpointListLease) renew() {
 	l.update(func() bool { return l.stale && !l.failingSince.IsZero() })
 }
@@ -57,12 +60,12 @@
 	return l.stale
 }
 
-// noteFailure records why a call failed. A refused connection counts as a call that was made. A transient error of
-// this machine means that no call can be made, and the list becomes stale when the lease has run out.
-func (l *endpointListLease) noteFailure(err error) {
+// recordFailure records a failed call. A refused connection counts as a call that was made. A transient error of this
+// machine means that no call can be made: the list becomes stale when the lease has expired.
+func (l *endpointListLease) recordFailure(err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		l.noteCall()
+		l.recordCall()
 	case retry.IsTransient(err):
 		l.update(func() bool {
 			now := time.Now()
@@ -74,7 +77,7 @@
 	}
 }
 
-// update makes the list stale or fresh as isStale decides, which is called with the lock held.
+// update sets whether the list is stale to the result of isStale, which is called with the lock held.
 func (l *endpointListLease) update(isStale func() bool) {
 	l.mu.Lock()
 	before := l.stale
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// noVersion stands for the version of a list that is not known.
+	// noVersion is the version of an unknown list.
 	noVersion int64 = -1
 
 	maxListBytes = 8 << 20
 
-	// A long poll is held for pushedLongPoll where lists are pushed, and for polledLongPoll where they come on
-	// request. watch.go says why.
+	// A long poll is held for pushedLongPoll if lists are pushed, and for polledLongPoll if they are polled. watch.go
+	// explains why.
 	pushedLongPoll = 150 * time.Millisecond
 	polledLongPoll = 2 * time.Second
 )
 
-// Errors of an answer that is no list.
+// Errors for an answer that is not a valid list.
 var (
 	errNoVersion   = errors.New("the endpoint list has no version")
-	errNoEndpoints = errors.New("the endpoint list is full, and has no endpoints")
+	errNoEndpoints = errors.New("the full endpoint list has no endpoints")
 )
 
-// RejectedError is an answer of the platform with a status other than 200. An overloaded platform gives it.
+// RejectedError is an answer of the platform with a status other than 200, as an overloaded platform sends it.
 type RejectedError struct {
-	Status string // the answer's status line, as "503 Service Unavailable"
+	Status string // the answer's status, such as "503 Service Unavailable"
 }
 
-func (e *RejectedError) Error() string { return "discovery answers " + e.Status }
+func (e *RejectedError) Error() string { return "discovery answered with status " + e.Status }
 
 // isRejected reports whether err is an answer of the platform with a status other than 200.
 func isRejected(err error) bool {
@@ -44,19 +44,19 @@
 	return errors.As(err, &rejected)
 }
 
-// versionRegressionError is a list that is older than the known one.
+// versionRegressionError is the error for a list that is older than the known one.
 type versionRegressionError struct {
 	known, received int64
 }
 
 func (e *versionRegressionError) Error() string {
-	return fmt.Sprintf("the endpoint list goes back from version %d to %d", e.known, e.received)
+	return fmt.Sprintf("the version of the endpoint list decreased from %d to %d", e.known, e.received)
 }
 
-// listQuery is what a call for the list asks.
+// listQuery holds the parameters of a call for the list.
 type listQuery struct {
 	baseURL      string        // of the platform
-	afterVersion int64         // a long poll for what is newer; noVersion for the full list, at once
+	afterVersion int64         // a long poll for changes after this version; noVersion for the full list, at once
 	longPoll     time.Duration // how long the platform may hold the call; zero for the full list
 }
 
@@ -69,14 +69,14 @@
 	return url
 }
 
-// listClient makes single calls for the list. It keeps no state but connections, and is safe for concurrent use.
+// listClient makes single calls for the list. It keeps no state except connections, and is safe for concurrent use.
 type listClient struct {
 	http     *http.Client
-	lease    *endpointListLease // hears of each call that is made or cannot be made
+	lease    *endpointListLease // records each call that was made or could not be made
 	longPoll time.Duration      // how long the platform may hold a long poll
 }
 
-// newListClient makes a listClient for lists that are polled or pushed.
+// newListClient returns a listClient for lists that are polled or pushed.
 func newListClient(client *http.Client, lease *endpointListLease, polled bool) *listClient {
 	longPoll := pushedLongPoll
 	if polled {
@@ -85,7 +85,7 @@
 	return &listClient{http: client, lease: lease, longPoll: longPoll}
 }
 
-// query returns the query for what is newer than a version, or for the full list after noVersion.
+// query returns the query for changes after a version, or for the full list if the version is noVersion.
 func (l *listClient) query(baseURL string, afterVersion int64) listQuery {
 	q := listQuery{baseURL: baseURL, afterVersion: afterVersion}
 	if afterVersion >= 0 {
@@ -94,26 +94,26 @@
 	return q
 }
 
-// closeIdle closes the connections that no call uses.
+// closeIdle closes the idle connections.
 func (l *listClient) closeIdle() { l.http.CloseIdleConnections() }
 
-// fetch makes one call for the list. An answer that is no list is an error.
+// fetch makes one call for the list. It returns an error if the answer is not a valid list.
 func (l *listClient) fetch(ctx context.Context, q listQuery, timeout time.Duration) (endpointlist.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		if info.Err == nil {
-			l.lease.noteCall()
+			l.lease.recordCall()
 		}
 	}})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, q.url(), nil)
 	if err != nil {
-		return endpointlist.Update{}, fmt.Errorf("call for the endpoint list: %w", err)
+		return endpointlist.Update{}, fmt.Errorf("create the request for the endpoint list: %w", err)
 	}
 	resp, err := l.http.Do(req)
 	if err != nil {
-		l.lease.noteFailure(err)
-		return endpointlist.Update{}, fmt.Errorf("call for the endpoint list: %w", err)
+		l.lease.recordFailure(err)
+		return endpointlist.Update{}, fmt.Errorf("request the endpoint list: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -127,8 +127,8 @@
 	return decodeList(body)
 }
 
-// decodeList decodes an answer and checks that it is a list. A list without its version or endpoints would change
-// what is known by accident.
+// decodeList decodes an answer and checks that it is a valid list. A list without a version, or a full list without
+// endpoints, would corrupt the known list.
 func decodeList(body []byte) (endpointlist.Update, error) {
 	var answer struct {
 		endpointlist.Update
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -6,8 +6,8 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// An answer that is no list, or a list older than the known one, changes nothing: it would bring back endpoints that
-// have drained since.
+// Guards against an invalid answer, or a list older than the known one, that replaces the known list: it would restore
+// endpoints that have been drained since.
 func TestInvalidListsAreIgnored(t *testing.T) {
 	t.Parallel()
 	indented := "{\r\n  \"version\" : 9,\r\n\t\"full\" : true,\r\n  \"servers\" : [ ]\r\n}\r\n"
@@ -30,7 +30,7 @@
 			updates := follow(t, newTestClient(agent.address, fewSenders), noVersion)
 			for _, want := range []int64{7, 9} {
 				if update := st.Receive(t, updates); update.Version != want {
-					t.Errorf("update %+v, want version %d", update, want)
+					t.Errorf("received the update %+v, want version %d", update, want)
 				}
 			}
 		})
--- a/internal/discovery/notices_test.go
+++ b/internal/discovery/notices_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// The reserved connection for notices follows the platform to a new address at once: sockets may be short there right
-// after.
+// Guards against a notice that cannot be delivered after a move of the platform because no socket can be opened: the
+// connections to the new address must be reserved at once, or as soon as sockets can be opened.
 func TestReservedConnectionFollowsAMove(t *testing.T) {
 	t.Parallel()
 	acceptNotices := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusNoContent)
 	})
 	first, second := newServer(t, acceptNotices), newServer(t, acceptNotices)
-	var areSocketsShort atomic.Bool
+	var areSocketsExhausted atomic.Bool
 	client := New(Options{
 		Address: first,
 		Senders: fewSenders,
 		Control: func(string, string, syscall.RawConn) error {
-			if areSocketsShort.Load() {
+			if areSocketsExhausted.Load() {
 				return syscall.ENOBUFS
 			}
 			return nil
@@ -31,18 +31,18 @@
 	t.Cleanup(client.Close)
 	client.ReserveConnection()
 	awaitReservedConnection(t, client, 100*time.Millisecond)
-	areSocketsShort.Store(true) // for a moment also at the move
+	areSocketsExhausted.Store(true) // also for a short time after the move
 	client.Move(second)
 	time.Sleep(100 * time.Millisecond)
-	areSocketsShort.Store(false)
+	areSocketsExhausted.Store(false)
 	awaitReservedConnection(t, client, 200*time.Millisecond)
-	areSocketsShort.Store(true)
+	areSocketsExhausted.Store(true)
 	if err := client.notifier.post(context.Background(), "http://"+second, []byte("{}\n"), maxPostTimeout); err != nil {
 		t.Error(err)
 	}
 }
 
-// awaitReservedConnection waits until the reserved connections stand.
+// awaitReservedConnection waits until all reserved connections are open.
 func awaitReservedConnection(t *testing.T, client *Client, timeout time.Duration) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) {
@@ -53,7 +53,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("no connection is reserved after %v", timeout)
+			t.Fatalf("the reserved connections are not all open after %v", timeout)
 		}
 	}
 }
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// A change binds at the latest changeBindsAfter after the platform had it, whether its answer has arrived or not,
-	// and changeBindsAfterMove after a new configuration has moved the platform (STANDING; the first one is among the
-	// protocol's figures, too). Where lists are pushed a change binds as soon as the agent has it, see watch.go.
-	changeBindsAfter     = 6 * time.Second
-	changeBindsAfterMove = 4 * time.Second
+	// A change takes effect at the latest changeEffectiveAfter after the platform had it, whether or not the answer
+	// with it has arrived, and changeEffectiveAfterMove after a new configuration has moved the platform. The protocol
+	// defines both. If lists are pushed, a change takes effect as soon as the agent has it, see watch.go.
+	changeEffectiveAfter     = 6 * time.Second
+	changeEffectiveAfterMove = 4 * time.Second
 )
 
-// platformState is what the watcher and the notifier both know of the platform: its address, and by when the changes
-// that it has not yet answered bind. The listener of signals changes the address. It is safe for concurrent use.
+// platformState is the state of the platform that the watcher and the notifier share: its address, and the time at
+// which changes that the sender has not yet received take effect. The signal handler changes the address. It is safe
+// for concurrent use.
 type platformState struct {
-	reserved *connectionReserve // follows the address
+	reserved *connectionReserve // its address is changed together with baseURL
 
-	mu            sync.Mutex
-	baseURL       string
-	untilMove     context.Context // ends when the platform moves from baseURL
-	cancelCalls   context.CancelFunc
-	changesBindAt time.Time // by then a change of which no answer has come binds all the same
+	mu                 sync.Mutex
+	baseURL            string
+	untilMove          context.Context // ends when the platform moves from baseURL
+	cancelCalls        context.CancelFunc
+	changesEffectiveAt time.Time // when changes not yet received take effect at the latest
 }
 
-// move makes address that of the platform and cancels the calls to the old one. It reports whether there was another
+// move sets the address of the platform and cancels the calls to the old one. It reports whether there was a different
 // address before.
 func (p *platformState) move(address string) (moved bool) {
 	p.mu.Lock()
@@ -42,37 +43,38 @@
 	p.baseURL = baseURL
 	p.reserved.setAddress(address)
 	if moved {
-		p.changesBindAt = time.Now().Add(changeBindsAfterMove)
+		p.changesEffectiveAt = time.Now().Add(changeEffectiveAfterMove)
 	}
 	p.untilMove, p.cancelCalls = context.WithCancel(context.Background())
 	return moved
 }
 
-// noteContact records that the platform has answered, or that following it begins: a change from now on binds later.
-func (p *platformState) noteContact() {
+// recordContact records that the platform has answered, or that the sender starts to follow it: a change after this
+// time takes effect at the latest changeEffectiveAfter later.
+func (p *platformState) recordContact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.changesBindAt = time.Now().Add(changeBindsAfter)
+	p.changesEffectiveAt = time.Now().Add(changeEffectiveAfter)
 }
 
-// untilChangesBind returns the time until a change of which no answer has come binds.
-func (p *platformState) untilChangesBind() time.Duration {
+// untilEffective returns the time until changes that the sender has not yet received take effect.
+func (p *platformState) untilEffective() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Until(p.changesBindAt)
+	return time.Until(p.changesEffectiveAt)
 }
 
-// location is where the platform is, for the calls of one attempt.
+// location is the address of the platform for the calls of one attempt.
 type location struct {
 	baseURL string
 	ctx     context.Context    // ends with the caller's context, or when the platform moves
-	release context.CancelFunc // ends ctx; the caller calls it
+	release context.CancelFunc // ends ctx; the caller of locate must call it
 }
 
 // hasMoved reports whether the platform has moved, or the caller's context has ended.
 func (l location) hasMoved() bool { return l.ctx.Err() != nil }
 
-// locate returns where the platform is now.
+// locate returns the current location of the platform.
 func (p *platformState) locate(ctx context.Context) location {
 	p.mu.Lock()
 	baseURL, untilMove := p.baseURL, p.untilMove
--- a/internal/discovery/reserve.go
+++ b/internal/discovery/reserve.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// reservedConnections is how many connections are kept in reserve. One may be taken, for a first notice or in place
-	// of a silent one, when no other can be opened, and a successor that starts then gets the second.
+	// reservedConnections is the number of connections in reserve. One may be used while no other can be opened, for a
+	// first notice or to replace an unresponsive connection. A successor that starts at that time gets the second one.
 	reservedConnections = 2
 
-	reserveDialTimeout    = time.Second           // bounds one attempt to open a reserved connection
+	reserveDialTimeout    = time.Second           // limit for one attempt to open a reserved connection
 	initialReserveBackoff = 10 * time.Millisecond // before the next attempt; doubles
 	maxReserveBackoff     = 100 * time.Millisecond
 )
 
-// dialFunc opens a connection, as net.Dialer.DialContext does.
+// dialFunc is a function that opens a connection, as net.Dialer.DialContext does.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // ReservedConnection is a connection to the platform on which nothing has been sent.
@@ -29,19 +29,19 @@
 	Conn    net.Conn
 }
 
-// connectionReserve opens connections and keeps unused ones open in reserve: a notice that is due within 0.3 s cannot
-// wait until a machine that is short of a resource lets a socket be opened again. After a move the connections to the
-// previous address are kept as well, until the platform closes them. It is safe for concurrent use.
+// connectionReserve opens connections, and keeps unused ones open in reserve: a notice that is due within 0.3 s cannot
+// wait until a machine that is short of a resource can open a socket again. After a move, it also keeps the connections
+// to the previous address until the platform closes them. It is safe for concurrent use.
 type connectionReserve struct {
 	dial dialFunc
 
 	mu              sync.Mutex
 	address         string     // host and port to which connections are reserved
 	conns           []net.Conn // the reserved connections to address
-	previousAddress string     // before the last move, "" if no connection to it stood then
-	previousConns   []net.Conn // to previousAddress
+	previousAddress string     // address before the last move; "" if no connection to it was open then
+	previousConns   []net.Conn // the reserved connections to previousAddress
 	isOpening       bool       // a refill is in progress
-	isClosed        bool       // no connection is wanted any more
+	isClosed        bool       // the reserve is closed: no connection is opened any more
 }
 
 // DialContext returns a reserved connection to address if one is still usable, or opens a new one.
@@ -53,7 +53,7 @@
 	return r.dial(ctx, network, address)
 }
 
-// take removes a reserved connection to address and returns it. It returns nil if none is usable.
+// take removes a usable reserved connection to address and returns it, or nil if there is none.
 func (r *connectionReserve) take(address string) net.Conn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// takeUsable removes connections from a list up to the first usable one, which it returns, nil for none. It closes
-// those that the platform has ended.
+// takeUsable removes connections from a list up to the first usable one, and returns that, or nil if there is none. It
+// closes the removed connections that are not usable because the platform has closed them.
 func takeUsable(conns *[]net.Conn) net.Conn {
 	for len(*conns) > 0 {
 		conn := (*conns)[0]
@@ -75,12 +75,12 @@
 		if netconn.IsQuiet(conn) {
 			return conn
 		}
-		_ = conn.Close() // the platform has ended it
+		_ = conn.Close() // the platform has closed its end
 	}
 	return nil
 }
 
-// setAddress makes address the one to which connections are reserved. It opens none, see refill.
+// setAddress sets the address to which connections are reserved. It does not open any; refill does.
 func (r *connectionReserve) setAddress(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,9 +94,9 @@
 	r.address = address
 }
 
-// refill opens the reserved connections that are missing, and retries until a socket can be had. One refill works at a
-// time, another returns at once. Callers start it as a goroutine and do not wait for it: it ends when the connections
-// stand, or within reserveDialTimeout and a pause of close.
+// refill opens the missing reserved connections, and retries until sockets can be opened. Only one refill runs at a
+// time; a second one returns at once. Callers start it on a goroutine and do not wait for it: it ends when the
+// connections are open, or after close within reserveDialTimeout and one pause.
 func (r *connectionReserve) refill() {
 	if !r.beginRefill() {
 		return
@@ -116,15 +116,15 @@
 	}
 }
 
-// beginRefill drops the reserved connections that are not usable any more. It reports whether the caller has to open
-// the missing ones.
+// beginRefill removes the reserved connections that are no longer usable. It reports whether the caller has to open the
+// missing ones.
 func (r *connectionReserve) beginRefill() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns = slices.DeleteFunc(r.conns, func(conn net.Conn) bool {
 		isEnded := !netconn.IsQuiet(conn)
 		if isEnded {
-			_ = conn.Close() // by the platform
+			_ = conn.Close() // the platform has closed its end
 		}
 		return isEnded
 	})
@@ -133,13 +133,14 @@
 	return isNeeded
 }
 
-// isIncomplete reports whether a reserved connection is missing. The caller holds the lock.
+// isIncomplete reports whether a reserved connection is missing and the reserve is not closed. The caller holds the
+// lock.
 func (r *connectionReserve) isIncomplete() bool {
 	return len(r.conns) < reservedConnections && !r.isClosed
 }
 
-// tryOpen tries once to open a reserved connection. It reports whether that worked, and whether the refill is over: the
-// connections stand, or none is wanted any more.
+// tryOpen tries once to open a reserved connection. It reports whether that succeeded, and whether the refill is over
+// because all connections are open or the reserve is closed.
 func (r *connectionReserve) tryOpen() (opened, isOver bool) {
 	r.mu.Lock()
 	address := r.address
@@ -160,14 +161,14 @@
 	return opened, !r.isOpening
 }
 
-// lastAddress returns the address before the last move to which a reserved connection stood, "" for none.
+// lastAddress returns the address before the last move, or "" if no reserved connection to it was open then.
 func (r *connectionReserve) lastAddress() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.previousAddress
 }
 
-// release removes all reserved connections that are usable and returns them. The caller owns them.
+// release removes all usable reserved connections and returns them. The caller owns them.
 func (r *connectionReserve) release() []ReservedConnection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,8 +182,9 @@
 	return released
 }
 
-// adopt puts connections of another process into the reserve. Those to an address that is neither the present nor the
-// previous one are closed; the first other address becomes the previous one if there is none.
+// adopt adds connections of another process to the reserve. If there is no previous address, the first address other
+// than the current one becomes the previous address. adopt closes the connections to any further address, and all of
+// them if the reserve is closed.
 func (r *connectionReserve) adopt(reserved []ReservedConnection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,7 +205,7 @@
 	}
 }
 
-// close closes the reserved connections. None is opened any more.
+// close closes the reserved connections. No more are opened after that.
 func (r *connectionReserve) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,9 +11,9 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// A platform that serves many senders one after another answers late. A call is left in its queue: if it were given
-// up, the next one would be queued behind it, for ever. Where senders are few there is no queue, and silence means
-// that the platform is down.
+// Guards against calls that time out while they are in the queue of a platform that serves many senders one after
+// another: the next call would be queued again, so the sender would never receive a list. With few senders there is no
+// queue, and a missing answer means that the platform is down.
 func TestQueueTimeExtendsTheAnswerTimeout(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -36,13 +36,14 @@
 			query := watcher.list.query("http://"+address, noVersion)
 			update, err := watcher.list.fetch(context.Background(), query, watcher.timeout(noVersion))
 			if isAnswered := err == nil && update.Version == 7; isAnswered != test.isAnswered {
-				t.Errorf("answered %v, want %v: %v", isAnswered, test.isAnswered, err)
+				t.Errorf("the call is answered: %v, want %v; its error is %v", isAnswered, test.isAnswered, err)
 			}
 		})
 	}
 }
 
-// After rejections a sender pauses for as long as all others may need, and no two senders for the same time.
+// Guards against senders that overload a platform by calling it again too soon after rejections: the pauses must grow
+// with the number of senders. They are jittered, so that not all senders call at the same time.
 func TestRejectionPausesGrowWithTheNumberOfSenders(t *testing.T) {
 	t.Parallel()
 	calls := make(chan time.Time, 100)
@@ -56,60 +57,61 @@
 	for range 2 {
 		st.Receive(t, calls)
 	}
-	// The pauses are a quarter and then half of the time that all senders need, each jittered down to half at the
-	// most.
+	// The pauses are a quarter and then half of the time that all senders need. Jitter reduces each by at most half.
 	queueTime := client.watcher.queueTime
 	if took, least := time.Since(first), (queueTime/4+queueTime/2)/2; took < least {
-		t.Errorf("three calls in %v, want at least %v", took, least)
+		t.Errorf("three calls took %v, want at least %v", took, least)
 	}
 }
 
-// Hundreds of senders have as little time as few. No answer is waited for past the time by which a change binds. No
-// pause after rejections, however many, takes away the time in which the next answer has to come: what changed after
-// a rejection binds by then. Pauses went up to 24 s.
+// Guards against pauses and timeouts that grow with the number of senders until changes are received too late. A change
+// takes effect after the same time for hundreds of senders as for few, so no timeout may be longer than that time.
+// After a pause, however many rejections caused it, there must be time for an answer before a change since the
+// rejection takes effect. Pauses once grew to 24 s.
 func TestPausesAndTimeoutsOfManySendersAreBounded(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		polled bool
-		needed time.Duration // between the pause and the time by which a change binds
+		needed time.Duration // between the pause and the time at which a change takes effect
 	}{
 		"pushed list": {polled: false, needed: answerTimeout},
 		"polled list": {polled: true, needed: 2 * answerTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address := newServer(t, http.HandlerFunc(answerNothing))
+			address := newServer(t, http.HandlerFunc(neverAnswer))
 			watcher := New(Options{Address: address, Senders: manySenders, Polled: test.polled}).watcher
 			for rejections := 1; rejections <= 10; rejections++ {
 				watcher.lengthenRejectionPause(&RejectedError{Status: "503"})
-				if pause := watcher.rejectionPause; pause+test.needed > changeBindsAfter {
-					t.Errorf("a pause of %v after %d rejections", pause, rejections)
+				if pause := watcher.rejectionPause; pause+test.needed > changeEffectiveAfter {
+					t.Errorf("the pause is %v after %d rejections, which is too long", pause, rejections)
 				}
 			}
 			began := time.Now()
 			query := watcher.list.query("http://"+address, 7)
 			if _, err := watcher.list.fetch(context.Background(), query, watcher.timeout(7)); err == nil {
-				t.Error("an answer from an agent that is silent")
+				t.Error("received an answer from an unresponsive agent")
 			}
 			if took := time.Since(began); took > watcher.list.longPoll+maxLongPollLateness+time.Second {
-				t.Errorf("waited for a silent agent for %v", took)
+				t.Errorf("the call to an unresponsive agent took %v", took)
 			}
 		})
 	}
 }
 
-// A watch that falls silent is given up and opened anew while there is still time to act on what it misses, whenever
-// that happens and even if the next one is as silent: 6 s after the silence began.
-func TestSilentWatchIsReopenedBeforeChangesBind(t *testing.T) {
+// Guards against a change that is missed because the agent becomes unresponsive during a watch. The sender must start a
+// new watch in time to act on the change, within 6 s after the last answer, at whatever point the agent stops answering
+// and even if it does not answer the next watch either.
+func TestUnresponsiveWatchIsRestartedBeforeChangesTakeEffect(t *testing.T) {
 	t.Parallel()
 	before, after := answerText(`{"version":7,"full":false,"servers":[]}`), answerVersion(8)
 	for name, scripts := range map[string][]http.HandlerFunc{
-		"before the first answer":          {answerNothing, after},
-		"in the middle of an answer":       {before, answerInPart, after},
-		"right after an answer":            {before, answerNothing, after},
-		"twice in a row":                   {before, answerNothing, answerNothing, after},
-		"twice from the start":             {answerNothing, answerNothing, after},
-		"twice in the middle of an answer": {before, answerInPart, answerInPart, after},
+		"before the first answer":          {neverAnswer, after},
+		"in the middle of an answer":       {before, answerPartially, after},
+		"right after an answer":            {before, neverAnswer, after},
+		"twice in a row":                   {before, neverAnswer, neverAnswer, after},
+		"twice from the start":             {neverAnswer, neverAnswer, after},
+		"twice in the middle of an answer": {before, answerPartially, answerPartially, after},
 	} {
 		for _, senders := range []int{fewSenders, manySenders} {
 			t.Run(fmt.Sprintf("%s, %d senders", name, senders), func(t *testing.T) {
@@ -118,45 +120,47 @@
 				client := newTestClient(agent.address, senders)
 				began := time.Now()
 				awaitVersion(t, follow(t, client, 7), 8)
-				// A drain leaves 500 ms after the change binds.
-				if took := time.Since(began); took > changeBindsAfter+400*time.Millisecond {
-					t.Errorf("the change came after %v", took)
+				// The grace period of a drain ends 500 ms after the change takes effect.
+				if took := time.Since(began); took > changeEffectiveAfter+400*time.Millisecond {
+					t.Errorf("the change was received after %v", took)
 				}
 			})
 		}
 	}
 }
 
-// The same holds where the platform moves to an address that is silent: 4 s after the move.
-func TestSilentWatchIsReopenedBeforeChangesBindAfterAMove(t *testing.T) {
+// Guards against the same failure when the platform moves to an address that does not answer: the change must be
+// received within 4 s after the move.
+func TestUnresponsiveWatchIsRestartedBeforeChangesTakeEffectAfterAMove(t *testing.T) {
 	t.Parallel()
 	before, after := answerText(`{"version":7,"full":false,"servers":[]}`), answerVersion(8)
 	for name, scripts := range map[string][]http.HandlerFunc{
-		"silent once": {answerNothing, after},
-		"silent, then in the middle of an answer": {answerNothing, answerInPart, after},
+		"unresponsive once":                             {neverAnswer, after},
+		"unresponsive, then in the middle of an answer": {neverAnswer, answerPartially, after},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			first := newScriptedAgent(t, before, answerNothing)
+			first := newScriptedAgent(t, before, neverAnswer)
 			second := newScriptedAgent(t, scripts...)
 			client := newTestClient(first.address, manySenders)
 			updates := follow(t, client, 7)
 			st.Receive(t, updates)
-			for range 2 { // the second call, which is not answered, is under way
+			for range 2 { // the second call, which is not answered, is pending
 				st.Receive(t, first.called)
 			}
 			began := time.Now()
 			client.Move(second.address)
 			awaitVersion(t, updates, 8)
-			if took := time.Since(began); took > changeBindsAfterMove+400*time.Millisecond {
-				t.Errorf("the change came after %v", took)
+			if took := time.Since(began); took > changeEffectiveAfterMove+400*time.Millisecond {
+				t.Errorf("the change was received after %v", took)
 			}
 		})
 	}
 }
 
-// Rejections make a sender pause before the next watch, never within one: what changes between two calls binds at
-// once, and a watch goes on only if each call comes within 200 ms of the answer before.
+// Guards against pauses within a watch after rejections, which are for the time before a watch only. A change between
+// two calls takes effect at once, and a watch continues only if each call is made within 200 ms after the previous
+// answer.
 func TestWatchContinuesWithoutGapAfterRejections(t *testing.T) {
 	t.Parallel()
 	var answeredAt time.Time // calls come one at a time
@@ -174,6 +178,6 @@
 	agent := newScriptedAgent(t, reject, answerNewer)
 	awaitVersion(t, follow(t, newTestClient(agent.address, 12), 7), 20)
 	if gap := time.Duration(longestGap.Load()); gap > 200*time.Millisecond {
-		t.Errorf("%v between an answer and the next call", gap)
+		t.Errorf("the gap between an answer and the next call was %v", gap)
 	}
 }
