--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -28,7 +28,7 @@
 // Errors for an answer that is not a valid list.
 var (
 	errNoVersion   = errors.New("the endpoint list has no version")
-	errNoEndpoints = errors.New("the full endpoint list has no endpoints")
+	errNoEndpoints = errors.New("the endpoint list is full, and has no endpoints")
 )
 
 // RejectedError is an answer of the platform with a status other than 200, as an overloaded platform sends it.
@@ -36,7 +36,7 @@
 	Status string // the answer's status, such as "503 Service Unavailable"
 }
 
-func (e *RejectedError) Error() string { return "discovery answered with status " + e.Status }
+func (e *RejectedError) Error() string { return "discovery answers " + e.Status }
 
 // isRejected reports whether err is an answer of the platform with a status other than 200.
 func isRejected(err error) bool {
@@ -50,7 +50,7 @@
 }
 
 func (e *versionRegressionError) Error() string {
-	return fmt.Sprintf("the version of the endpoint list decreased from %d to %d", e.known, e.received)
+	return fmt.Sprintf("the endpoint list goes back from version %d to %d", e.known, e.received)
 }
 
 // listQuery holds the parameters of a call for the list.
--- a/internal/handover/upgrade.go
+++ b/internal/handover/upgrade.go
@@ -55,7 +55,7 @@
 // an earlier owner and is removed.
 func AwaitSuccessor(ctx context.Context, log *slog.Logger, stateDir string) (*Link, error) {
 	var listener net.Listener
-	err := retry.OnTransient(ctx, log, "listen on the upgrade socket", func() error {
+	err := retry.OnTransient(ctx, log, "listening on the upgrade socket", func() error {
 		return WithSocket(stateDir, func(path string) (err error) {
 			_ = os.Remove(path) // it may not exist
 			listener, err = net.Listen("unix", path)
@@ -63,7 +63,7 @@
 		})
 	})
 	if err != nil {
-		log.Warn("cannot listen on the upgrade socket", "err", err)
+		log.Warn("no socket for an upgrade", "err", err)
 		return nil, err
 	}
 	listener.(*net.UnixListener).SetUnlinkOnClose(false) // by then the path may belong to another process
