--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,8 +21,8 @@
 	// maxQueueTime bounds the estimate of the time that the platform needs to serve all senders.
 	maxQueueTime = 4 * changeEffectiveAfter
 
-	// If there are many senders, each delays its first call by a random time. The list that an agent holds is in effect
-	// for a new process from its start, with the grace period of 0.5 s after a drain, so the delay is short.
+	// If there are many senders, each delays its first call by a random time. The delay is short, because the list that
+	// the agent holds is in effect for a new process from its start, and a drain has a grace period of only 0.5 s.
 	maxInitialDelay       = 200 * time.Millisecond
 	initialDelayPerSender = serviceTimePerSender / 6
 
@@ -48,7 +48,8 @@
 type Options struct {
 	Address string // of the platform, host and port
 	Senders int    // in this deployment
-	// Polled states that the dispatcher requests each watch after a failure. Otherwise the platform pushes lists.
+	// Polled states that lists are polled: the dispatcher requests each watch after a failure. Otherwise the platform
+	// pushes lists.
 	Polled  bool
 	Metrics *metrics.Registry // nil for a registry of its own
 	Log     *slog.Logger      // nil for no log
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -12,7 +12,8 @@
 const (
 	// When the answer to a call is overdue by hedgeDelay, a further request is sent every hedgeInterval. Each of them
 	// may take hedgeTimeout beyond its long poll. With pushedLongPoll, a change is received within 0.25 s after an
-	// unresponsive agent answers again. A sender may also be paused for 0.15 s. A drain has a grace period of 0.5 s.
+	// unresponsive agent answers again. Even if the sender is also paused for 0.15 s, that is within the grace period
+	// of a drain, 0.5 s.
 	hedgeDelay    = 100 * time.Millisecond
 	hedgeInterval = 150 * time.Millisecond
 	hedgeTimeout  = 500 * time.Millisecond
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// update sets whether the list is stale to the result of isStale, which is called with the lock held.
+// update calls isStale with the lock held, records its result as the state of the list, and calls onChange if the state
+// has changed.
 func (l *endpointListLease) update(isStale func() bool) {
 	l.mu.Lock()
 	before := l.stale
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -31,7 +31,7 @@
 // MaxNoticeBatch is the maximum number of notices in one call.
 const MaxNoticeBatch = 256
 
-// Notice is the report of how a message ended that was accepted but not delivered.
+// Notice reports the outcome of a message that was accepted but not delivered.
 type Notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// A change takes effect at the latest changeEffectiveAfter after the platform had it, whether or not the answer
-	// with it has arrived, and changeEffectiveAfterMove after a new configuration has moved the platform. The protocol
-	// defines both. If lists are pushed, a change takes effect as soon as the agent has it, see watch.go.
+	// A change takes effect no later than changeEffectiveAfter after the platform has it, whether or not the answer
+	// with the change has arrived. After a new configuration has moved the platform, changes take effect no later than
+	// changeEffectiveAfterMove after the move. The protocol defines both times. If lists are pushed, a change takes
+	// effect as soon as the agent has it, see watch.go.
 	changeEffectiveAfter     = 6 * time.Second
 	changeEffectiveAfterMove = 4 * time.Second
 )
@@ -24,7 +25,7 @@
 	baseURL            string
 	untilMove          context.Context // ends when the platform moves from baseURL
 	cancelCalls        context.CancelFunc
-	changesEffectiveAt time.Time // when changes not yet received take effect at the latest
+	changesEffectiveAt time.Time // the latest time at which changes not yet received take effect
 }
 
 // move sets the address of the platform and cancels the calls to the old one. It reports whether there was a different
@@ -50,7 +51,7 @@
 }
 
 // recordContact records that the platform has answered, or that the sender starts to follow it: a change after this
-// time takes effect at the latest changeEffectiveAfter later.
+// time takes effect no later than changeEffectiveAfter after it.
 func (p *platformState) recordContact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -20,8 +20,8 @@
 	clockReserve = 256
 	// recordReserve is the maximum size in bytes of a record of the endpoint list or of outages without its items.
 	recordReserve = 128
-	// acceptReserveDivisor is the divisor of the budget that gives the space which Accept leaves free for the records
-	// of accepted messages. With less free space, every further record would require a compaction.
+	// acceptReserveDivisor limits what Accept uses: it leaves 1/acceptReserveDivisor of the budget free for the later
+	// records of accepted messages. With less free space, every further record would require a compaction.
 	acceptReserveDivisor = 10
 )
 
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -35,8 +35,8 @@
 // Outcome is the stored outcome of a message.
 type Outcome string
 
-// The outcomes of a message. The platform receives a notice of OutcomeGivenUp and OutcomeReturned, which has the same
-// words.
+// The outcomes of a message. The platform receives a notice of OutcomeGivenUp and OutcomeReturned, and the notice
+// contains the same values.
 const (
 	OutcomeDelivered Outcome = "delivered"
 	OutcomeAnswered  Outcome = "answered" // rejected, failed or cancelled, and reported in the response to the client
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -92,7 +92,7 @@
 			j.ended.add(r.ID, r.EndedAt)
 		}
 	case KindMessageAccepted:
-		j.ended.remove(r.ID) // The id was dropped from the ended ones and then submitted again.
+		j.ended.remove(r.ID) // The earlier process had dropped the id of the ended message when it was submitted again.
 		if earlier := j.byID[r.ID]; earlier != nil {
 			j.remove(earlier) // An id is accepted again only after its message has ended.
 		}
