--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -89,7 +89,7 @@
 	problem string // description of the first error, "" for none
 }
 
-// next returns the next n bytes. The errors name the field.
+// next returns the next n bytes. If there are fewer, it records an error that names the field, and returns zeros.
 func (d *decoder) next(n int, field string) []byte {
 	if d.problem != "" || n > len(d.fields)-d.at {
 		if d.problem == "" {
