--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,9 +45,10 @@
 	document any // the decoded file, which Reload compares with the next one
 }
 
-// File descriptors are divided so that all uses fit even when each is at its maximum: clients get half (they use a
-// third, and connections of other programs need some as well), operators get a small part, ReservedDescriptors are set
-// aside, and calls get the rest. Idle connections to endpoints use the part of the rest that calls leave over.
+// File descriptors are divided so that all uses fit even when each is at its maximum: connections to the clients' port
+// get half (clients use a third, and the rest is for peers that connect without being proper clients), operators get a
+// small part, ReservedDescriptors are set aside, and calls get the rest. Idle connections to endpoints use the part of
+// the rest that calls leave over.
 const (
 	// AdminConnectionLimit is the maximum number of operators' connections. With few descriptors there are fewer.
 	AdminConnectionLimit = 64
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -49,8 +49,8 @@
 // knownListKey is the key of the list of known endpoints. It is not compared, as the list may be of any age.
 const knownListKey = "known"
 
-// checkComplete returns an error if a JSON value lacks something that the earlier value has: a key, or all items of a
-// list. Each item of a list must have the keys that all items of the earlier list have.
+// checkComplete returns an error if a JSON value lacks something that the earlier value has: a key, or the items of a
+// list that is empty now. Each item of a list must have the keys that all items of the earlier list have.
 func checkComplete(earlier, value any, path string) error {
 	switch earlier := earlier.(type) {
 	case map[string]any:
