--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -7,7 +7,7 @@
 type Action interface{ action() }
 
 // Send calls an endpoint with a message and gives the attempt up after Timeout. A call that has to wait for
-// its connection is started within StartWithin or not at all, as it would arrive too late.
+// its connection is started within StartWithin or not at all, as one that starts later would arrive too late.
 type Send struct {
 	Message     MessageID
 	Endpoint    EndpointID
--- a/internal/dispatch/circuitbreaker.go
+++ b/internal/dispatch/circuitbreaker.go
@@ -8,8 +8,8 @@
 	degradedFailureRate = 0.3
 	// outageFailureRate is the share of failed calls above which a route is in an outage.
 	outageFailureRate = 0.65
-	// maxFailureThreshold is the number of failures in a row that mean an outage, on a route that gets at
-	// least as many calls in an overload window.
+	// maxFailureThreshold is the number of failures in a row that mean an outage, on a route that gets about
+	// as many calls or more in an overload window.
 	maxFailureThreshold = 8
 	// minFailureThreshold is that number on a route that gets hardly any calls.
 	minFailureThreshold = 2
@@ -23,7 +23,7 @@
 
 const (
 	healthy     circuitState = iota
-	unavailable              // an outage: the circuit is open, single probes up to the recovery rate
+	unavailable              // outage: the circuit is open; only single probes are sent, at the recovery rate
 	warmingUp                // the outage is over: slow start
 )
 
@@ -74,8 +74,8 @@
 }
 
 // checkOutage begins an outage after a call that was not served, if enough calls have failed. A rate limit
-// causes rejections in a row, too, so rejections begin an outage only if no call was served for half an
-// overload window.
+// causes rejections in a row, too, so rejections in a row begin an outage only if no call was served for half
+// an overload window.
 func (d *Dispatcher) checkOutage(r *route, outcome Outcome) {
 	b := &r.breaker
 	threshold := d.failureThreshold(r)
@@ -88,8 +88,8 @@
 }
 
 // failureThreshold returns how many failures in a row mean an outage. It grows with the calls that this
-// sender makes in an overload window, as a sender with few calls would not see eight of them fail before the
-// outage is over. It is higher with few senders, and at most maxFailureThreshold.
+// sender makes to r in an overload window, as a sender with few calls would not see eight of them fail before
+// the outage is over. It is higher with few senders, and at most maxFailureThreshold.
 func (d *Dispatcher) failureThreshold(r *route) int {
 	callsInWindow := int(d.smoothedRate(r.traffic.sentCalls) * d.settings.OverloadWindow.Seconds())
 	threshold := max(minFailureThreshold+callsInWindow, fleetProbeBudget/max(1, d.settings.Senders))
--- a/internal/dispatch/concurrency.go
+++ b/internal/dispatch/concurrency.go
@@ -102,11 +102,11 @@
 	return min(r.estimator.optimumOrInitial(), tauInitial)
 }
 
-// overdueAfter returns the age from which c may be cancelled to free its slot. It is a multiple of the
-// route's usual latency, or of the usual latency over all routes if the route has few samples and a call sent
-// after c was served there already; without such a latency it is the silence timeout, which is also its
-// maximum. The age doubles with each call cancelled at the route until one is served there: a destination
-// that has become slow then gets the time to answer, which shows its new latency.
+// overdueAfter returns the age from which c may be cancelled to free its slot. The age is a multiple of the
+// route's usual latency. If the route has few samples, it is a multiple of the usual latency over all routes,
+// but only once a call sent after c was served by the route. Otherwise it is the silence timeout, which is
+// also its maximum. The age doubles with each call cancelled at the route until one is served there: a
+// destination that has become slow then gets the time to answer, which shows its new latency.
 func (d *Dispatcher) overdueAfter(c *call) time.Duration {
 	r := c.route
 	d.overallEstimator.optimum() // updates its median
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -79,8 +79,8 @@
 // canReuseConnection reports whether the next call to e may use a connection on which a call has just been
 // served. Such a call takes the place of the one before, so e has no more connections in use than before.
 // Where connections are scarce it is hardly possible to open another, so a delay by the rate limiter or by
-// the backoff after a failed connect would gain nothing. It returns false if the route has rejected a call
-// recently, as such a route counts the calls that it gets.
+// the backoff after a failed connect would gain nothing. The function returns false if the route has rejected
+// a call recently, as such a route limits its calls, whatever connections they use.
 func (d *Dispatcher) canReuseConnection(e *endpoint) bool {
 	r := e.route
 	accepts := r.breaker.state == healthy && d.now >= r.backoff.until &&
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -39,7 +39,7 @@
 	settlingKeyQueues []*keyQueue            // those to delete once they are empty and have settled
 	callsInFlight     int
 	cancelledInFlight int              // calls in flight that have been cancelled
-	inheritedCalls    map[uint64]*call // calls in flight of another process, by its number for them
+	inheritedCalls    map[uint64]*call // calls in flight of another process, by InFlightAttempt.Call
 
 	endpoints        map[EndpointID]*endpoint
 	destinations     map[DestinationID]*destination
@@ -55,7 +55,7 @@
 	idleTimeouts         []time.Duration // of idle connections, by kind of destination
 
 	storageFailing    bool // nothing may be sent, as it could not be recorded
-	endpointListStale bool // nothing may be sent, as its endpoint may be draining by now
+	endpointListStale bool // nothing may be sent, as any endpoint may be draining by now
 }
 
 // New returns a Dispatcher for one sender, with its settings and a seed for its random numbers.
--- a/internal/dispatch/endpointlist.go
+++ b/internal/dispatch/endpointlist.go
@@ -1,7 +1,8 @@
 package dispatch
 
-// updateEndpointList applies an update of the endpoint list. If the request for it failed, it schedules the
-// next request. An endpoint that is draining or gone gets no new call from this step on.
+// updateEndpointList applies an update of the endpoint list. If a request for the list failed and the list is
+// sent only on request, it schedules the next request. An endpoint that is draining or gone gets no new call
+// from this step on.
 func (d *Dispatcher) updateEndpointList(update EndpointListUpdate) {
 	if update.Failed {
 		if d.settings.PollsEndpointList {
--- a/internal/dispatch/estimator.go
+++ b/internal/dispatch/estimator.go
@@ -15,11 +15,11 @@
 
 // The parameters of this program's additions to QEST.
 const (
-	// decayFactor is what the weight of all samples is divided by with each new one, so that about 200
-	// samples count.
+	// decayFactor divides the weight of all samples each time that one is added, so that about 200 samples
+	// count.
 	decayFactor = 1.005
-	// nearOptimumFactor is how much greater than the least Ê that of a bucket's bound may be for the bound to
-	// count as equally good. The longest of these bounds is chosen.
+	// nearOptimumFactor is the multiple of the least Ê up to which a bucket bound counts as equally good. The
+	// longest of these bounds is chosen.
 	nearOptimumFactor = 1.1
 	// answeredShare is the share of the answered calls that τ must not cut short: τ is at least
 	// answeredMargin times the latency within which that share was answered.
@@ -35,9 +35,9 @@
 // wastes time on calls that are never answered; a short one gives up calls that would have been answered
 // soon.
 //
-// QEST keeps a histogram of recent latencies. From it, it estimates for each τ the time that a message takes
-// in the mean until its answer, restarts included, and chooses the τ for which that time is the least. A hat
-// marks an estimate:
+// QEST keeps a histogram of recent latencies. From the histogram it estimates, for each τ, the mean time that
+// a message takes until its answer, restarts included, and chooses the τ for which that time is the least. A
+// hat marks an estimate:
 //
 //   - F̂ (F-hat) is the share of calls that are answered within τ.
 //   - M̂ (M-hat) is the mean latency of the calls that are answered within τ.
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -31,7 +31,7 @@
 	FirstRunAt    time.Duration    // when the first attempt that may have run was sent
 	FirstRunZone  int              // the zone that this attempt was sent to
 	Rules         *Rules           // the rules of its admission; nil for those of the settings
-	InFlight      *InFlightAttempt // an attempt in flight, not among the prior ones, to a listed endpoint
+	InFlight      *InFlightAttempt // an attempt in flight to a listed endpoint, not among PriorAttempts
 	NotBefore     time.Duration    // no attempt before this clock time (backoff after a failed one)
 	Resumed       bool             // admitted by an earlier process, and so not rejected to shed load
 }
@@ -90,15 +90,15 @@
 	Outcome        Outcome
 	Elapsed        time.Duration // time since the attempt was sent
 	ConnectionIdle time.Duration // how long its connection had been idle; 0 for a new one or if unknown
-	Final          bool          // the message needs no further result
+	Final          bool          // the message ends with this result
 	RetryAfter     time.Duration // no calls are allowed for so long from now on; 0 if not given
 	HasLoadReport  bool          // QuotaLeft and RateLimit were reported
 	QuotaLeft      float64       // share of the destination's quota that is left
 	RateLimit      float64       // its rate limit in calls a second, 0 if it has none
 }
 
-// RetryAfterReceived reports that an endpoint allows no calls for RetryAfter, by an answer that is not
-// complete yet.
+// RetryAfterReceived reports the Retry-After of an answer that has not been received completely yet: the
+// endpoint allows no calls for RetryAfter.
 type RetryAfterReceived struct {
 	Endpoint   EndpointID
 	RetryAfter time.Duration
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -23,8 +23,8 @@
 }
 
 // initialPace returns the pace with which this sender begins: its fair share of the limit. Among many senders
-// that share is far below one call, and only few of them have messages for the route at the same time, so
-// there the pace is up to one call in backoffMax, the span over which limits are counted.
+// that share is far below one call a second, and only few of them have messages for the route at the same
+// time, so then the pace is up to one call in backoffMax, the span over which limits are counted.
 func (d *Dispatcher) initialPace(limit float64) float64 {
 	senders := float64(max(1, d.settings.Senders))
 	return min(limit, max(d.fairShare(limit), min(1, senders/fleetProbeBudget)/backoffMax.Seconds()))
@@ -42,7 +42,8 @@
 
 // hasEnoughOwnCalls reports whether this sender makes enough calls to r to judge r by them alone, and so
 // large a part of all calls that r allows that only a few senders can do the same. The second condition is
-// needed because connections are scarce: eighty idle ones use up all that an endpoint accepts.
+// needed because such a sender keeps idle connections for the full time, and an endpoint accepts only few
+// connections: one idle connection of each of eighty senders uses them all up.
 func (d *Dispatcher) hasEnoughOwnCalls(r *route) bool {
 	limit := r.limiter.limit
 	hasLargeShare := limit > 0 && smallFleet*d.smoothedRate(r.traffic.sentCalls) >= limit
--- a/internal/dispatch/message.go
+++ b/internal/dispatch/message.go
@@ -19,7 +19,7 @@
 	mayHaveRun    bool          // an attempt may have run
 	firstRunAt    time.Duration // when the first attempt that may have run was sent
 	firstRunZone  int           // the zone that this attempt was sent to
-	notBefore     time.Duration // backoff after a failed attempt
+	notBefore     time.Duration // no attempt before this time (backoff after a failed one)
 	connectFailed bool          // no connection could be made for its last attempt
 }
 
--- a/internal/dispatch/priority.go
+++ b/internal/dispatch/priority.go
@@ -24,9 +24,10 @@
 // that was served.
 type classGoodput struct{ ended, served decayingCounter }
 
-// priority returns the rank of m for a scarce slot: the weight that m loses if it is passed over, plus a
-// small share of its weight, divided by the time that its call is likely to occupy the slot. Calls in a row
-// that were neither served nor rejected lower it; their effect fades with the time since the last call.
+// priority returns the priority of m for a scarce slot: the weight that m loses if it is passed over, plus a
+// small share of its weight, divided by the time that its call is likely to occupy the slot. The priority is
+// lower on a route with a high failure rate. Calls in a row that were neither served nor rejected lower it,
+// too; their effect fades with the time since the last call.
 func (d *Dispatcher) priority(m *message, r *route) float64 {
 	seconds := max(r.traffic.latency, r.estimator.mean, minExpectedLatency)
 	servedAt := d.now + time.Duration(seconds*float64(time.Second))
@@ -56,7 +57,7 @@
 
 // fairnessFactor returns the factor by which the priority of a message exceeds what its weight gives it. The
 // settings weigh the goodput of the worst-served class against the total goodput, and the less weight a class
-// has in all, the more one message adds to that class's goodput. The worst class is determined from the
+// has in total, the more one message adds to that class's goodput. The worst class is determined from the
 // messages of this sender alone; a class of which no message has ended yet counts as served.
 func (d *Dispatcher) fairnessFactor(m *message) float64 {
 	isWeighed := d.settings.WorstClassWeight > 0 && d.settings.TotalWeight > 0
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// quotaFactor returns the factor of the weight of a tenant's messages. It is 1 within the quota. Beyond it,
-// it is the mean over the messages within the quota, at 1, and those beyond it, at OverQuotaWeight.
+// quotaFactor returns the factor by which the weight of a tenant's messages is multiplied. It is 1 for a
+// tenant within its quota. For a tenant beyond its quota it is a mean over all its messages, in which those
+// within the quota count as 1 and the others as OverQuotaWeight.
 func (d *Dispatcher) quotaFactor(tenant int) float64 {
 	if tenant < 0 || tenant >= len(d.tenantRates) || d.settings.Senders == 0 {
 		return 1
--- a/internal/dispatch/random.go
+++ b/internal/dispatch/random.go
@@ -16,6 +16,6 @@
 	return z ^ z>>31
 }
 
-// jitter returns a random number from -0.5 to 0.5. A route's token bucket is set to it when the route fails,
-// so that senders that see a failure at the same time do not continue at the same time.
+// jitter returns a random number from -0.5 to 0.5. A route's token bucket is set to such a number of tokens
+// when the route fails, so that senders that see a failure at the same time do not continue at the same time.
 func (d *Dispatcher) jitter() float64 { return float64(d.randomBelow(jitterSteps))/jitterSteps - 0.5 }
--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -117,7 +117,7 @@
 	l := &r.limiter
 	step := paceIncrease * d.fairShare(l.limit)
 	if !limitReported {
-		step *= unreportedIncrease // the listed rating is a capacity, there is no quota to use up
+		step *= unreportedIncrease // the listed rating is a capacity, so there is no quota to use up
 	}
 	maxPace := l.limit
 	if r.maxBatchSize > 1 { // more messages do not need more calls
@@ -130,7 +130,7 @@
 // call: all together may be far above the limit, and where rejected calls count against the limit, the
 // senders keep each other from being served. So each of many senders lowers its pace by more, until the
 // backlog drains. A single rejection among served calls is chance: a limit that is counted over a short time
-// is exceeded by calls that arrive together, even while all calls are fewer than it allows.
+// is exceeded by calls that arrive together, even while the senders make fewer calls in all than it allows.
 func (d *Dispatcher) decreasePace(r *route) {
 	l := &r.limiter
 	senders := float64(max(smallFleet, d.settings.Senders))
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -64,7 +64,7 @@
 }
 
 // requeue puts m back among the waiting messages. The next attempt is delayed by a backoff, unless the last
-// one timed out, which took long enough, or its outcome does not reflect on the destination.
+// one timed out, which took long enough, or its outcome says nothing about the destination.
 func (d *Dispatcher) requeue(m *message, outcome Outcome, dropped bool) {
 	m.destination.waiting = append(m.destination.waiting, m)
 	m.connectFailed = outcome == ConnectFailed
@@ -74,8 +74,8 @@
 }
 
 // isDroppedConnection reports whether a call failed because its connection had been dropped while idle: the
-// connection broke sooner than any call was served. This does not reflect on the destination. The call may
-// have run, but its repeat needs no backoff.
+// connection broke sooner than any call was served. This says nothing about the destination, so the call is
+// not counted as a failure. It may have run, but its repeat needs no backoff.
 func isDroppedConnection(r *route, result AttemptResult) bool {
 	return result.Outcome == ConnectionBroken && result.ConnectionIdle > 0 &&
 		result.Elapsed < r.estimator.minLatency
@@ -168,7 +168,7 @@
 	r.breaker.consecutiveFailures, r.backoff.step, r.window.cancelledCalls = 0, 0, 0
 	if r.breaker.state == unavailable {
 		if d.hasEnoughOwnCalls(r) {
-			e.idleTimeoutCut = 0 // connects failed in the outage, not for too many connections
+			e.idleTimeoutCut = 0 // connects failed because of the outage, not of too many connections
 		}
 		d.startSlowStart(r, 0)
 	}
@@ -192,7 +192,8 @@
 		return
 	}
 	if result.RetryAfter > d.settings.OverloadWindow && r.breaker.state != unavailable {
-		d.openCircuit(r) // longer than any limit is counted over: an outage with a slow recovery
+		// No limit is counted over so long a span, so this is an outage with a slow recovery.
+		d.openCircuit(r)
 	}
 	if r.breaker.state == unavailable {
 		r.breaker.announcedEndAt = r.backoff.until
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -107,7 +107,8 @@
 func (d *Dispatcher) availableEndpoints(dest *destination) (usable, reusable []*endpoint) {
 	sharedAccepts := dest.shared == nil || d.acceptsCall(dest.shared)
 	for _, e := range dest.endpoints {
-		// Another Send to it in this step would join the call just started, which messages share.
+		// The caller puts the messages sent to e in one step into one call, up to the batch size. Another
+		// Send in this step could therefore join the call that sendCall has already started and filled.
 		joinsCall := d.maxBatchSize(e) > 1 && e.lastSentAt == d.now && e.inFlight > 0
 		if !joinsCall && d.canReuseConnection(e) {
 			reusable = append(reusable, e)
@@ -146,7 +147,8 @@
 	return d.isHeadOfKeyQueue(m)
 }
 
-// selectEndpoint returns the endpoint with the lowest cost to which m may be sent, nil if there is none.
+// selectEndpoint returns the endpoint with the lowest cost to which m may be sent, nil if there is none. A
+// repeat whose key is remembered in one zone only stays in that zone.
 func (d *Dispatcher) selectEndpoint(m *message, candidates []*endpoint) *endpoint {
 	var best *endpoint
 	lowest := 0.0
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -95,7 +95,7 @@
 		a.sampleWeight = 1
 	}
 	tau := c.route.estimator.tau()
-	if c.isProbe { // a doubled τ would delay the result of the probe too long
+	if c.isProbe { // a doubled τ would leave the end of the outage unnoticed for too long
 		tau = max(c.route.silenceTimeout(), probeInterval)
 	}
 	if m.class.Effect == IdempotentByKey {
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -18,15 +18,15 @@
 	PollsEndpointList     bool          // the endpoint list is sent only on request
 	StepInterval          time.Duration // least time between two steps
 	OrderedKeySettleTime  time.Duration // pause of an ordered key after an attempt that may still run
-	CollapseLoadFactor    float64       // load, in capacities, at which a recovering destination collapses
+	CollapseLoadFactor    float64       // load/capacity ratio at which a recovering destination collapses
 	SlowStartCapacity     float64       // share of its capacity that a recovered destination has at first
-	OverloadWindow        time.Duration // window over which that load is counted
-	SlowStartDuration     time.Duration // time from its recovery to its full capacity
+	OverloadWindow        time.Duration // window over which a destination's load is counted
+	SlowStartDuration     time.Duration // time from a destination's recovery to its full capacity
 	TotalWeight           float64       // weight of the total goodput in the objective
 	WorstClassWeight      float64       // weight of the worst-served class's goodput in the objective
-	OverQuotaWeight       float64       // weight of a message beyond its tenant's quota, as a fraction
+	OverQuotaWeight       float64       // relative weight of a message beyond its tenant's quota
 	CrossZoneCost         float64       // cost of an attempt that leaves the sender's zone
-	LateWeightHalves      bool          // late weight halves per latency objective, else it falls linearly
+	LateWeightHalves      bool          // weight when late: halves per latency objective, else falls linearly
 	RatingIsRateLimit     bool          // Endpoint.Rating is the destination's rate limit in calls a second
 	ZoneFees              []float64     // by zone: cost of a message to an endpoint with a route of its own
 	Kinds                 []Kind        // kinds of destination
@@ -34,7 +34,7 @@
 	Tenants               []Tenant      // tenants; may be empty
 }
 
-// Kind is a kind of destination.
+// Kind holds the properties of a kind of destination.
 type Kind struct {
 	PerEndpoint  bool // each endpoint is a route of its own, with its own limits and outages
 	MaxBatchSize int  // messages that may share one call
@@ -52,7 +52,7 @@
 	NonIdempotent
 )
 
-// Class is a class of message.
+// Class holds the rules for the messages of a class.
 type Class struct {
 	LatencyObjective time.Duration // a message served within it keeps its full weight
 	Deadline         time.Duration // from its submission; a message not served by then is failed
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -6,7 +6,7 @@
 	// fleetProbeBudget is the number of calls that all senders together may send to any destination in the
 	// time of a slow start: every destination can handle so few.
 	fleetProbeBudget = 24
-	// informedLoadShare is the load that the senders that saw failures may add together, as a share of the
+	// informedLoadShare is the load that all senders that saw failures may add together, as a share of the
 	// load of the other senders.
 	informedLoadShare = 0.3
 	// minInformedRatio is the least ratio of senders that saw failures to the other senders that is assumed.
