--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -5,89 +5,94 @@
 	"time"
 )
 
-// Rule 1: each message ends once, before its deadline, also with no endpoint and with no answer.
+// Each message must end exactly once and before its deadline, even if its destination has no endpoint or its
+// call is never answered.
 func TestEveryMessageEndsBeforeItsDeadline(t *testing.T) {
-	r := newRig(t, testSettings())
-	a, b := r.message(0, 9, 0), r.message(2, 0, 0)
-	sends := r.step(a, b)
-	if len(sends) != 1 || sends[0].Message != b.ID || sends[0].Timeout != 20*time.Second {
-		t.Fatalf("a non-idempotent message has its time left as its timeout: %+v", sends)
+	h := newHarness(t, testSettings())
+	undeliverable, nonIdempotent := h.newMessage(0, 9, 0), h.newMessage(2, 0, 0)
+	sends := h.step(undeliverable, nonIdempotent)
+	if len(sends) != 1 || sends[0].Message != nonIdempotent.ID || sends[0].Timeout != 20*time.Second {
+		t.Fatalf("sends %+v, want one of the non-idempotent message, with its time left (20 s) as timeout",
+			sends)
 	}
-	deadline := r.now + 20*time.Second
-	r.now = r.dispatcher.timerAt
-	for !r.failed[a.ID] && r.now < deadline {
-		r.step(TimerFired{})
-		r.now = max(r.dispatcher.timerAt, r.now+ms)
+	deadline := h.now + 20*time.Second
+	h.now = h.dispatcher.timerAt
+	for !h.failed[undeliverable.ID] && h.now < deadline {
+		h.step(TimerFired{})
+		h.now = max(h.dispatcher.timerAt, h.now+ms)
 	}
-	if !r.failed[a.ID] {
-		t.Fatal("a message with no endpoint was not failed in time")
+	if !h.failed[undeliverable.ID] {
+		t.Fatal("a message to a destination without endpoints was not failed before its deadline")
 	}
-	r.now = deadline
-	r.step(r.end(sends[0], TimedOut))
-	if !r.failed[b.ID] || len(r.dispatcher.messages) != 0 || len(r.dispatcher.pending) != 0 {
-		t.Fatalf("failed %v, still known %d", r.failed, len(r.dispatcher.messages))
+	h.now = deadline
+	h.step(h.newResult(sends[0], TimedOut))
+	if !h.failed[nonIdempotent.ID] || len(h.dispatcher.messages) != 0 || len(h.dispatcher.pending) != 0 {
+		t.Fatalf("failed messages %v; %d messages are not deleted", h.failed, len(h.dispatcher.messages))
 	}
 }
 
 func TestLoadIsShedNearTheBoundOfPendingMessages(t *testing.T) {
-	set := testSettings()
-	set.MaxPendingMessages = 10
-	r := newRig(t, set)
+	settings := testSettings()
+	settings.MaxPendingMessages = 10
+	h := newHarness(t, settings)
 	for range 12 {
-		r.step(r.message(2, 9, 0))
+		h.step(h.newMessage(2, 9, 0))
 	}
-	if len(r.rejected) == 0 || len(r.dispatcher.pending) > 10 {
-		t.Fatalf("%d rejected, %d pending", len(r.rejected), len(r.dispatcher.pending))
+	if len(h.rejected) == 0 || len(h.dispatcher.pending) > 10 {
+		t.Fatalf("%d messages rejected, want some; %d pending, want at most 10",
+			len(h.rejected), len(h.dispatcher.pending))
 	}
 }
 
-// What an earlier process has admitted is not rejected to shed load, however much it is, and a new message
-// displaces no more than one of them.
+// Messages that an earlier process admitted must not be rejected to shed load, however many they are. Each
+// new message allows at most one rejection.
 func TestResumedMessagesAreNotRejectedToShedLoad(t *testing.T) {
-	set := testSettings()
-	set.MaxPendingMessages = 10
-	r := newRig(t, set)
+	settings := testSettings()
+	settings.MaxPendingMessages = 10
+	h := newHarness(t, settings)
 	var events []Event
 	for range 30 {
-		m := r.message(2, 9, 0)
+		m := h.newMessage(2, 9, 0)
 		m.Resumed = true
 		events = append(events, m)
 	}
-	r.step(events...)
-	if len(r.rejected) > 0 {
-		t.Errorf("%d are rejected", len(r.rejected))
+	h.step(events...)
+	if len(h.rejected) > 0 {
+		t.Errorf("%d resumed messages rejected to shed load", len(h.rejected))
 	}
-	r.step(r.message(2, 9, 0))
-	r.step(TimerFired{})
-	if len(r.rejected) != 1 {
-		t.Errorf("%d are rejected for one new message", len(r.rejected))
+	h.step(h.newMessage(2, 9, 0))
+	h.step(TimerFired{})
+	if len(h.rejected) != 1 {
+		t.Errorf("%d messages rejected after one new message, want 1", len(h.rejected))
 	}
 }
 
-// A tenant that surged widened its own share, and the others' messages were rejected with it.
+// Guards against rejecting other tenants' messages during a surge of one tenant. That happens if the surge
+// raises the estimate of this sender's share of the quotas: the tenant then does not count as beyond its own
+// quota.
 func TestSurgingTenantIsRejectedFirst(t *testing.T) {
-	set := testSettings()
-	set.MaxPendingMessages = 60
-	set.OverQuotaWeight = 0.05
-	set.Tenants = []Tenant{{QuotaRate: 10}, {QuotaRate: 10}, {QuotaRate: 10}}
-	r := newRig(t, set)
-	owner := map[MessageID]int{}
+	settings := testSettings()
+	settings.MaxPendingMessages = 60
+	settings.OverQuotaWeight = 0.05
+	settings.Tenants = []Tenant{{QuotaRate: 10}, {QuotaRate: 10}, {QuotaRate: 10}}
+	h := newHarness(t, settings)
+	tenantOf := map[MessageID]int{}
 	for i := range 400 {
-		m := r.message(2, 9, 0)
+		m := h.newMessage(2, 9, 0)
 		if i%10 < 2 {
 			m.Tenant = 1 + i%2
 		}
-		owner[m.ID] = m.Tenant
-		r.step(m)
-		r.now += 10 * ms
+		tenantOf[m.ID] = m.Tenant
+		h.step(m)
+		h.now += 10 * ms
 	}
-	others := 0
-	for id := range r.rejected {
-		if owner[id] > 0 {
-			others++
+	rejectedOfOthers := 0
+	for id := range h.rejected {
+		if tenantOf[id] > 0 {
+			rejectedOfOthers++
 		}
 	}
-	if len(r.rejected) < 100 || others > len(r.rejected)/10 {
-		t.Fatalf("%d of %d rejected are of the other tenants", others, len(r.rejected))
+	if len(h.rejected) < 100 || rejectedOfOthers > len(h.rejected)/10 {
+		t.Fatalf("%d of %d rejected messages belong to the other tenants", rejectedOfOthers, len(h.rejected))
 	}
 }
--- a/internal/dispatch/circuitbreaker_test.go
+++ b/internal/dispatch/circuitbreaker_test.go
@@ -5,66 +5,73 @@
 	"time"
 )
 
-// A destination that fails half of its calls was ejected at once and lost most of its throughput.
-func TestDestinationThatFailsHalfOfItsCallsIsNoOutage(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.serve(30, 0, 20*ms)
+// Guards against an open circuit at a destination that fails half of its calls. With only single probes it
+// would lose most of its throughput.
+func TestHalfOfAllCallsFailingIsNoOutage(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.serve(30, 0, 20*ms)
 	unavailableSteps := 0
 	for i := range 60 {
-		sends := r.step(r.message(0, 0, 0))
-		r.now += 300 * ms
-		var ends []Event
-		for _, x := range sends {
-			o := Served
+		sends := h.step(h.newMessage(0, 0, 0))
+		h.now += 300 * ms
+		var results []Event
+		for _, send := range sends {
+			outcome := Served
 			if i%2 == 0 {
-				o = Errored
+				outcome = Errored
 			}
-			ends = append(ends, r.end(x, o))
+			results = append(results, h.newResult(send, outcome))
 		}
-		r.step(ends...)
-		if r.dispatcher.destinations[0].shared.breaker.state == unavailable {
+		h.step(results...)
+		if h.dispatcher.destinations[0].shared.breaker.state == unavailable {
 			unavailableSteps++
 		}
 	}
 	if unavailableSteps > 0 {
-		t.Fatalf("unavailable in %d of 60 steps", unavailableSteps)
+		t.Fatalf("circuit open in %d of 60 steps, want none", unavailableSteps)
 	}
 }
 
-// A sender of many sees few calls: two failures in a row are an outage there, eight where senders are few.
+// A sender in a large fleet makes few calls to each destination, so two failures in a row mean an outage
+// there. In a small fleet it takes eight.
 func TestFailureThresholdDependsOnTheFleet(t *testing.T) {
-	for senders, want := range map[int]int{3: maxFailureThreshold, 50: minFailureThreshold, 300: minFailureThreshold} {
-		r := fleetRig(t, senders)
-		r.serve(10, 3, 30*ms)
-		r.now += time.Minute
-		if n := r.dispatcher.failureThreshold(r.dispatcher.destinations[0].shared); n != want {
-			t.Errorf("%d senders: %d failures in a row are an outage, want %d", senders, n, want)
+	for senders, want := range map[int]int{
+		3:   maxFailureThreshold,
+		50:  minFailureThreshold,
+		300: minFailureThreshold,
+	} {
+		h := newFleetHarness(t, senders)
+		h.serve(10, 3, 30*ms)
+		h.now += time.Minute
+		if got := h.dispatcher.failureThreshold(h.dispatcher.destinations[0].shared); got != want {
+			t.Errorf("%d senders: failure threshold %d, want %d", senders, got, want)
 		}
 	}
 }
 
-// Senders that see an outage begin at the same time must not go on at the same time.
+// Senders that detect an outage at the same time must not send their first probes at the same time.
 func TestProbesOfSendersAreJittered(t *testing.T) {
-	s, list := largeFleet(100)
-	next := map[time.Duration]int{}
+	settings, list := largeFleet(100)
+	probes := map[time.Duration]int{}
 	for seed := range uint64(20) {
-		r := newRig(t, s)
-		r.dispatcher = New(s, seed)
-		r.step(list, r.message(0, 0, 0))
-		r.dispatcher.openCircuit(r.dispatcher.destinations[0].shared)
-		at := time.Duration(0)
+		h := newHarness(t, settings)
+		h.dispatcher = New(settings, seed)
+		h.step(list, h.newMessage(0, 0, 0))
+		h.dispatcher.openCircuit(h.dispatcher.destinations[0].shared)
+		probedAt := time.Duration(0)
 		for range 2000 {
-			r.now += 10 * ms
-			if sends := r.step(r.message(0, 0, 0)); len(sends) > 0 {
-				at = r.now
+			h.now += 10 * ms
+			if sends := h.step(h.newMessage(0, 0, 0)); len(sends) > 0 {
+				probedAt = h.now
 				break
 			}
 		}
-		next[at/(100*ms)]++
+		probes[probedAt/(100*ms)]++
 	}
-	for at, n := range next {
+	for probedAt, n := range probes {
 		if n > 10 {
-			t.Fatalf("%d of 20 senders probe in the same tenth of a second, %v", n, at)
+			t.Fatalf("%d of 20 senders send their first probe in the same tenth of a second, number %v",
+				n, probedAt)
 		}
 	}
 }
--- a/internal/dispatch/concurrency_test.go
+++ b/internal/dispatch/concurrency_test.go
@@ -6,136 +6,145 @@
 	"time"
 )
 
+// The window starts at one, grows with each call served, stays below destinationCallShare of all slots, and
+// halves once for all calls that were in flight at a halving. A failing destination may use only half of that
+// share.
 func TestWindowGrowsWithServedCallsAndHalvesOnce(t *testing.T) {
-	r := newRig(t, testSettings())
+	h := newHarness(t, testSettings())
 	burst := func(n int) (out []Send) {
 		var events []Event
 		for range n {
-			events = append(events, r.message(0, 0, 0))
+			events = append(events, h.newMessage(0, 0, 0))
 		}
-		return r.step(events...)
+		return h.step(events...)
 	}
-	s := burst(20)
-	if len(s) != 1 {
-		t.Fatalf("the window starts at %d", len(s))
+	sent := burst(20)
+	if len(sent) != 1 {
+		t.Fatalf("%d calls are sent at once, want 1 for a new window", len(sent))
 	}
-	for i := 0; i < 30 && len(r.sends) < 20; i++ {
-		r.now += 10 * ms
-		var ends []Event
-		for _, x := range s {
-			ends = append(ends, r.end(x, Served))
+	for i := 0; i < 30 && len(h.sends) < 20; i++ {
+		h.now += 10 * ms
+		var results []Event
+		for _, send := range sent {
+			results = append(results, h.newResult(send, Served))
 		}
-		s = r.step(ends...)
-		if n := r.dispatcher.destinations[0].shared.window.inFlight; float64(n) >= destinationCallShare*10 {
-			t.Fatalf("%d of 10 slots at one destination", n)
+		sent = h.step(results...)
+		if n := h.dispatcher.destinations[0].shared.window.inFlight; float64(n) >= destinationCallShare*10 {
+			t.Fatalf("%d of 10 slots are used by one destination", n)
 		}
 	}
-	route := r.dispatcher.destinations[0].shared
-	before := route.window.size
-	route.window.halve(r.now, r.dispatcher.now)
-	route.window.halve(r.now-time.Second, r.dispatcher.now) // was in flight at the cut
-	if route.window.size != math.Max(1, before/2) {
-		t.Fatalf("window %v after one cut of %v", route.window.size, before)
+	route := h.dispatcher.destinations[0].shared
+	sizeBefore := route.window.size
+	route.window.halve(h.now, h.dispatcher.now)
+	route.window.halve(h.now-time.Second, h.dispatcher.now) // in flight at the first halving
+	if route.window.size != math.Max(1, sizeBefore/2) {
+		t.Fatalf("window %v after halving %v once", route.window.size, sizeBefore)
 	}
 	route.window.size, route.breaker.failureRate = 9, 0.9
-	if c := r.dispatcher.concurrencyLimit(route); float64(c) > destinationCallShare*10/2 {
-		t.Fatalf("a failing destination keeps %d slots", c)
+	if limit := h.dispatcher.concurrencyLimit(route); float64(limit) > destinationCallShare*10/2 {
+		t.Fatalf("a failing destination may use %d slots", limit)
 	}
 }
 
-// Destinations that hung kept all slots to the deadlines of messages that may not be repeated.
+// Guards against destinations that hang occupying all slots until the deadlines of non-idempotent messages:
+// an overdue call is cancelled when another message needs its slot.
 func TestOverdueCallIsCancelledForAWaitingMessage(t *testing.T) {
-	set := testSettings()
-	set.MaxConcurrentCalls = 4
-	r := newRig(t, set)
-	r.serve(30, 0, 20*ms)
-	r.serve(30, 1, 20*ms)
-	r.serve(30, 2, 20*ms)
+	settings := testSettings()
+	settings.MaxConcurrentCalls = 4
+	h := newHarness(t, settings)
+	h.serve(30, 0, 20*ms)
+	h.serve(30, 1, 20*ms)
+	h.serve(30, 2, 20*ms)
 	var events []Event
 	for range 4 {
-		events = append(events, r.message(2, 0, 0), r.message(2, 1, 0))
+		events = append(events, h.newMessage(2, 0, 0), h.newMessage(2, 1, 0))
 	}
-	for i := 0; i < 100 && r.dispatcher.callsInFlight < 4; i++ {
-		r.step(events...)
+	for i := 0; i < 100 && h.dispatcher.callsInFlight < 4; i++ {
+		h.step(events...)
 		events = nil
-		r.now += 50 * ms
+		h.now += 50 * ms
 	}
-	if r.dispatcher.callsInFlight != 4 {
-		t.Fatalf("%d calls in flight", r.dispatcher.callsInFlight)
+	if h.dispatcher.callsInFlight != 4 {
+		t.Fatalf("%d calls in flight, want all 4 slots in use", h.dispatcher.callsInFlight)
 	}
-	m := r.message(0, 2, 0)
-	r.step(m)
-	r.now += 2 * tauInitial
-	r.step(TimerFired{})
-	if r.cancelled != 1 {
-		t.Fatalf("%d calls cancelled for one message", r.cancelled)
+	waiting := h.newMessage(0, 2, 0)
+	h.step(waiting)
+	h.now += 2 * tauInitial
+	h.step(TimerFired{})
+	if h.cancelled != 1 {
+		t.Fatalf("%d calls cancelled for one waiting message, want 1", h.cancelled)
 	}
 }
 
-// A window that had grown and was then hardly used let a silent destination take most slots at once.
+// Guards against a destination that stops answering occupying most slots at once: a window that has grown
+// must shrink while little of it is in use.
 func TestUnusedWindowDecays(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.serve(3, 0, 20*ms)
-	route := r.dispatcher.destinations[0].shared
+	h := newHarness(t, testSettings())
+	h.serve(3, 0, 20*ms)
+	route := h.dispatcher.destinations[0].shared
 	route.window.size = 7
-	r.serve(40, 0, 20*ms)
+	h.serve(40, 0, 20*ms)
 	if route.window.size > 3 {
-		t.Fatalf("window %v for one call at a time", route.window.size)
+		t.Fatalf("window %v after 40 calls one at a time, want at most 3", route.window.size)
 	}
 }
 
-// Calls lost here and there, at destinations that serve the others, kept all slots to their deadlines.
-func TestLostCallIsCancelledForAWaitingMessage(t *testing.T) {
-	set := testSettings()
-	set.MaxConcurrentCalls = 4
-	r := newRig(t, set)
-	r.serve(30, 0, 20*ms)
-	r.serve(30, 1, 20*ms)
-	lost := map[MessageID]bool{}
-	for i := 0; len(lost) < 4 && i < 50; i++ { // each destination loses calls and serves others between
-		for _, x := range r.step(r.message(2, DestinationID(i%2), 0)) {
-			if r.now += 20 * ms; i%5 == 0 || i%5 == 1 {
-				lost[x.Message] = true
+// Guards against single calls that are never answered, at destinations that serve their other calls,
+// occupying all slots until their deadlines.
+func TestUnansweredCallIsCancelledForAWaitingMessage(t *testing.T) {
+	settings := testSettings()
+	settings.MaxConcurrentCalls = 4
+	h := newHarness(t, settings)
+	h.serve(30, 0, 20*ms)
+	h.serve(30, 1, 20*ms)
+	unanswered := map[MessageID]bool{}
+	for i := 0; len(unanswered) < 4 && i < 50; i++ { // each destination leaves some calls unanswered
+		for _, send := range h.step(h.newMessage(2, DestinationID(i%2), 0)) {
+			if h.now += 20 * ms; i%5 == 0 || i%5 == 1 {
+				unanswered[send.Message] = true
 			} else {
-				r.step(r.end(x, Served))
+				h.step(h.newResult(send, Served))
 			}
 		}
 	}
-	if r.dispatcher.callsInFlight != 4 {
-		t.Fatalf("%d calls in flight", r.dispatcher.callsInFlight)
+	if h.dispatcher.callsInFlight != 4 {
+		t.Fatalf("%d calls in flight, want all 4 slots in use", h.dispatcher.callsInFlight)
 	}
-	m := r.message(0, 2, 0)
-	r.step(m)
+	waiting := h.newMessage(0, 2, 0)
+	h.step(waiting)
 	for range 8 {
-		r.now += 500 * ms
-		r.step(TimerFired{})
+		h.now += 500 * ms
+		h.step(TimerFired{})
 	}
-	if r.cancelled != 1 {
-		t.Fatalf("%d calls cancelled for one message", r.cancelled)
+	if h.cancelled != 1 {
+		t.Fatalf("%d calls cancelled for one waiting message, want 1", h.cancelled)
 	}
 }
 
-// A call that may not be repeated went to an endpoint that hung, and with a window of one nothing else was sent to
-// its destination for all of the call's time left, though another endpoint there was healthy.
+// Guards against an endpoint that hangs blocking its whole destination. With a window of one, a call of a
+// non-idempotent message to such an endpoint would allow no other call until its deadline, even if another
+// endpoint is healthy. So one more call may go to an endpoint that has none in flight.
 func TestHangingCallDoesNotBlockOtherEndpoints(t *testing.T) {
 	for _, endpoints := range []int{1, 2} {
-		r := newRig(t, testSettings())
+		h := newHarness(t, testSettings())
 		if endpoints == 2 {
-			r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 9, Ready: true}}})
+			h.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 9, Ready: true}}})
 		}
-		hung := r.step(r.message(2, 0, 0))[0]
-		start := r.now
+		hanging := h.step(h.newMessage(2, 0, 0))[0]
+		start := h.now
 		var next []Send
-		for next = r.step(r.message(1, 0, 0)); len(next) == 0 && r.now < start+10*time.Second; r.now += 20 * ms {
-			next = r.step(TimerFired{})
+		for next = h.step(h.newMessage(1, 0, 0)); len(next) == 0 &&
+			h.now < start+10*time.Second; h.now += 20 * ms {
+			next = h.step(TimerFired{})
 		}
 		switch {
 		case endpoints == 1 && len(next) > 0:
-			t.Errorf("%v goes beside a call that hangs at the only endpoint", next)
-		case endpoints == 2 && (len(next) != 1 || next[0].Endpoint == hung.Endpoint):
-			t.Errorf("%v is sent within 10 s of a call that hangs at endpoint %d", next, hung.Endpoint)
-		case endpoints == 2 && len(r.step(r.message(0, 0, 0), TimerFired{})) > 0:
-			t.Error("a further call is sent while the additional one is not overdue")
+			t.Errorf("%v is sent to the only endpoint while a call hangs there", next)
+		case endpoints == 2 && (len(next) != 1 || next[0].Endpoint == hanging.Endpoint):
+			t.Errorf("%v is sent within 10 s, want one send to an endpoint other than %d, where a call hangs",
+				next, hanging.Endpoint)
+		case endpoints == 2 && len(h.step(h.newMessage(0, 0, 0), TimerFired{})) > 0:
+			t.Error("another call is sent although the additional one is not overdue yet")
 		}
 	}
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -11,34 +11,35 @@
 	"time"
 )
 
-// Rule 1: a timer that fired 64 ns early, by the caller's rounding, was taken for one still to fire, and a message
-// then passed its deadline without an end.
+// Guards against a message passing its deadline without an end after a timer that fires early. The caller's
+// rounding may make it fire 64 ns early; if the timer then still counts as set, no other one is requested.
 func TestTimerThatFiresEarlyIsSetAgain(t *testing.T) {
-	r := newRig(t, testSettings())
-	a := r.message(0, 9, 0)
-	r.step(a)
-	for i := 0; i < 100 && !r.failed[a.ID]; i++ {
-		set := r.dispatcher.timerAt
-		r.now = set - 64*time.Nanosecond
-		acts := r.dispatcher.Step(r.now, []Event{TimerFired{}})
-		for _, x := range acts {
-			if f, ok := x.(Fail); ok {
-				r.failed[f.Message] = true
+	h := newHarness(t, testSettings())
+	m := h.newMessage(0, 9, 0)
+	h.step(m)
+	for i := 0; i < 100 && !h.failed[m.ID]; i++ {
+		firesAt := h.dispatcher.timerAt
+		h.now = firesAt - 64*time.Nanosecond
+		actions := h.dispatcher.Step(h.now, []Event{TimerFired{}})
+		for _, action := range actions {
+			if fail, ok := action.(Fail); ok {
+				h.failed[fail.Message] = true
 			}
 		}
-		if !r.failed[a.ID] && r.dispatcher.timerAt <= set {
-			t.Fatal("no timer was set again")
+		if !h.failed[m.ID] && h.dispatcher.timerAt <= firesAt {
+			t.Fatal("no new timer was requested after one fired 64 ns early")
 		}
 	}
-	if !r.failed[a.ID] || r.now >= a.Deadline {
-		t.Fatal("the message did not end in time")
+	if !h.failed[m.ID] || h.now >= m.Deadline {
+		t.Fatal("the message was not failed before its deadline")
 	}
 }
 
-// A random run with odd events: the same events give the same actions, and no message ends twice.
-func TestSameEventsGiveSameActionsAndOneEndEach(t *testing.T) {
-	play := func() (all []Action) {
-		rnd := rand.New(rand.NewSource(3))
+// A run of random events, some of them for unknown messages and endpoints: the same events must give the same
+// actions, and no message may end twice or be sent after its end.
+func TestSameEventsGiveSameActionsAndEachMessageEndsOnce(t *testing.T) {
+	run := func() (all []Action) {
+		random := rand.New(rand.NewSource(3))
 		d := New(testSettings(), 11)
 		now := time.Duration(0)
 		var endpoints []Endpoint
@@ -51,69 +52,74 @@
 			})
 		}
 		events := []Event{EndpointListUpdate{Full: true, Endpoints: endpoints}}
-		type out struct {
+		type sentAttempt struct {
 			Send
-			try int
+			attempt int
 		}
-		var open []out
-		tries, over := map[MessageID]int{}, map[MessageID]bool{}
+		var inFlight []sentAttempt
+		attempts, ended := map[MessageID]int{}, map[MessageID]bool{}
 		for id := MessageID(1); id < 3000; id++ {
-			events = append(events, Message{ID: id, Class: rnd.Intn(4), Destination: DestinationID(rnd.Intn(4)),
-				Key: uint64(rnd.Intn(3)), Deadline: now + 20*time.Second})
-			for len(open) > 0 && rnd.Intn(3) > 0 {
-				i := rnd.Intn(len(open))
-				o := Outcome(rnd.Intn(8))
+			events = append(events, Message{
+				ID:          id,
+				Class:       random.Intn(4),
+				Destination: DestinationID(random.Intn(4)),
+				Key:         uint64(random.Intn(3)),
+				Deadline:    now + 20*time.Second,
+			})
+			for len(inFlight) > 0 && random.Intn(3) > 0 {
+				i := random.Intn(len(inFlight))
+				outcome := Outcome(random.Intn(8))
 				events = append(events, AttemptResult{
-					Message:  open[i].Message,
-					Attempt:  open[i].try,
-					Endpoint: open[i].Endpoint,
-					Outcome:  o,
+					Message:  inFlight[i].Message,
+					Attempt:  inFlight[i].attempt,
+					Endpoint: inFlight[i].Endpoint,
+					Outcome:  outcome,
 					Elapsed:  50 * ms,
-					Final:    o == Served || over[open[i].Message],
+					Final:    outcome == Served || ended[inFlight[i].Message],
 				})
-				over[open[i].Message] = over[open[i].Message] || o == Served
-				open = append(open[:i], open[i+1:]...)
+				ended[inFlight[i].Message] = ended[inFlight[i].Message] || outcome == Served
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			}
-			if rnd.Intn(50) == 0 {
+			if random.Intn(50) == 0 {
 				events = append(events,
-					MessageCancelled{Message: MessageID(rnd.Intn(int(id)) + 1)},
+					MessageCancelled{Message: MessageID(random.Intn(int(id)) + 1)},
 					AttemptResult{Message: 1 << 40},
 					EndpointListUpdate{Endpoints: []Endpoint{{
-						ID:          EndpointID(rnd.Intn(8)),
+						ID:          EndpointID(random.Intn(8)),
 						Destination: 1,
-						Ready:       rnd.Intn(2) == 0,
+						Ready:       random.Intn(2) == 0,
 					}}})
 			}
-			acts := d.Step(now, events)
+			actions := d.Step(now, events)
 			events = nil
-			for _, a := range acts {
+			for _, a := range actions {
 				switch a := a.(type) {
 				case Send:
-					if over[a.Message] {
-						t.Fatalf("sent %d after its end", a.Message)
+					if ended[a.Message] {
+						t.Fatalf("message %d was sent after its end", a.Message)
 					}
-					open = append(open, out{a, tries[a.Message]})
-					tries[a.Message]++
+					inFlight = append(inFlight, sentAttempt{a, attempts[a.Message]})
+					attempts[a.Message]++
 				case Fail:
-					if over[a.Message] {
-						t.Fatalf("second end of %d", a.Message)
+					if ended[a.Message] {
+						t.Fatalf("message %d ended twice", a.Message)
 					}
-					over[a.Message] = true
+					ended[a.Message] = true
 				}
 			}
-			all = append(all, acts...)
-			now += time.Duration(rnd.Intn(60)) * ms
+			all = append(all, actions...)
+			now += time.Duration(random.Intn(60)) * ms
 		}
 		return all
 	}
-	if first, second := play(), play(); !reflect.DeepEqual(first, second) {
-		t.Fatal("the same events gave other actions")
+	if first, second := run(), run(); !reflect.DeepEqual(first, second) {
+		t.Fatal("the same events gave different actions in a second run")
 	}
 }
 
-// The package's files stay small and their lines readable.
+// The package's files must stay short, and their lines short enough to read.
 func TestLineLimits(t *testing.T) {
-	const mostLines, mostCharacters = 400, 110
+	const maxLines, maxColumns = 400, 110
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -127,79 +133,89 @@
 			t.Fatal(err)
 		}
 		lines := 0
-		for i, l := range strings.Split(string(text), "\n") {
-			if strings.TrimSpace(l) != "" {
+		for i, line := range strings.Split(string(text), "\n") {
+			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > mostCharacters {
-				t.Errorf("%s:%d has %d characters", file, i+1, n)
+			if columns := len([]rune(strings.ReplaceAll(line, "\t", "    "))); columns > maxColumns {
+				t.Errorf("%s:%d has %d columns", file, i+1, columns)
 			}
 		}
-		if lines > mostLines {
-			t.Errorf("%s has %d lines, %d at most", file, lines, mostLines)
+		if lines > maxLines {
+			t.Errorf("%s has %d lines that are not blank, %d at most", file, lines, maxLines)
 		}
 	}
 }
 
-// Dispatchers share nothing: two that run in turn act as each does alone.
-func TestDispatchersShareNothing(t *testing.T) {
-	play := func(dispatchers ...*Dispatcher) (all [][]Action) {
+// Dispatchers must share no state: one that takes turns with another must act as it does alone.
+func TestDispatchersShareNoState(t *testing.T) {
+	run := func(dispatchers ...*Dispatcher) (all [][]Action) {
 		all = make([][]Action, len(dispatchers))
 		for i := range 200 {
 			now := time.Duration(i) * 50 * ms
-			for k, d := range dispatchers {
+			for index, d := range dispatchers {
 				var events []Event
 				if i == 0 {
-					events = append(events, EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}})
+					events = append(events, EndpointListUpdate{
+						Full:      true,
+						Endpoints: []Endpoint{{ID: 1, Ready: true}},
+					})
 				}
-				events = append(events, Message{ID: MessageID(i), Class: i % 3, Deadline: now + 20*time.Second})
+				events = append(events, Message{
+					ID:       MessageID(i),
+					Class:    i % 3,
+					Deadline: now + 20*time.Second,
+				})
 				for _, m := range d.messages {
-					if n := len(m.attempts); n > 0 && m.inFlight > 0 && i%2 == k%2 {
+					if n := len(m.attempts); n > 0 && m.inFlight > 0 && i%2 == index%2 {
 						events = append(events, AttemptResult{Message: m.ID, Attempt: n - 1, Outcome: Served,
 							Elapsed: 50 * ms, Final: true})
 						break
 					}
 				}
-				all[k] = append(all[k], d.Step(now, events)...)
+				all[index] = append(all[index], d.Step(now, events)...)
 			}
 		}
 		return all
 	}
-	one := func() *Dispatcher {
+	create := func() *Dispatcher {
 		s := testSettings()
-		s.MaxConcurrentCalls = 1 // one call in flight: one event to choose
+		s.MaxConcurrentCalls = 1 // with one call in flight its result does not depend on map order
 		return New(s, 5)
 	}
-	if both, alone := play(one(), one()), play(one()); !reflect.DeepEqual(both[0], alone[0]) {
-		t.Fatal("a second dispatcher changed what the first does")
+	if both, alone := run(create(), create()), run(create()); !reflect.DeepEqual(both[0], alone[0]) {
+		t.Fatal("the first dispatcher acts differently beside a second one")
 	}
 }
 
-// The contract of Step: time never goes back, and actions come in the order in which they are to be carried out.
-func TestStepTakesTimeAsMonotonicAndOrdersActions(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.serve(10, 0, 20*ms)
-	late := r.dispatcher.now
-	r.now -= time.Hour
-	m := r.message(0, 0, 0)
-	m.Deadline = late + 10*time.Second
-	if s := r.step(m); len(s) != 1 || s[0].Timeout > 10*time.Second || r.dispatcher.now != late {
-		t.Fatalf("a batch dated back: %+v, now %v after %v", s, r.dispatcher.now, late)
+// Step must not let time go back, and must return its actions in the order in which they are to be carried
+// out: a timer is set last. The clock may also start below zero.
+func TestStepKeepsTimeMonotonicAndSetsTheTimerLast(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.serve(10, 0, 20*ms)
+	lastStepAt := h.dispatcher.now
+	h.now -= time.Hour
+	m := h.newMessage(0, 0, 0)
+	m.Deadline = lastStepAt + 10*time.Second
+	if sends := h.step(m); len(sends) != 1 || sends[0].Timeout > 10*time.Second ||
+		h.dispatcher.now != lastStepAt {
+		t.Fatalf("a step dated an hour back sent %+v, its time is %v, that of the step before %v",
+			sends, h.dispatcher.now, lastStepAt)
 	}
-	acts := r.dispatcher.Step(late, []Event{r.message(0, 1, 0), r.message(0, 2, 0)})
-	for i, a := range acts {
-		if _, ok := a.(SetTimer); ok && i != len(acts)-1 {
-			t.Fatalf("the timer is not last: %+v", acts)
+	actions := h.dispatcher.Step(lastStepAt, []Event{h.newMessage(0, 1, 0), h.newMessage(0, 2, 0)})
+	for i, a := range actions {
+		if _, ok := a.(SetTimer); ok && i != len(actions)-1 {
+			t.Fatalf("the timer is not set last: %+v", actions)
 		}
 	}
 	if d := New(testSettings(), 1); len(d.Step(-time.Hour, []Event{TimerFired{}})) != 0 {
-		t.Fatal("a clock that starts below zero")
+		t.Fatal("a first step at a negative time returned actions")
 	}
 }
 
-// Events that make no sense: no panic, no message lost, one lawful end each.
+// Invalid events must not cause a panic, and each message must still end.
 func TestInvalidEventsAreHandled(t *testing.T) {
-	bad := math.NaN()
+	notANumber := math.NaN()
 	for name, events := range map[string][]Event{
 		"unknown class":    {Message{ID: 1, Class: 9, Deadline: time.Hour + time.Second}},
 		"negative class":   {Message{ID: 1, Class: -1, Deadline: time.Hour + time.Second}},
@@ -213,16 +229,18 @@
 		}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
 		"rating not a number": {
 			EndpointListUpdate{Endpoints: []Endpoint{
-				{ID: 1, Rating: bad, Ready: true},
+				{ID: 1, Rating: notANumber, Ready: true},
 				{ID: 2, Rating: math.Inf(1), Ready: true},
 				{ID: 3, Rating: -1, Ready: true},
 			}},
 			Message{ID: 1, Deadline: time.Hour + time.Second},
 		},
-		"unknown attempt": {Message{
-			ID:       1,
-			Deadline: time.Hour + time.Second,
-		}, AttemptResult{Message: 1, Attempt: 4}, AttemptResult{Message: 1, Attempt: -4}, AttemptResult{Message: 44}},
+		"unknown attempt": {
+			Message{ID: 1, Deadline: time.Hour + time.Second},
+			AttemptResult{Message: 1, Attempt: 4},
+			AttemptResult{Message: 1, Attempt: -4},
+			AttemptResult{Message: 44},
+		},
 		"report out of range": {
 			Message{ID: 1, Deadline: time.Hour + time.Second},
 			AttemptResult{
@@ -230,83 +248,83 @@
 				Outcome:       Served,
 				Elapsed:       -time.Hour,
 				HasLoadReport: true,
-				QuotaLeft:     bad,
+				QuotaLeft:     notANumber,
 				RateLimit:     math.Inf(1),
 				Final:         true,
 			},
 		},
-		"limit of nothing": {Message{
-			ID:       1,
-			Deadline: time.Hour + time.Second,
-		}, AttemptResult{
-			Message:       1,
-			Outcome:       Rejected,
-			RetryAfter:    -time.Hour,
-			HasLoadReport: true,
-			QuotaLeft:     -1,
-			RateLimit:     bad,
-		}},
+		"limits out of range": {
+			Message{ID: 1, Deadline: time.Hour + time.Second},
+			AttemptResult{
+				Message:       1,
+				Outcome:       Rejected,
+				RetryAfter:    -time.Hour,
+				HasLoadReport: true,
+				QuotaLeft:     -1,
+				RateLimit:     notANumber,
+			},
+		},
 	} {
-		s := testSettings()
-		s.RatingIsRateLimit, s.ZoneFees = true, []float64{0.1}
-		s.Tenants = []Tenant{{Quota: 1, QuotaRate: 10}}
-		r := newRig(t, s)
-		r.step(events...)
-		sent := len(r.sends)
-		for range 30 { // the time jumps, too
-			r.now += 100 * ms
-			r.step(TimerFired{})
+		settings := testSettings()
+		settings.RatingIsRateLimit, settings.ZoneFees = true, []float64{0.1}
+		settings.Tenants = []Tenant{{Quota: 1, QuotaRate: 10}}
+		h := newHarness(t, settings)
+		h.step(events...)
+		sentBefore := len(h.sends)
+		for range 30 { // before the clock jumps by hours
+			h.now += 100 * ms
+			h.step(TimerFired{})
 		}
-		r.now += 5 * time.Hour
-		for _, x := range r.sends[sent:] {
-			r.step(r.end(x, TimedOut))
+		h.now += 5 * time.Hour
+		for _, send := range h.sends[sentBefore:] {
+			h.step(h.newResult(send, TimedOut))
 		}
-		for _, x := range r.sends[:sent] {
-			r.step(r.end(x, TimedOut))
+		for _, send := range h.sends[:sentBefore] {
+			h.step(h.newResult(send, TimedOut))
 		}
-		r.step(TimerFired{})
-		over := name == "report out of range" || r.failed[1] || r.rejected[1]
-		if !over || len(r.dispatcher.pending) != 0 {
-			t.Errorf("%s: failed %v, rejected %v, %d pending",
-				name, r.failed[1], r.rejected[1], len(r.dispatcher.pending))
+		h.step(TimerFired{})
+		hasEnded := name == "report out of range" || h.failed[1] || h.rejected[1]
+		if !hasEnded || len(h.dispatcher.pending) != 0 {
+			t.Errorf("%s: message failed: %v, rejected: %v; %d messages pending",
+				name, h.failed[1], h.rejected[1], len(h.dispatcher.pending))
 		}
 	}
 }
 
-// Settings that make no sense: the actions stay lawful and nothing panics.
+// Invalid settings must not cause a panic, and each message must still end.
 func TestInvalidSettingsAreHandled(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"nothing stated": func(s *Settings) { *s = Settings{} },
-		"no slots":       func(s *Settings) { s.MaxConcurrentCalls = 0 },
+		"empty":    func(s *Settings) { *s = Settings{} },
+		"no slots": func(s *Settings) { s.MaxConcurrentCalls = 0 },
 		"negative": func(s *Settings) {
 			s.MaxConcurrentCalls, s.Senders, s.MaxPendingMessages, s.MaxAttempts = -1, -1, -1, -1
 		},
 		"no deadlines": func(s *Settings) { s.Classes = []Class{{}, {}, {}, {}} },
 		"no kinds":     func(s *Settings) { s.Kinds = nil },
-		"no rules": func(s *Settings) {
+		"no outage settings": func(s *Settings) {
 			s.SlowStartDuration, s.OverloadWindow, s.CollapseLoadFactor, s.SlowStartCapacity = 0, 0, 0, 0
 		},
 	} {
 		s := testSettings()
 		change(&s)
-		r := newRig(t, s)
+		h := newHarness(t, s)
 		for i := range 5 {
-			for _, x := range r.step(r.message(i%4, 0, 0)) {
-				r.now += 50 * ms
-				r.step(r.end(x, Outcome(i)))
+			for _, send := range h.step(h.newMessage(i%4, 0, 0)) {
+				h.now += 50 * ms
+				h.step(h.newResult(send, Outcome(i)))
 			}
 		}
 		for range 30 {
-			r.now += time.Second
-			r.step(TimerFired{})
-			for id := range r.dispatcher.messages {
-				if m := r.dispatcher.messages[id]; r.now >= m.Deadline && m.inFlight > 0 {
-					r.step(AttemptResult{Message: id, Attempt: len(m.attempts) - 1, Outcome: TimedOut})
+			h.now += time.Second
+			h.step(TimerFired{})
+			for id := range h.dispatcher.messages {
+				if m := h.dispatcher.messages[id]; h.now >= m.Deadline && m.inFlight > 0 {
+					h.step(AttemptResult{Message: id, Attempt: len(m.attempts) - 1, Outcome: TimedOut})
 				}
 			}
 		}
-		if len(r.dispatcher.pending) != 0 {
-			t.Errorf("%s: %d messages without an end", name, len(r.dispatcher.pending))
+		if len(h.dispatcher.pending) != 0 {
+			t.Errorf("%s: %d messages have not ended", name, len(h.dispatcher.pending))
 		}
 	}
 }
--- a/internal/dispatch/endpointlist_test.go
+++ b/internal/dispatch/endpointlist_test.go
@@ -5,47 +5,55 @@
 	"time"
 )
 
-// Rule 3: nothing is sent to an endpoint from the batch on that says it is draining.
+// Nothing may be sent to an endpoint from the step on in which the list reports that it is draining or gone.
 func TestNothingIsSentToADrainingEndpoint(t *testing.T) {
-	r := newRig(t, testSettings())
-	if s := r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}}, r.message(0, 0, 0)); len(s) != 0 {
-		t.Fatalf("sent to a draining endpoint: %+v", s)
+	h := newHarness(t, testSettings())
+	if sends := h.step(
+		EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}},
+		h.newMessage(0, 0, 0),
+	); len(sends) != 0 {
+		t.Fatalf("sent to a draining endpoint: %+v", sends)
 	}
-	if s := r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}}); len(s) != 1 {
-		t.Fatalf("not sent to the endpoint that is back: %+v", s)
+	if sends := h.step(EndpointListUpdate{
+		Full:      true,
+		Endpoints: []Endpoint{{ID: 1, Ready: true}},
+	}); len(sends) != 1 {
+		t.Fatalf("sends %+v, want one to the endpoint that is ready again", sends)
 	}
-	if s := r.step(r.message(0, 1, 0)); len(s) != 0 {
-		t.Fatalf("sent to an endpoint that the full list lacks: %+v", s)
+	if sends := h.step(h.newMessage(0, 1, 0)); len(sends) != 0 {
+		t.Fatalf("sent to an endpoint that is not on the full list: %+v", sends)
 	}
 }
 
-// An endpoint that is listed for another destination than before keeps to the retry-after of that one, and of no
-// other.
+// The Retry-After that an endpoint answered with blocks the destination that it belonged to at that time. If
+// the list then moves the endpoint to another destination, the block must stay with the former one, and the
+// endpoint must get the calls of the new one.
 func TestEndpointThatChangesItsDestinationChangesItsRoute(t *testing.T) {
-	r := newRig(t, testSettings())
-	e := r.end(r.step(r.message(0, 0, 0))[0], Rejected) // endpoint 1 closes destination 0 for a time
-	e.RetryAfter = 700 * ms
-	r.step(e)
-	r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}})
-	r.step(EndpointListUpdate{Endpoints: []Endpoint{
+	h := newHarness(t, testSettings())
+	rejection := h.newResult(h.step(h.newMessage(0, 0, 0))[0], Rejected) // of destination 0
+	rejection.RetryAfter = 700 * ms
+	h.step(rejection)
+	h.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}})
+	h.step(EndpointListUpdate{Endpoints: []Endpoint{
 		{ID: 1, Destination: 1, Ready: true},
 		{ID: 2, Destination: 0, Ready: true},
 	}})
-	if sends := r.step(r.message(0, 0, 0)); len(sends) > 0 {
-		t.Errorf("sent within the retry-after of its destination: %+v", sends)
+	if sends := h.step(h.newMessage(0, 0, 0)); len(sends) > 0 {
+		t.Errorf("sent within the Retry-After of destination 0: %+v", sends)
 	}
-	sends := r.step(r.message(0, 1, 0))
+	sends := h.step(h.newMessage(0, 1, 0))
 	if len(sends) != 1 || sends[0].Endpoint != 1 {
-		t.Errorf("sent %+v", sends)
+		t.Errorf("sends %+v, want one to endpoint 1, now of destination 1", sends)
 	}
 }
 
+// The endpoint list is requested once at the start, and again some time after the request has failed.
 func TestFailedEndpointListWatchIsRepeated(t *testing.T) {
-	set := testSettings()
-	set.PollsEndpointList = true
-	b := New(set, 1)
-	watchRequests := func(now time.Duration, e ...Event) (n int) {
-		for _, a := range b.Step(now, e) {
+	settings := testSettings()
+	settings.PollsEndpointList = true
+	d := New(settings, 1)
+	watchRequests := func(now time.Duration, events ...Event) (n int) {
+		for _, a := range d.Step(now, events) {
 			if _, ok := a.(WatchEndpointList); ok {
 				n++
 			}
@@ -53,54 +61,56 @@
 		return n
 	}
 	if watchRequests(0) != 1 || watchRequests(time.Second) != 0 {
-		t.Fatal("the list is watched once from the start")
+		t.Fatal("want one request for the list in the first step and none in the next")
 	}
-	failed := 2 * time.Second
-	if watchRequests(failed, EndpointListUpdate{Failed: true}) != 0 || watchRequests(failed+listRetryInterval) != 1 {
-		t.Fatal("a failed watch is asked for again")
+	failedAt := 2 * time.Second
+	if watchRequests(failedAt, EndpointListUpdate{Failed: true}) != 0 ||
+		watchRequests(failedAt+listRetryInterval) != 1 {
+		t.Fatal("want another request listRetryInterval after one failed, and none before")
 	}
 }
 
-// A call to an endpoint may not be written yet when a drain or a retry-after becomes known: then it is aborted.
+// A call to an endpoint may still be unwritten when the dispatcher learns that the endpoint is draining, is
+// gone or sent a Retry-After. Such a call must be aborted.
 func TestUnsentCallsAreAbortedOnADrainOrARetryAfter(t *testing.T) {
-	for name, newEvent := range map[string]func(r *rig, answered Send) Event{
-		"drains": func(*rig, Send) Event { return EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}} },
-		"gone": func(*rig, Send) Event {
+	for name, newEvent := range map[string]func(h *harness, answered Send) Event{
+		"draining": func(*harness, Send) Event { return EndpointListUpdate{Endpoints: []Endpoint{{ID: 1}}} },
+		"gone": func(*harness, Send) Event {
 			return EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}}
 		},
-		"retry-after": func(r *rig, answered Send) Event {
-			e := r.end(answered, Rejected)
+		"retry-after": func(h *harness, answered Send) Event {
+			e := h.newResult(answered, Rejected)
 			e.RetryAfter = 300 * ms
 			return e
 		},
 	} {
-		r := newRig(t, testSettings())
-		r.serve(3, 0, 50*ms)
-		sends := r.step(r.message(0, 0, 0), r.message(0, 0, 0))
+		h := newHarness(t, testSettings())
+		h.serve(3, 0, 50*ms)
+		sends := h.step(h.newMessage(0, 0, 0), h.newMessage(0, 0, 0))
 		if len(sends) != 2 {
-			t.Fatalf("%s: sent %+v", name, sends)
+			t.Fatalf("%s: sends %+v, want two", name, sends)
 		}
-		var got []AbortUnsent
-		for _, a := range r.dispatcher.Step(r.now, []Event{newEvent(r, sends[0])}) {
-			if w, ok := a.(AbortUnsent); ok {
-				got = append(got, w)
+		var aborts []AbortUnsent
+		for _, a := range h.dispatcher.Step(h.now, []Event{newEvent(h, sends[0])}) {
+			if abort, ok := a.(AbortUnsent); ok {
+				aborts = append(aborts, abort)
 			}
 		}
-		if len(got) != 1 || got[0].Endpoint != 1 {
-			t.Errorf("%s: aborted %+v", name, got)
+		if len(aborts) != 1 || aborts[0].Endpoint != 1 {
+			t.Errorf("%s: aborts %+v, want one for endpoint 1", name, aborts)
 		}
 	}
 }
 
-// By a list that may have changed unnoticed nobody is called; what waits meanwhile is sent when it is known to be
-// current again.
+// Nothing may be sent while the endpoint list may have changed unnoticed. The messages that wait are sent
+// once the list is known to be current again.
 func TestNothingIsSentWhileTheEndpointListIsStale(t *testing.T) {
-	r := newRig(t, testSettings())
-	if sends := r.step(EndpointListStale{true}, r.message(0, 0, 0)); len(sends) > 0 {
-		t.Errorf("%d sends by a stale list", len(sends))
+	h := newHarness(t, testSettings())
+	if sends := h.step(EndpointListStale{true}, h.newMessage(0, 0, 0)); len(sends) > 0 {
+		t.Errorf("%d messages sent while the list is stale", len(sends))
 	}
-	r.now += time.Second
-	if sends := r.step(EndpointListStale{false}); len(sends) != 1 {
-		t.Errorf("%d sends when it is fresh again", len(sends))
+	h.now += time.Second
+	if sends := h.step(EndpointListStale{false}); len(sends) != 1 {
+		t.Errorf("%d messages sent when the list is current again, want 1", len(sends))
 	}
 }
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -7,11 +7,16 @@
 	"onyxdyke.example/onyxdyke/internal/dispatch"
 )
 
-// A sender passes its endpoint list and a message, and carries out the actions that come back.
+// A sender passes the endpoint list and a message to its dispatcher, and carries out the actions that it
+// returns.
 func ExampleDispatcher() {
 	d := dispatch.New(dispatch.Settings{
-		Senders: 1, MaxConcurrentCalls: 8, MaxPendingMessages: 100, MaxAttempts: 6, StepInterval: 5 * time.Millisecond,
-		Kinds: []dispatch.Kind{{MaxBatchSize: 1}},
+		Senders:            1,
+		MaxConcurrentCalls: 8,
+		MaxPendingMessages: 100,
+		MaxAttempts:        6,
+		StepInterval:       5 * time.Millisecond,
+		Kinds:              []dispatch.Kind{{MaxBatchSize: 1}},
 		Classes: []dispatch.Class{{
 			LatencyObjective: time.Second,
 			Deadline:         10 * time.Second,
@@ -21,7 +26,10 @@
 		}},
 	}, 42)
 	actions := d.Step(0, []dispatch.Event{
-		dispatch.EndpointListUpdate{Full: true, Endpoints: []dispatch.Endpoint{{ID: 7, Destination: 3, Ready: true}}},
+		dispatch.EndpointListUpdate{
+			Full:      true,
+			Endpoints: []dispatch.Endpoint{{ID: 7, Destination: 3, Ready: true}},
+		},
 		dispatch.Message{ID: 1, Destination: 3, Deadline: 10 * time.Second},
 	})
 	for _, a := range actions {
@@ -29,7 +37,7 @@
 		case dispatch.Send:
 			fmt.Println("call endpoint", a.Endpoint, "with message", a.Message, "for at most", a.Timeout)
 		case dispatch.SetTimer:
-			// call Step again at a.At with a dispatch.TimerFired, if nothing else has happened by then
+			// Call Step at a.At with a dispatch.TimerFired, unless another event comes first.
 		}
 	}
 	d.Step(90*time.Millisecond, []dispatch.Event{dispatch.AttemptResult{
--- a/internal/dispatch/priority_test.go
+++ b/internal/dispatch/priority_test.go
@@ -5,69 +5,73 @@
 	"time"
 )
 
-// With few slots, destinations that hung got the slots of their cancelled calls again and again.
-func TestSlotsGoToDestinationsThatAnswer(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.serve(30, 0, 20*ms)
-	r.serve(30, 1, 20*ms)
-	a, b := r.message(0, 0, 0), r.message(0, 1, 0)
-	ma := &message{Message: a, class: &r.dispatcher.settings.Classes[0]}
-	mb := &message{Message: b, class: &r.dispatcher.settings.Classes[0]}
-	ra, rb := r.dispatcher.destinations[0].shared, r.dispatcher.destinations[1].shared
-	ra.breaker.failureRate, rb.breaker.failureRate, ra.traffic.latency, rb.traffic.latency = 0.1, 0.1, 0.02, 0.02
-	ra.traffic.consecutiveLosses, ra.traffic.lastSentAt = 2, r.now
-	if r.dispatcher.priority(ma, ra) >= r.dispatcher.priority(mb, rb) {
-		t.Fatal("a destination that lost its last calls has the higher priority")
+// Guards against destinations that hang occupying all slots where there are few: without a lower priority,
+// they get the slots of their cancelled calls again and again. The lower priority must fade with the time
+// since the last call, so that such a destination still gets calls.
+func TestSilentDestinationHasLowerPriority(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.serve(30, 0, 20*ms)
+	h.serve(30, 1, 20*ms)
+	first, second := h.newMessage(0, 0, 0), h.newMessage(0, 1, 0)
+	toSilent := &message{Message: first, class: &h.dispatcher.settings.Classes[0]}
+	toAnswering := &message{Message: second, class: &h.dispatcher.settings.Classes[0]}
+	silent, answering := h.dispatcher.destinations[0].shared, h.dispatcher.destinations[1].shared
+	silent.breaker.failureRate, answering.breaker.failureRate,
+		silent.traffic.latency, answering.traffic.latency = 0.1, 0.1, 0.02, 0.02
+	silent.traffic.consecutiveLosses, silent.traffic.lastSentAt = 2, h.now
+	if h.dispatcher.priority(toSilent, silent) >= h.dispatcher.priority(toAnswering, answering) {
+		t.Fatal("a destination whose last calls were not answered does not have the lower priority")
 	}
-	ra.traffic.lastSentAt = r.now - 20*time.Second
-	if r.dispatcher.priority(ma, ra) < 0.9*r.dispatcher.priority(mb, rb) {
-		t.Fatal("a destination that lost calls long ago is starved")
+	silent.traffic.lastSentAt = h.now - 20*time.Second
+	if h.dispatcher.priority(toSilent, silent) < 0.9*h.dispatcher.priority(toAnswering, answering) {
+		t.Fatal("a destination whose calls were not answered 20 s ago still has a far lower priority")
 	}
 }
 
-// Under a limit that serves half of what comes, a class of a third of the weight was passed over for the other
-// until it was failed. Where the settings weigh the worst-served class, its messages count for the share of it
-// that they are.
-func TestWorstServedClassIsWeighedAsInTheSettings(t *testing.T) {
-	share := func(classWeight float64) (low, high float64) {
-		s := testSettings()
-		s.RatingIsRateLimit, s.TotalWeight, s.WorstClassWeight = true, 0.8, classWeight
-		s.Classes[1] = s.Classes[0]
-		s.Classes[1].PriorityWeight = 3
-		r := newRig(t, s)
-		r.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 8}}}) // 4 a second for each of two
-		class, served := map[MessageID]int{}, map[int]float64{}
-		var open []Send
+// Guards against a class being starved under a rate limit that allows half of the submitted messages. A class
+// with a third of the other's weight was passed over until its messages were failed. Where the settings give
+// the worst-served class a weight of its own, the priority of its messages must rise accordingly.
+func TestWorstClassWeightRaisesTheGoodputOfTheWorstClass(t *testing.T) {
+	servedShares := func(classWeight float64) (low, high float64) {
+		settings := testSettings()
+		settings.RatingIsRateLimit, settings.TotalWeight, settings.WorstClassWeight = true, 0.8, classWeight
+		settings.Classes[1] = settings.Classes[0]
+		settings.Classes[1].PriorityWeight = 3
+		h := newHarness(t, settings)
+		// The limit is 8 calls a second, 4 for each of the two senders.
+		h.step(EndpointListUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 8}}})
+		classOf, served := map[MessageID]int{}, map[int]float64{}
+		var inFlight []Send
 		for tick := range 4000 {
-			r.now += 10 * ms
+			h.now += 10 * ms
 			events := []Event{TimerFired{}}
-			if tick%25 == 0 { // 4 a second of each
-				for c := range 2 {
-					m := r.message(c, 0, 0)
-					class[m.ID] = c
+			if tick%25 == 0 { // 4 messages a second of each class
+				for i := range 2 {
+					m := h.newMessage(i, 0, 0)
+					classOf[m.ID] = i
 					events = append(events, m)
 				}
 			}
-			var out []Send
-			for _, x := range open {
-				if r.now < r.sentAt[x.Message]+50*ms {
-					out = append(out, x)
+			var remaining []Send
+			for _, send := range inFlight {
+				if h.now < h.sentAt[send.Message]+50*ms {
+					remaining = append(remaining, send)
 					continue
 				}
-				served[class[x.Message]]++
-				e := r.end(x, Served)
-				e.HasLoadReport, e.RateLimit = true, 8 // all of it is used: the pace stays
-				events = append(events, e)
+				served[classOf[send.Message]]++
+				result := h.newResult(send, Served)
+				result.HasLoadReport, result.RateLimit = true, 8 // with no quota left the pace does not grow
+				events = append(events, result)
 			}
-			out = append(out, r.step(events...)...)
-			open = out
+			remaining = append(remaining, h.step(events...)...)
+			inFlight = remaining
 		}
 		return served[0] / 160, served[1] / 160
 	}
-	low, high := share(0)
-	weighed, other := share(0.2)
-	if weighed < low+0.1 || other < weighed {
-		t.Errorf("served %.2f of the class of less weight and %.2f of the other; unweighed %.2f and %.2f",
-			weighed, other, low, high)
+	low, high := servedShares(0)
+	lowWithWeight, highWithWeight := servedShares(0.2)
+	if lowWithWeight < low+0.1 || highWithWeight < lowWithWeight {
+		t.Errorf("served shares by class %.2f and %.2f; %.2f and %.2f without WorstClassWeight",
+			lowWithWeight, highWithWeight, low, high)
 	}
 }
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -5,122 +5,130 @@
 	"time"
 )
 
-// Rule 4: after an outage seen here the load stays within what a recovering destination bears.
+// After an outage that this sender has detected, its load must stay within what the recovering destination
+// can handle.
 func TestRecoveringDestinationIsNotOverloaded(t *testing.T) {
-	s := testSettings()
-	r := newRig(t, s)
-	r.serve(100, 0, 30*ms) // 20 a second, far more than later allowed
-	route := r.dispatcher.destinations[0].shared
-	usual := route.traffic.servedRate()
-	up := false
-	var at []time.Duration
-	var open []Send
-	outage := r.now
-	returned := time.Duration(0)
-	for r.now < outage+14*time.Second {
-		r.now += 10 * ms
-		up = r.now > outage+6*time.Second
+	settings := testSettings()
+	h := newHarness(t, settings)
+	h.serve(100, 0, 30*ms) // 20 calls a second, far more than the slow start allows
+	route := h.dispatcher.destinations[0].shared
+	usualRate := route.traffic.servedRate()
+	recovered := false
+	var sendTimes []time.Duration
+	var inFlight []Send
+	outageStart := h.now
+	recoveredAt := time.Duration(0)
+	for h.now < outageStart+14*time.Second {
+		h.now += 10 * ms
+		recovered = h.now > outageStart+6*time.Second
 		var events []Event
-		for _, x := range open {
-			o := ConnectFailed
-			if up {
-				o = Served
+		for _, send := range inFlight {
+			outcome := ConnectFailed
+			if recovered {
+				outcome = Served
 			}
-			events = append(events, r.end(x, o))
+			events = append(events, h.newResult(send, outcome))
 		}
-		if len(r.dispatcher.pending) < 60 {
-			events = append(events, r.message(0, 0, 0))
+		if len(h.dispatcher.pending) < 60 {
+			events = append(events, h.newMessage(0, 0, 0))
 		}
-		open = r.step(append(events, TimerFired{})...)
-		if up {
-			if returned == 0 {
-				returned = r.now
+		inFlight = h.step(append(events, TimerFired{})...)
+		if recovered {
+			if recoveredAt == 0 {
+				recoveredAt = h.now
 			}
-			for range open {
-				at = append(at, r.now)
+			for range inFlight {
+				sendTimes = append(sendTimes, h.now)
 			}
 		}
 	}
-	if route.breaker.state == healthy || len(at) < 5 {
-		t.Fatalf("state %v, %d calls after the return", route.breaker.state, len(at))
+	if route.breaker.state == healthy || len(sendTimes) < 5 {
+		t.Fatalf("circuit state %v, %d calls after the recovery, want a slow start with at least 5",
+			route.breaker.state, len(sendTimes))
 	}
-	for i := range at {
-		n, j := 0, i
-		for ; j < len(at) && at[j] < at[i]+s.OverloadWindow; j++ {
-			n++
+	for i := range sendTimes {
+		calls, j := 0, i
+		for ; j < len(sendTimes) && sendTimes[j] < sendTimes[i]+settings.OverloadWindow; j++ {
+			calls++
 		}
-		recovering := (at[i] + s.OverloadWindow - returned).Seconds()
-		share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*recovering/s.SlowStartDuration.Seconds()
-		if bears := s.CollapseLoadFactor * share * usual * s.OverloadWindow.Seconds(); float64(n) > bears+1 {
-			t.Fatalf("%d calls in %v from %v after the recovery, %.1f bearable",
-				n, s.OverloadWindow, at[i]-returned, bears)
+		sinceRecovery := (sendTimes[i] + settings.OverloadWindow - recoveredAt).Seconds()
+		capacity := settings.SlowStartCapacity +
+			(1-settings.SlowStartCapacity)*sinceRecovery/settings.SlowStartDuration.Seconds()
+		if maxCalls := settings.CollapseLoadFactor * capacity * usualRate *
+			settings.OverloadWindow.Seconds(); float64(calls) > maxCalls+1 {
+			t.Fatalf("%d calls in %v from %v after the recovery on, the destination can handle %.1f",
+				calls, settings.OverloadWindow, sendTimes[i]-recoveredAt, maxCalls)
 		}
 	}
 }
 
-// A closed destination that had announced when it reopens was probed with single messages then, as after any
-// outage, while all others waited on. It is open as announced: those that wait are sent, at the pace that a
-// recovering one bears.
+// Guards against delays after an outage whose end was announced. Such a destination was probed with single
+// messages at its announced end, as in any outage, while all other messages kept waiting. It is known to
+// accept calls then, so the waiting messages must be sent without a probe, at the rate of a slow start.
 func TestAnnouncedEndOfAnOutageNeedsNoProbe(t *testing.T) {
-	set := testSettings()
-	set.Kinds[0].MaxBatchSize = 20
-	r := newRig(t, set)
-	r.serve(20, 0, 30*ms)
-	s := r.step(r.message(0, 0, 0))
-	closed := r.end(s[0], Rejected)
-	closed.RetryAfter = 5 * time.Second
-	r.step(closed)
-	reopensAt := r.now + closed.RetryAfter
-	route := r.dispatcher.destinations[0].shared
+	settings := testSettings()
+	settings.Kinds[0].MaxBatchSize = 20
+	h := newHarness(t, settings)
+	h.serve(20, 0, 30*ms)
+	first := h.step(h.newMessage(0, 0, 0))
+	rejection := h.newResult(first[0], Rejected)
+	rejection.RetryAfter = 5 * time.Second
+	h.step(rejection)
+	reopensAt := h.now + rejection.RetryAfter
+	route := h.dispatcher.destinations[0].shared
 	if route.breaker.state != unavailable {
-		t.Fatal("a destination closed for long is no outage")
+		t.Fatal("a Retry-After longer than the overload window did not open the circuit")
 	}
 	for range 10 {
-		r.step(r.message(0, 0, 0))
+		h.step(h.newMessage(0, 0, 0))
 	}
 	var sends []Send
-	for r.now < reopensAt+100*ms && len(sends) == 0 {
-		r.now += 5 * ms
-		if sends = r.step(TimerFired{}); len(sends) > 0 && r.now < reopensAt {
-			t.Fatalf("sent %v before the announced end", reopensAt-r.now)
+	for h.now < reopensAt+100*ms && len(sends) == 0 {
+		h.now += 5 * ms
+		if sends = h.step(TimerFired{}); len(sends) > 0 && h.now < reopensAt {
+			t.Fatalf("sent %v before the announced end", reopensAt-h.now)
 		}
 	}
 	if len(sends) != 11 || route.breaker.state != warmingUp {
-		t.Fatalf("%d sent at the announced end, state %v", len(sends), route.breaker.state)
+		t.Fatalf("%d messages sent at the announced end, circuit state %v; want all 11 and a slow start",
+			len(sends), route.breaker.state)
 	}
-	// One that fails all the same is an outage again after some, not at the first.
-	for _, x := range sends {
-		r.step(r.end(x, Errored))
+	// If calls fail in spite of the announced end, the outage begins again after several failures, not the
+	// first.
+	for _, send := range sends {
+		h.step(h.newResult(send, Errored))
 	}
 	if route.breaker.state != warmingUp {
-		t.Errorf("state %v after one failure", route.breaker.state)
+		t.Errorf("circuit state %v after one failed call, want a slow start", route.breaker.state)
 	}
 }
 
-// Rule 4, at 200 senders: each saw a call or two fail, and together they overloaded the destination when it
-// recovered. Those that saw failures may send what the destination then bears, or less than the others.
+// Guards against a large fleet overloading a recovering destination: among 200 senders, each saw only one or
+// two calls fail, and together they sent too much when it recovered. If all calls are more than the
+// destination can handle then, the senders that saw failures must have sent fewer than twice as many of them
+// as the others.
 func TestLargeFleetDoesNotOverloadARecoveringDestination(t *testing.T) {
-	const senders, perSecond, outage = 200, 5, 15 * time.Second
-	s, list := largeFleet(senders)
+	const senders, callRate, outage = 200, 5, 15 * time.Second
+	settings, list := largeFleet(senders)
 	dispatchers := make([]*Dispatcher, senders)
-	aware := make([]bool, senders)
+	sawFailure := make([]bool, senders)
 	start := time.Hour
 	for i := range dispatchers {
-		dispatchers[i] = New(s, uint64(i+1))
+		dispatchers[i] = New(settings, uint64(i+1))
 		dispatchers[i].Step(start, []Event{list})
 	}
-	type sent struct {
-		by  int
-		end AttemptResult
-		at  time.Duration
+	type pendingResult struct {
+		sender int
+		result AttemptResult
+		endsAt time.Duration
 	}
-	var open []sent
-	var fromAware, fromOthers int
+	var inFlight []pendingResult
+	var fromInformed, fromOthers int
 	id := MessageID(0)
-	tries := map[MessageID]int{}
-	for now := start; now < start+outage+s.OverloadWindow; now += 20 * ms {
+	attempts := map[MessageID]int{}
+	for now := start; now < start+outage+settings.OverloadWindow; now += 20 * ms {
 		events := make([][]Event, senders)
-		give := func(i, dest int) {
+		submit := func(i, dest int) {
 			id++
 			events[i] = append(events[i], Message{
 				ID:          id,
@@ -128,43 +136,50 @@
 				Deadline:    now + 20*time.Second,
 			})
 		}
-		if tick := int(now / (20 * ms)); tick%(50/perSecond) == 0 {
-			give(int(id*37)%senders, 0)
+		if tick := int(now / (20 * ms)); tick%(50/callRate) == 0 {
+			submit(int(id*37)%senders, 0)
 		} else if tick%2 == 0 {
-			give(int(id*37)%senders, 1+int(id)%99)
+			submit(int(id*37)%senders, 1+int(id)%99)
 		}
-		if now == start+11*time.Second { // a clump for it, at as many senders
+		if now == start+11*time.Second { // a burst for destination 0: one message each at 40 senders
 			for i := range 40 {
-				give(i*5, 0)
+				submit(i*5, 0)
 			}
 		}
-		var still []sent
-		for _, c := range open {
-			if now < c.at {
-				still = append(still, c)
+		var remaining []pendingResult
+		for _, call := range inFlight {
+			if now < call.endsAt {
+				remaining = append(remaining, call)
 				continue
 			}
-			events[c.by] = append(events[c.by], c.end)
-			aware[c.by] = aware[c.by] || c.end.Outcome == ConnectFailed && now < start+outage
+			events[call.sender] = append(events[call.sender], call.result)
+			sawFailure[call.sender] = sawFailure[call.sender] ||
+				call.result.Outcome == ConnectFailed && now < start+outage
 		}
-		open = still
+		inFlight = remaining
 		for i, d := range dispatchers {
 			for _, a := range d.Step(now, append(events[i], TimerFired{})) {
-				call, ok := a.(Send)
+				send, ok := a.(Send)
 				if !ok {
 					continue
 				}
-				down := call.Endpoint == 1 && now < start+outage
-				end := AttemptResult{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint,
-					Elapsed: 40 * ms, Outcome: Served, Final: true}
-				if down {
-					end.Outcome, end.Final = ConnectFailed, false
+				fails := send.Endpoint == 1 && now < start+outage
+				result := AttemptResult{
+					Message:  send.Message,
+					Attempt:  attempts[send.Message],
+					Endpoint: send.Endpoint,
+					Elapsed:  40 * ms,
+					Outcome:  Served,
+					Final:    true,
 				}
-				tries[call.Message]++
-				open = append(open, sent{i, end, now + 40*ms})
-				if call.Endpoint == 1 && now >= start+outage {
-					if aware[i] {
-						fromAware++
+				if fails {
+					result.Outcome, result.Final = ConnectFailed, false
+				}
+				attempts[send.Message]++
+				inFlight = append(inFlight, pendingResult{i, result, now + 40*ms})
+				if send.Endpoint == 1 && now >= start+outage {
+					if sawFailure[i] {
+						fromInformed++
 					} else {
 						fromOthers++
 					}
@@ -172,38 +187,43 @@
 			}
 		}
 	}
-	share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*s.OverloadWindow.Seconds()/s.SlowStartDuration.Seconds()
-	bears := s.CollapseLoadFactor * share * perSecond * s.OverloadWindow.Seconds()
-	if float64(fromAware+fromOthers) > bears && fromAware >= 2*fromOthers {
-		t.Fatalf("%d calls from senders that saw it fail, %d from others, %.1f bearable", fromAware, fromOthers, bears)
+	capacity := settings.SlowStartCapacity +
+		(1-settings.SlowStartCapacity)*settings.OverloadWindow.Seconds()/settings.SlowStartDuration.Seconds()
+	maxCalls := settings.CollapseLoadFactor * capacity * callRate * settings.OverloadWindow.Seconds()
+	if float64(fromInformed+fromOthers) > maxCalls && fromInformed >= 2*fromOthers {
+		t.Fatalf("%d calls from senders that saw failures, %d from others, the destination can handle %.1f",
+			fromInformed, fromOthers, maxCalls)
 	}
 }
 
-// Eighty senders told when a destination reopens all came in that moment: most connects failed there, and it was
-// ejected again for seconds. They come one after another, as it bears them, and the first of them soon.
-func TestLargeFleetReopensWithJitter(t *testing.T) {
+// Guards against all senders of a fleet calling a destination at the moment of the announced end of its
+// outage: with eighty senders, most of their connects failed, and the outage began again for seconds. Their
+// first calls must be spread over time at a rate that the destination can handle, the first of them soon
+// after that end.
+func TestLargeFleetResumesWithJitterAfterAnAnnouncedEnd(t *testing.T) {
 	const senders, limit, wait = 80, 70, 8 * time.Second
-	came := map[time.Duration]int{}
+	firstCalls := map[time.Duration]int{}
 	for seed := range uint64(senders) {
-		s := testSettings()
-		s.Senders, s.RatingIsRateLimit, s.OverloadWindow = senders, true, 3*time.Second
-		r := newRig(t, s)
-		r.dispatcher = New(s, seed+1)
-		r.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
-		first := r.step(r.message(0, 0, 0), r.message(0, 0, 0))
-		e := r.end(first[0], Rejected)
-		e.RetryAfter = wait
-		reopensAt := r.now + wait
-		sent := r.step(e)
-		for ; len(sent) == 0 && r.now < reopensAt+8*time.Second; r.now += 20 * ms {
-			sent = r.step(TimerFired{})
+		settings := testSettings()
+		settings.Senders, settings.RatingIsRateLimit, settings.OverloadWindow = senders, true, 3*time.Second
+		h := newHarness(t, settings)
+		h.dispatcher = New(settings, seed+1)
+		h.step(EndpointListUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, Rating: limit, Ready: true}}})
+		first := h.step(h.newMessage(0, 0, 0), h.newMessage(0, 0, 0))
+		rejection := h.newResult(first[0], Rejected)
+		rejection.RetryAfter = wait
+		reopensAt := h.now + wait
+		sends := h.step(rejection)
+		for ; len(sends) == 0 && h.now < reopensAt+8*time.Second; h.now += 20 * ms {
+			sends = h.step(TimerFired{})
 		}
-		if r.now < reopensAt {
-			t.Fatalf("a call %v before the announced end", reopensAt-r.now)
+		if h.now < reopensAt {
+			t.Fatalf("call sent %v before the announced end", reopensAt-h.now)
 		}
-		came[(r.now-reopensAt)/time.Second]++
+		firstCalls[(h.now-reopensAt)/time.Second]++
 	}
-	if came[0] == 0 || came[0] > limit/2 || came[0]+came[1]+came[2]+came[3] < senders/2 {
-		t.Errorf("first calls by second after the announced end: %v", came)
+	if firstCalls[0] == 0 || firstCalls[0] > limit/2 ||
+		firstCalls[0]+firstCalls[1]+firstCalls[2]+firstCalls[3] < senders/2 {
+		t.Errorf("number of first calls by second after the announced end: %v", firstCalls)
 	}
 }
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -7,88 +7,92 @@
 	"time"
 )
 
-// follow is a rig whose Dispatcher goes on where another one stops, in another process: all travels as bytes.
-func successor(t *testing.T, r *rig, s Settings) *rig {
+// newSuccessor returns a harness for a new Dispatcher with the snapshot of the one in h, encoded and decoded
+// as for another process.
+func newSuccessor(t *testing.T, h *harness, settings Settings) *harness {
 	t.Helper()
-	var wire bytes.Buffer
-	if err := gob.NewEncoder(&wire).Encode(r.dispatcher.Snapshot()); err != nil {
+	var encoded bytes.Buffer
+	if err := gob.NewEncoder(&encoded).Encode(h.dispatcher.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	var m Snapshot
-	if err := gob.NewDecoder(&wire).Decode(&m); err != nil {
+	var snapshot Snapshot
+	if err := gob.NewDecoder(&encoded).Decode(&snapshot); err != nil {
 		t.Fatal(err)
 	}
-	n := newRig(t, s)
-	n.now, n.next = r.now, r.next
-	n.step()
-	n.dispatcher.Restore(m)
-	return n
+	next := newHarness(t, settings)
+	next.now, next.lastID = h.now, h.lastID
+	next.step()
+	next.dispatcher.Restore(snapshot)
+	return next
 }
 
-// A retry-after binds the sender, not the process that received it.
+// A Retry-After must still apply after a hand-over to another process of the sender.
 func TestSnapshotKeepsRetryAfter(t *testing.T) {
-	r := newRig(t, testSettings())
-	sends := r.step(r.message(0, 0, 0))
-	e := r.end(sends[0], Rejected)
-	e.RetryAfter = 700 * ms
-	r.step(e)
-	n := successor(t, r, testSettings())
-	if sends := n.step(n.message(0, 0, 0)); len(sends) > 0 {
-		t.Errorf("sent within the retry-after: %v", sends)
+	h := newHarness(t, testSettings())
+	sends := h.step(h.newMessage(0, 0, 0))
+	rejection := h.newResult(sends[0], Rejected)
+	rejection.RetryAfter = 700 * ms
+	h.step(rejection)
+	next := newSuccessor(t, h, testSettings())
+	if sends := next.step(next.newMessage(0, 0, 0)); len(sends) > 0 {
+		t.Errorf("sent within the Retry-After: %v", sends)
 	}
-	n.now += 710 * ms
-	if sends := n.step(TimerFired{}); len(sends) != 1 {
-		t.Errorf("after the retry-after: %v", sends)
+	next.now += 710 * ms
+	if sends := next.step(TimerFired{}); len(sends) != 1 {
+		t.Errorf("sends %v after the Retry-After, want one", sends)
 	}
 }
 
-// An outage goes on in the next process, with its spacing of probes, and so does what was learnt of latencies.
+// An outage must continue after a hand-over to another process of the sender, with the interval between its
+// probes, and the latency statistics must be kept.
 func TestSnapshotKeepsOutages(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.serve(30, 0, 50*ms)
+	h := newHarness(t, testSettings())
+	h.serve(30, 0, 50*ms)
 	for range 12 {
-		for _, s := range r.step(r.message(0, 0, 0)) {
-			r.step(r.end(s, Errored))
+		for _, send := range h.step(h.newMessage(0, 0, 0)) {
+			h.step(h.newResult(send, Errored))
 		}
-		r.now += 300 * ms
+		h.now += 300 * ms
 	}
-	n := successor(t, r, testSettings())
-	if had, has := r.dispatcher.EjectedEndpoints(), n.dispatcher.EjectedEndpoints(); had != 1 || has != 1 {
-		t.Errorf("%d endpoints ejected before, %d after", had, has)
+	next := newSuccessor(t, h, testSettings())
+	if before, after := h.dispatcher.EjectedEndpoints(),
+		next.dispatcher.EjectedEndpoints(); before != 1 || after != 1 {
+		t.Errorf("%d endpoints in an outage before the hand-over, %d after, want 1", before, after)
 	}
-	had := r.dispatcher.routes[0].estimator.optimum()
-	has := n.dispatcher.destinations[0].shared.estimator.optimum()
-	if had != has || had == 0 {
-		t.Errorf("the timeout is %v, was %v", has, had)
+	before := h.dispatcher.routes[0].estimator.optimum()
+	after := next.dispatcher.destinations[0].shared.estimator.optimum()
+	if before != after || before == 0 {
+		t.Errorf("the optimal timeout is %v after the hand-over, %v before", after, before)
 	}
 }
 
-// Calls that an earlier process has in flight count as ours, with their messages, and end like any other.
+// Calls that an earlier process has in flight must count against this process's maximum of calls, and their
+// results must be handled like those of its own calls.
 func TestInheritedCallsCountAsInFlight(t *testing.T) {
-	s := testSettings()
-	s.MaxConcurrentCalls = 2
-	n := newRig(t, s)
-	var out []Event
+	settings := testSettings()
+	settings.MaxConcurrentCalls = 2
+	h := newHarness(t, settings)
+	var events []Event
 	for call := range uint64(2) {
-		m := n.message(0, 0, 0)
-		m.MayHaveRun, m.FirstRunAt = true, n.now-ms
-		m.InFlight = &InFlightAttempt{Endpoint: 1, Call: call, SentAt: n.now - ms, Timeout: 5 * time.Second}
-		n.attempts[m.ID]++
-		out = append(out, m)
+		m := h.newMessage(0, 0, 0)
+		m.MayHaveRun, m.FirstRunAt = true, h.now-ms
+		m.InFlight = &InFlightAttempt{Endpoint: 1, Call: call, SentAt: h.now - ms, Timeout: 5 * time.Second}
+		h.attempts[m.ID]++
+		events = append(events, m)
 	}
-	if sends := n.step(append(out, n.message(0, 1, 0))...); len(sends) > 0 {
-		t.Fatalf("sent beyond the bound of calls: %v", sends)
+	if sends := h.step(append(events, h.newMessage(0, 1, 0))...); len(sends) > 0 {
+		t.Fatalf("sends %v while inherited calls occupy all slots", sends)
 	}
-	sends := n.step(AttemptResult{Message: 1, Endpoint: 1, Outcome: ConnectFailed})
+	sends := h.step(AttemptResult{Message: 1, Endpoint: 1, Outcome: ConnectFailed})
 	if len(sends) != 1 || sends[0].Message != 3 {
-		t.Errorf("with one call ended: %v", sends)
+		t.Errorf("sends %v after one inherited call ended, want the waiting message", sends)
 	}
-	n.step(AttemptResult{Message: 2, Endpoint: 1, Outcome: Served, Final: true})
-	n.now += time.Second
-	if sends := n.step(TimerFired{}); len(sends) != 1 || sends[0].Message != 1 {
-		t.Errorf("the one that never ran is not sent again: %v", sends)
+	h.step(AttemptResult{Message: 2, Endpoint: 1, Outcome: Served, Final: true})
+	h.now += time.Second
+	if sends := h.step(TimerFired{}); len(sends) != 1 || sends[0].Message != 1 {
+		t.Errorf("sends %v, want the message whose inherited call never ran", sends)
 	}
-	if n.dispatcher.callsInFlight != 2 {
-		t.Errorf("%d calls in flight", n.dispatcher.callsInFlight)
+	if h.dispatcher.callsInFlight != 2 {
+		t.Errorf("%d calls in flight, want 2", h.dispatcher.callsInFlight)
 	}
 }
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -14,46 +14,51 @@
 	"time"
 )
 
-// The decisions are pinned: the same events and seed give the same actions. The traces under testdata/traces were
-// recorded with the release of commit 5d1fee9 and hold a digest of all events and actions for every traceBlock
-// steps. A change that is meant to alter decisions records them anew, with -record-traces, and says so.
+// The test in this file guards against unintended changes of decisions: the same events and seed must give
+// the same actions. The traces under testdata/traces were recorded with the release of commit 5d1fee9. For
+// every traceBlock steps, a trace holds the number of steps, the number of messages, and a digest of all
+// actions so far, log lines aside, and of the number of endpoints in an outage after each step. A change that
+// is meant to alter decisions records the traces again with -record-traces, and its commit says so.
 
 var recordTraces = flag.Bool("record-traces", false, "write testdata/traces instead of comparing with it")
 
 const (
-	traceSteps = 4000
-	traceBlock = 50
+	traceSteps = 4000 // steps of one trace
+	traceBlock = 50   // steps of one block, which has one digest
 )
 
-// traceWorld drives one module with made-up events and answers its calls. All of it follows from the seed.
-type traceWorld struct {
-	random   *rand.Rand
-	module   *Dispatcher
-	settings Settings
-	seed     uint64
-	now      time.Duration
-	next     MessageID
-	list     []Endpoint
-	calls    []traceCall
-	sent     map[MessageID]int
-	outages  []Outage
-	pending  map[MessageID]Message
-	digest   interface {
+// traceSimulation drives one Dispatcher with random events and answers its calls. The seed determines all of
+// it.
+type traceSimulation struct {
+	random     *rand.Rand
+	dispatcher *Dispatcher
+	settings   Settings
+	seed       uint64
+	now        time.Duration
+	lastID     MessageID
+	list       []Endpoint
+	calls      []traceCall           // in flight
+	attempts   map[MessageID]int     // number of attempts that the dispatcher has recorded
+	outages    []Outage              // all that were persisted, in order
+	pending    map[MessageID]Message // also ended messages, until the next restart
+	digest     interface {
 		Write([]byte) (int, error)
 		Sum64() uint64
 	}
 }
 
+// traceCall is an attempt in flight, with its predetermined outcome.
 type traceCall struct {
 	send    Send
 	attempt int
-	sent    time.Duration
-	ends    time.Duration
+	sentAt  time.Duration
+	endsAt  time.Duration
 	outcome Outcome
 }
 
+// traceSettings returns settings of which some are random.
 func traceSettings(random *rand.Rand, senders int) Settings {
-	s := Settings{
+	settings := Settings{
 		Senders:               senders,
 		Number:                random.Intn(senders),
 		Zone:                  random.Intn(3),
@@ -84,11 +89,15 @@
 			{MaxBatchSize: 4},
 			{PerEndpoint: true, MaxBatchSize: 3},
 		},
-		Tenants: []Tenant{{Quota: 0.5, QuotaRate: 30}, {Quota: 0.3, QuotaRate: 10}, {Quota: 0.2, QuotaRate: 4}},
+		Tenants: []Tenant{
+			{Quota: 0.5, QuotaRate: 30},
+			{Quota: 0.3, QuotaRate: 10},
+			{Quota: 0.2, QuotaRate: 4},
+		},
 	}
 	for _, effect := range []Effect{Idempotent, IdempotentByKey, NonIdempotent} {
 		for _, ordered := range []bool{false, true} {
-			s.Classes = append(s.Classes, Class{
+			settings.Classes = append(settings.Classes, Class{
 				LatencyObjective:  time.Duration(300+random.Intn(1500)) * ms,
 				Deadline:          time.Duration(3000+random.Intn(9000)) * ms,
 				Effect:            effect,
@@ -100,52 +109,57 @@
 			})
 		}
 	}
-	return s
+	return settings
 }
 
-func newTraceWorld(seed int64) *traceWorld {
+// newTraceSimulation returns a simulation of one of 1, 3, 40 or 300 senders, by the seed.
+func newTraceSimulation(seed int64) *traceSimulation {
 	random := rand.New(rand.NewSource(seed))
 	senders := []int{1, 3, 40, 300}[seed%4]
-	w := &traceWorld{
+	s := &traceSimulation{
 		random:   random,
 		settings: traceSettings(random, senders),
 		seed:     uint64(seed) * 77,
 		now:      time.Duration(seed) * time.Minute,
-		sent:     map[MessageID]int{},
+		attempts: map[MessageID]int{},
 		pending:  map[MessageID]Message{},
 		digest:   fnv.New64a(),
 	}
-	w.module = New(w.settings, w.seed)
+	s.dispatcher = New(s.settings, s.seed)
 	for id := EndpointID(0); id < 14; id++ {
 		destination := DestinationID(id / 2)
-		w.list = append(w.list, Endpoint{
+		s.list = append(s.list, Endpoint{
 			ID:          id,
 			Destination: destination,
-			Kind:        int(destination) % len(w.settings.Kinds),
+			Kind:        int(destination) % len(s.settings.Kinds),
 			Zone:        random.Intn(3),
 			Ready:       true,
 			Rating:      float64(random.Intn(40)),
 		})
 	}
-	return w
+	return s
 }
 
-func (w *traceWorld) note(format string, values ...any) {
-	if _, err := fmt.Fprintf(w.digest, format+"\n", values...); err != nil {
-		panic(err) // a hash never fails
+// hashLine adds a line to the digest.
+func (s *traceSimulation) hashLine(format string, values ...any) {
+	if _, err := fmt.Fprintf(s.digest, format+"\n", values...); err != nil {
+		panic(err) // writing to a hash never fails
 	}
 }
 
-// failing reports whether a destination is in an outage: most have outages of some seconds, one after another.
-func (w *traceWorld) failing(destination DestinationID) bool {
-	phase := (w.now + time.Duration(destination)*7*time.Second) % (40 * time.Second)
+// inOutage reports whether a destination is in an outage, in which most of its calls fail. Two of three
+// destinations have an outage of 6 s in every 40 s, each at a different time.
+func (s *traceSimulation) inOutage(destination DestinationID) bool {
+	phase := (s.now + time.Duration(destination)*7*time.Second) % (40 * time.Second)
 	return phase < 6*time.Second && destination%3 != 2
 }
 
-func (w *traceWorld) outcome(e EndpointID) (Outcome, time.Duration) {
-	latency := time.Duration(20+w.random.ExpFloat64()*80) * ms
-	roll := w.random.Intn(100)
-	if w.failing(w.list[e].Destination) {
+// outcome returns a random outcome of a call to an endpoint, and the time after which it is known (0 if there
+// is no answer).
+func (s *traceSimulation) outcome(endpoint EndpointID) (Outcome, time.Duration) {
+	latency := time.Duration(20+s.random.ExpFloat64()*80) * ms
+	roll := s.random.Intn(100)
+	if s.inOutage(s.list[endpoint].Destination) {
 		switch {
 		case roll < 40:
 			return TimedOut, 0
@@ -176,221 +190,237 @@
 	return Served, latency
 }
 
-func (w *traceWorld) message() Message {
-	w.next++
+// message returns a new random message. Some are resumed, have a history, or have rules of their own.
+func (s *traceSimulation) message() Message {
+	s.lastID++
 	m := Message{
-		ID:          w.next,
-		Class:       w.random.Intn(len(w.settings.Classes)),
-		Tenant:      w.random.Intn(len(w.settings.Tenants)+1) - 1,
-		Destination: DestinationID(w.random.Intn(8)),
+		ID:          s.lastID,
+		Class:       s.random.Intn(len(s.settings.Classes)),
+		Tenant:      s.random.Intn(len(s.settings.Tenants)+1) - 1,
+		Destination: DestinationID(s.random.Intn(8)),
 	}
-	m.Deadline = w.now + w.settings.Classes[m.Class].Deadline
-	if w.random.Intn(2) == 0 {
-		m.Key = uint64(1 + w.random.Intn(6))
+	m.Deadline = s.now + s.settings.Classes[m.Class].Deadline
+	if s.random.Intn(2) == 0 {
+		m.Key = uint64(1 + s.random.Intn(6))
 	}
-	switch w.random.Intn(12) {
+	switch s.random.Intn(12) {
 	case 0:
-		m.Resumed, m.PriorAttempts, m.MayHaveRun, m.FirstRunAt, m.FirstRunZone = true, 1, true, w.now-time.Second, 1
+		m.Resumed, m.PriorAttempts, m.MayHaveRun, m.FirstRunAt, m.FirstRunZone =
+			true, 1, true, s.now-time.Second, 1
 	case 1:
-		m.Rules = &Rules{w.settings.Classes[w.random.Intn(len(w.settings.Classes))], 4}
+		m.Rules = &Rules{s.settings.Classes[s.random.Intn(len(s.settings.Classes))], 4}
 	case 2:
-		m.NotBefore, m.Resumed = w.now+200*ms, true
+		m.NotBefore, m.Resumed = s.now+200*ms, true
 	}
 	return m
 }
 
-func (w *traceWorld) events() []Event {
+// events returns the events of one step: random ones, and the results of the calls that have ended by now.
+func (s *traceSimulation) events() []Event {
 	var events []Event
-	if w.now%time.Minute == 0 || w.random.Intn(300) == 0 {
-		w.list[w.random.Intn(len(w.list))].Rating = float64(w.random.Intn(40))
-		events = append(events, EndpointListUpdate{Full: true, Endpoints: append([]Endpoint(nil), w.list...)})
+	if s.now%time.Minute == 0 || s.random.Intn(300) == 0 {
+		s.list[s.random.Intn(len(s.list))].Rating = float64(s.random.Intn(40))
+		events = append(events, EndpointListUpdate{Full: true, Endpoints: append([]Endpoint(nil), s.list...)})
 	}
-	switch w.random.Intn(250) {
+	switch s.random.Intn(250) {
 	case 0:
-		i := w.random.Intn(len(w.list))
-		w.list[i].Ready = !w.list[i].Ready
-		events = append(events, EndpointListUpdate{Endpoints: []Endpoint{w.list[i]}})
+		i := s.random.Intn(len(s.list))
+		s.list[i].Ready = !s.list[i].Ready
+		events = append(events, EndpointListUpdate{Endpoints: []Endpoint{s.list[i]}})
 	case 1:
 		events = append(events, EndpointListUpdate{Failed: true})
 	case 2:
-		events = append(events, StorageStatus{Failing: w.random.Intn(2) == 0})
+		events = append(events, StorageStatus{Failing: s.random.Intn(2) == 0})
 	case 3:
-		events = append(events, EndpointListStale{Stale: w.random.Intn(2) == 0})
+		events = append(events, EndpointListStale{Stale: s.random.Intn(2) == 0})
 	case 4:
 		events = append(events, RetryAfterReceived{
-			Endpoint:   EndpointID(w.random.Intn(15)),
-			RetryAfter: time.Duration(w.random.Intn(600)) * ms,
+			Endpoint:   EndpointID(s.random.Intn(15)),
+			RetryAfter: time.Duration(s.random.Intn(600)) * ms,
 		})
 	case 5:
-		w.settings.MaxAttempts = 3 + w.random.Intn(4)
-		w.settings.MaxConcurrentCalls = 6 + w.random.Intn(20)
-		events = append(events, SettingsChanged{w.settings})
+		s.settings.MaxAttempts = 3 + s.random.Intn(4)
+		s.settings.MaxConcurrentCalls = 6 + s.random.Intn(20)
+		events = append(events, SettingsChanged{s.settings})
 	case 6, 7, 8:
 		events = append(events, StorageStatus{}, EndpointListStale{})
 	case 9, 10:
-		events = append(events, MessageCancelled{Message: MessageID(w.random.Intn(int(w.next) + 1))})
+		events = append(events, MessageCancelled{Message: MessageID(s.random.Intn(int(s.lastID) + 1))})
 	}
-	for n := w.random.Intn(3) * w.random.Intn(2); n > 0; n-- {
-		m := w.message()
-		w.pending[m.ID] = m
+	for n := s.random.Intn(3) * s.random.Intn(2); n > 0; n-- {
+		m := s.message()
+		s.pending[m.ID] = m
 		events = append(events, m)
 	}
-	var left []traceCall
-	for _, c := range w.calls {
-		if c.ends > w.now {
-			left = append(left, c)
+	var remaining []traceCall
+	for _, call := range s.calls {
+		if call.endsAt > s.now {
+			remaining = append(remaining, call)
 			continue
 		}
-		end := AttemptResult{Message: c.send.Message, Attempt: c.attempt, Endpoint: c.send.Endpoint, Outcome: c.outcome,
-			Elapsed: w.now - c.sent, Final: c.outcome == Served}
-		if c.outcome == Rejected && w.random.Intn(2) == 0 {
-			end.RetryAfter = time.Duration(w.random.Intn(3500)) * ms
+		result := AttemptResult{
+			Message:  call.send.Message,
+			Attempt:  call.attempt,
+			Endpoint: call.send.Endpoint,
+			Outcome:  call.outcome,
+			Elapsed:  s.now - call.sentAt,
+			Final:    call.outcome == Served,
 		}
-		if w.random.Intn(4) == 0 {
-			end.HasLoadReport, end.QuotaLeft, end.RateLimit = true, w.random.Float64(), float64(w.random.Intn(50))
+		if call.outcome == Rejected && s.random.Intn(2) == 0 {
+			result.RetryAfter = time.Duration(s.random.Intn(3500)) * ms
 		}
-		if c.outcome == ConnectionBroken {
-			end.ConnectionIdle = time.Duration(w.random.Intn(3)) * time.Second
+		if s.random.Intn(4) == 0 {
+			result.HasLoadReport, result.QuotaLeft, result.RateLimit =
+				true, s.random.Float64(), float64(s.random.Intn(50))
 		}
-		events = append(events, end)
+		if call.outcome == ConnectionBroken {
+			result.ConnectionIdle = time.Duration(s.random.Intn(3)) * time.Second
+		}
+		events = append(events, result)
 	}
-	w.calls = left
-	if w.random.Intn(3) == 0 {
+	s.calls = remaining
+	if s.random.Intn(3) == 0 {
 		events = append(events, TimerFired{})
 	}
 	return events
 }
 
-func (w *traceWorld) carryOut(actions []Action) {
-	for _, a := range actions {
-		switch a := a.(type) {
+// carryOut adds actions to the digest and carries them out.
+func (s *traceSimulation) carryOut(actions []Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Send:
-			w.note("send %d %d %d %d", a.Message, a.Endpoint, a.Timeout, a.StartWithin)
-			outcome, latency := w.outcome(a.Endpoint)
-			if outcome == TimedOut || latency > a.Timeout {
-				outcome, latency = TimedOut, a.Timeout
+			s.hashLine("send %d %d %d %d",
+				action.Message, action.Endpoint, action.Timeout, action.StartWithin)
+			outcome, latency := s.outcome(action.Endpoint)
+			if outcome == TimedOut || latency > action.Timeout {
+				outcome, latency = TimedOut, action.Timeout
 			}
-			w.calls = append(w.calls, traceCall{a, w.sent[a.Message], w.now, w.now + latency, outcome})
-			w.sent[a.Message]++
+			s.calls = append(s.calls, traceCall{
+				action, s.attempts[action.Message], s.now, s.now + latency, outcome,
+			})
+			s.attempts[action.Message]++
 		case Reject:
-			w.note("reject %d %d", a.Message, a.RetryAfter)
+			s.hashLine("reject %d %d", action.Message, action.RetryAfter)
 		case Fail:
-			w.note("fail %d", a.Message)
+			s.hashLine("fail %d", action.Message)
 		case Cancel:
-			w.note("cancel %d %d", a.Message, a.Attempt)
-			for i := range w.calls {
-				if c := &w.calls[i]; c.send.Message == a.Message && c.attempt == a.Attempt {
-					c.ends, c.outcome = w.now, Cancelled
+			s.hashLine("cancel %d %d", action.Message, action.Attempt)
+			for i := range s.calls {
+				if c := &s.calls[i]; c.send.Message == action.Message && c.attempt == action.Attempt {
+					c.endsAt, c.outcome = s.now, Cancelled
 				}
 			}
 		case AbortUnsent:
-			w.note("abort unsent %d", a.Endpoint)
+			s.hashLine("abort unsent %d", action.Endpoint)
 		case CloseIdle:
-			w.note("close idle %d", a.Endpoint)
+			s.hashLine("close idle %d", action.Endpoint)
 		case SetTimer:
-			w.note("timer %d", a.At)
+			s.hashLine("timer %d", action.At)
 		case WatchEndpointList:
-			w.note("watch")
+			s.hashLine("watch")
 		case PersistOutages:
-			for _, o := range a.Outages {
-				w.note("outage %d %d %v %v %v %d %d %v", o.Destination, o.Endpoint, o.PerEndpoint,
+			for _, o := range action.Outages {
+				s.hashLine("outage %d %d %v %v %v %d %d %v", o.Destination, o.Endpoint, o.PerEndpoint,
 					o.Resolved, o.WarmingUp, o.Since, o.StartedAt, o.RateBefore)
 			}
-			w.outages = append(w.outages, a.Outages...)
+			s.outages = append(s.outages, action.Outages...)
 		case Log:
-			// Log lines are for people and may be reworded.
+			// Log lines are not part of the digest, as they may be reworded.
 		default:
-			w.note("unknown %T", a)
+			s.hashLine("unknown %T", action)
 		}
 	}
 }
 
-// restart replaces the module as a restart of the process does, or with handOver as an upgrade does.
-func (w *traceWorld) restart(t *testing.T, handOver bool) {
+// restart replaces the dispatcher as a restart of the process does, or as an upgrade does if handOver is set.
+// In an upgrade the successor gets a snapshot and the calls in flight, otherwise only the persisted outages.
+func (s *traceSimulation) restart(t *testing.T, handOver bool) {
 	t.Helper()
-	before := w.module
-	w.module = New(w.settings, w.seed+uint64(w.now))
-	w.carryOut(w.module.Step(w.now, []Event{EndpointListUpdate{
+	predecessor := s.dispatcher
+	s.dispatcher = New(s.settings, s.seed+uint64(s.now))
+	s.carryOut(s.dispatcher.Step(s.now, []Event{EndpointListUpdate{
 		Full:      true,
-		Endpoints: append([]Endpoint(nil), w.list...),
+		Endpoints: append([]Endpoint(nil), s.list...),
 	}}))
-	var out []traceCall
+	var inherited []traceCall
 	if handOver {
-		var wire bytes.Buffer
-		if err := gob.NewEncoder(&wire).Encode(before.Snapshot()); err != nil {
+		var encoded bytes.Buffer
+		if err := gob.NewEncoder(&encoded).Encode(predecessor.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
-		var m Snapshot
-		if err := gob.NewDecoder(&wire).Decode(&m); err != nil {
+		var snapshot Snapshot
+		if err := gob.NewDecoder(&encoded).Decode(&snapshot); err != nil {
 			t.Fatal(err)
 		}
-		w.module.Restore(m)
-		out = w.calls
+		s.dispatcher.Restore(snapshot)
+		inherited = s.calls
 	} else {
-		w.carryOut(w.module.Step(w.now, []Event{OutagesRestored{w.outages}}))
+		s.carryOut(s.dispatcher.Step(s.now, []Event{OutagesRestored{s.outages}}))
 	}
-	backoffs := before.BackoffUntil()
-	attempts := w.sent
-	w.calls, w.sent = nil, map[MessageID]int{}
+	backoffs := predecessor.BackoffUntil()
+	attempts := s.attempts
+	s.calls, s.attempts = nil, map[MessageID]int{}
 	var events []Event
-	for id := MessageID(1); id <= w.next; id++ {
-		m, isPending := w.pending[id]
-		if !isPending || before.messages[id] == nil || before.messages[id].closed {
-			delete(w.pending, id)
+	for id := MessageID(1); id <= s.lastID; id++ {
+		m, isPending := s.pending[id]
+		if !isPending || predecessor.messages[id] == nil || predecessor.messages[id].closed {
+			delete(s.pending, id)
 			continue
 		}
 		m.Resumed, m.NotBefore = true, backoffs[id]
-		if made := attempts[id]; made > 0 {
-			m.PriorAttempts, m.MayHaveRun = made, true
-			m.FirstRunAt = max(m.FirstRunAt, w.now-time.Second)
+		if count := attempts[id]; count > 0 {
+			m.PriorAttempts, m.MayHaveRun = count, true
+			m.FirstRunAt = max(m.FirstRunAt, s.now-time.Second)
 		}
-		for i, c := range out {
-			if c.send.Message == id {
+		for i, call := range inherited {
+			if call.send.Message == id {
 				m.InFlight = &InFlightAttempt{
-					Endpoint: c.send.Endpoint,
+					Endpoint: call.send.Endpoint,
 					Call:     uint64(i),
-					SentAt:   c.sent,
-					Timeout:  c.send.Timeout,
+					SentAt:   call.sentAt,
+					Timeout:  call.send.Timeout,
 				}
-				c.attempt = 0
+				call.attempt = 0
 				m.PriorAttempts--
-				w.calls = append(w.calls, c)
-				w.sent[id] = 1
+				s.calls = append(s.calls, call)
+				s.attempts[id] = 1
 				break
 			}
 		}
 		events = append(events, m)
 	}
-	w.carryOut(w.module.Step(w.now, events))
+	s.carryOut(s.dispatcher.Step(s.now, events))
 }
 
-// run plays the world and returns the digest of each block of steps.
-func (w *traceWorld) run(t *testing.T) []string {
+// run makes all steps and returns the line of each block for the trace.
+func (s *traceSimulation) run(t *testing.T) []string {
 	t.Helper()
 	var lines []string
 	for step := range traceSteps {
-		events := w.events()
-		w.carryOut(w.module.Step(w.now, events))
+		events := s.events()
+		s.carryOut(s.dispatcher.Step(s.now, events))
 		switch step % 1000 {
 		case 700:
-			w.restart(t, true)
+			s.restart(t, true)
 		case 950:
-			w.restart(t, false)
+			s.restart(t, false)
 		}
-		w.note("avoided %d", w.module.EjectedEndpoints())
+		s.hashLine("avoided %d", s.dispatcher.EjectedEndpoints())
 		if step%traceBlock == traceBlock-1 {
-			lines = append(lines, fmt.Sprintf("%d %d %016x", step+1, w.next, w.digest.Sum64()))
+			lines = append(lines, fmt.Sprintf("%d %d %016x", step+1, s.lastID, s.digest.Sum64()))
 		}
-		w.now += time.Duration(1+w.random.Intn(40)) * ms
+		s.now += time.Duration(1+s.random.Intn(40)) * ms
 	}
 	return lines
 }
 
+// Guards against unintended changes of decisions: a run must give the same digests as the recorded one.
 func TestDecisionsEqualTheRecordedTraces(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			got := newTraceWorld(seed).run(t)
+			got := newTraceSimulation(seed).run(t)
 			file := filepath.Join("testdata", "traces", fmt.Sprintf("seed-%d.txt", seed))
 			if *recordTraces {
 				var text bytes.Buffer
@@ -410,11 +440,12 @@
 			n := 0
 			for lines := bufio.NewScanner(f); lines.Scan(); n++ {
 				if n >= len(got) || lines.Text() != got[n] {
-					t.Fatalf("block %d: recorded %q, now %q", n, lines.Text(), got[min(n, len(got)-1)])
+					t.Fatalf("block %d: the trace has %q, this run gives %q",
+						n, lines.Text(), got[min(n, len(got)-1)])
 				}
 			}
 			if n != len(got) {
-				t.Errorf("%d blocks are recorded, now %d", n, len(got))
+				t.Errorf("the trace has %d blocks, this run gives %d", n, len(got))
 			}
 		})
 	}
