--- a/internal/ingress/clientconn.go
+++ b/internal/ingress/clientconn.go
@@ -13,9 +13,8 @@
 )
 
 const (
-	// lingerTimeout and maxLingerBytes bound the time and the bytes for which Close reads on after a response, where
-	// the client has sent more than was read. A reset at that point could destroy the response before the client reads
-	// it.
+	// lingerTimeout and maxLingerBytes bound the time and the bytes for which Close reads on after a response, if the
+	// client has sent more than was read. A reset at that point could destroy the response before the client reads it.
 	lingerTimeout  = 200 * time.Millisecond
 	maxLingerBytes = 256 << 10
 	// finishTimeout is how long a request that has begun when its connection is closed gracefully may still take to
@@ -100,7 +99,7 @@
 	return c.firstRequestBy
 }
 
-// Read reads from the connection. A graceful close also takes effect where net/http has set a new deadline since.
+// Read reads from the connection. A graceful close also takes effect if net/http has set a new deadline since.
 func (c *clientConn) Read(b []byte) (int, error) {
 	for {
 		if c.isClosingGracefully.Load() && !c.continueRequest() {
@@ -151,8 +150,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite shuts down the sending side. net/http calls it, and then waits a moment, where it answers before it has
-// read the whole request.
+// CloseWrite shuts down the sending side. net/http calls it when it has answered before it has read the whole request,
+// and then waits a moment before it closes the connection.
 func (c *clientConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -13,14 +13,15 @@
 const (
 	// EvictionGrace is how long a first request may take to arrive before its connection can be evicted.
 	EvictionGrace = 20 * time.Millisecond
-	// evictionCloseDelay is how long after the eviction of such a connection it is closed, if nothing else has closed
-	// it: longer than a process is paused, so that the handler of a request that was read meanwhile has been called.
+	// evictionCloseDelay is how long after its eviction a connection with an incomplete first request is closed, if
+	// nothing else has closed it. It is longer than a process may be paused, so that the handler of a request that was
+	// read meanwhile has been called.
 	evictionCloseDelay = 500 * time.Millisecond
 
 	// If the process runs out of descriptors rather than slots, there is not necessarily a flood of connections. So no
 	// connection is evicted whose client may still wait for its response, which it does for 0.4 s from its request on:
 	// the connection must have been open for minEvictionAge, and a request must have taken longer to arrive
-	// (minPartialTime) than a process is paused.
+	// (minPartialTime) than a process may be paused.
 	minEvictionAge = 500 * time.Millisecond
 	minPartialTime = 200 * time.Millisecond
 )
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -23,8 +23,8 @@
 )
 
 // limitListener is the clients' listener. It limits how many connections are open at once; further ones wait in its
-// queue. The kernel resets the connections that are still in the queue when a listener is closed, so the limitListener
-// accepts all that have arrived before it closes.
+// queue. The kernel resets the connections that are still in the queue when a listener is closed, so emptyQueue has all
+// that have arrived accepted before it closes the listener.
 //
 // A peer must get an error or a close within 3 s of its connection, and its time in the queue counts. So accept does
 // not wait for a descriptor that others may keep for long: it releases a reserved one, or evicts a connection. The
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -53,9 +53,9 @@
 	return &requestError{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
 
-// checkFraming rejects a request whose end is ambiguous. Clients state every length. Where a request has both a
-// transfer coding and a length, net/http silently drops the length; what one side reads as the body, the other then
-// reads as the next request. HTTP/1.0 has the same ambiguity, as there net/http drops the transfer coding.
+// checkFraming rejects a request whose end is ambiguous. Clients have to state the length of each body. Where a request
+// has both a transfer coding and a length, net/http silently drops the length; what one side reads as the body, the
+// other then reads as the next request. HTTP/1.0 has the same ambiguity, as there net/http drops the transfer coding.
 func checkFraming(r *http.Request) error {
 	if !r.ProtoAtLeast(1, 1) {
 		return &requestError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is spoken here"}
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -29,8 +29,8 @@
 	// acceptFailureWindow is how long after a failed accept IsAcceptFailing returns true. It is longer than the longest
 	// pause between two attempts, so that the state does not change between them.
 	acceptFailureWindow = 5 * maxAcceptPause
-	// longQueueTime is the time in the listener's queue from which on it is logged: it is a large part of the time that
-	// a peer has to send its request.
+	// longQueueTime is how long a connection must have been in the listener's queue for that to be logged: this is a
+	// large part of the time that a peer has to send its request.
 	longQueueTime = 500 * time.Millisecond
 )
 
@@ -141,7 +141,7 @@
 }
 
 // Limit makes l the listener of the server and returns the one to pass to Serve, which limits the connections so that
-// clients hold only a part of the descriptors. While none of those connected can be evicted, further ones wait to be
+// clients hold only a part of the descriptors. While no open connection can be evicted, further clients wait to be
 // accepted.
 func (s *Server) Limit(l net.Listener) net.Listener {
 	limited := newLimitListener(l, s.connections.limit)
