--- a/internal/endpoint/batch.go
+++ b/internal/endpoint/batch.go
@@ -69,10 +69,10 @@
 // batchResults assembles the results of a batch's items, in the order of the items.
 type batchResults struct {
 	items  []*Item
-	unsent dispatch.AttemptResult // of the items that were not written
+	unsent dispatch.AttemptResult // the result of the items that were not written
 }
 
-// uniform returns the same result for each written item.
+// uniform returns the same result for each written item, and unsent for the others.
 func (r batchResults) uniform(result dispatch.AttemptResult) []dispatch.AttemptResult {
 	results := make([]dispatch.AttemptResult, len(r.items))
 	for i, item := range r.items {
@@ -160,7 +160,7 @@
 	return req, body, err
 }
 
-// perItem returns for each written item the result that the response states.
+// perItem returns for each written item the result that the response states, and unsent for the others.
 func (r batchResults) perItem(result dispatch.AttemptResult, body []byte) []dispatch.AttemptResult {
 	result.Outcome, result.Final = dispatch.Errored, false // an item without a known state may have run
 	results := r.uniform(result)
--- a/internal/endpoint/exchange.go
+++ b/internal/endpoint/exchange.go
@@ -90,7 +90,7 @@
 		p.put(e, c)
 		return exchange{outcome: unwrittenOutcome(ctx, start)}
 	}
-	for c.idleFor > 0 && !netconn.IsQuiet(c.Conn) { // else stale bytes would be read as the response
+	for c.idleFor > 0 && !netconn.IsQuiet(c.Conn) { // otherwise stale bytes would be read as the response
 		c.close()
 		if c, err = p.get(start, e); err != nil {
 			return exchange{outcome: unwrittenOutcome(ctx, start)}
@@ -128,12 +128,13 @@
 	case c.isDelivered():
 		return exchange{conn: c, outcome: dispatch.Served}
 	case c.idleFor > 0 && ctx.Err() == nil && len(c.firstBytes) == 0:
-		p.CloseIdle(e, c.idleFor) // the other side has dropped those idle for longer as well
+		p.CloseIdle(e, c.idleFor) // those idle for longer have been dropped by the other side as well
 	}
 	return exchange{conn: c, outcome: unreadOutcome(ctx)}
 }
 
-// unwrittenOutcome returns the outcome of a call that was not written because no connection was ready in time.
+// unwrittenOutcome returns the outcome of a call for which no connection was ready in time, or that was aborted before
+// it was written.
 func unwrittenOutcome(ctx, start context.Context) dispatch.Outcome {
 	if ctx.Err() == nil && errors.Is(start.Err(), context.Canceled) {
 		return dispatch.NotSent // aborted before it was written
--- a/internal/endpoint/pool.go
+++ b/internal/endpoint/pool.go
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// put keeps a connection for a further call, unless enough are kept already.
+// put keeps a connection for a further call. It closes the connection if the endpoint's address has changed, if
+// KeepIdle has been switched off, or if enough are kept already.
 func (p *Pool) put(e *Endpoint, c *conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/endpoint/single.go
+++ b/internal/endpoint/single.go
@@ -11,10 +11,10 @@
 const singlePath = "/hook"
 
 // callSingle makes one attempt with one message and returns its result. It never makes a second attempt: an endpoint
-// counts each call whose last byte has arrived. ctx ends the attempt early, its deadline being the timeout; start does
-// so until the last byte is written. A response that begins after the time stated in the call is late, even if the
-// timeout has not been noticed yet: the endpoint has abandoned the call by then, and does not count the message as
-// delivered.
+// counts each call whose last byte has arrived. ctx, whose deadline is the timeout, ends the attempt at any time; start
+// ends it only until the last byte is written. A response that begins after the time stated in the call is late, even
+// if the timeout has not been noticed yet: the endpoint has abandoned the call by then, and does not count the message
+// as delivered.
 func (p *Pool) callSingle(
 	ctx, start context.Context,
 	e *Endpoint,
