--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -149,7 +149,7 @@
 	return ok
 }
 
-// release frees the place of a connection that is not silent.
+// release removes a connection that is no longer silent from the number of open ones.
 func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -55,7 +55,7 @@
 	ReasonRetried   ReasonKind = "retried"    // an attempt ended without ending its message
 	ReasonAccept    ReasonKind = "accept"     // a client could not be accepted
 	ReasonDropped   ReasonKind = "dropped"    // a connection to an endpoint was closed together with its call
-	ReasonDiscovery ReasonKind = "discovery"  // a request for the endpoint list had a problem
+	ReasonDiscovery ReasonKind = "discovery"  // a problem with discovery, or its move to another address
 )
 
 // New returns a registry with the given classes. The violations of the given invariants are reported from the start,
--- a/internal/netconn/accept.go
+++ b/internal/netconn/accept.go
@@ -44,8 +44,8 @@
 // may succeed.
 func IsConnectionLost(err error) bool { return isOneOf(err, lostConnectionErrors) }
 
-// IsListenerBroken reports whether no further accept can succeed. All other errors are temporary: connections that were
-// lost before they were accepted, or a temporary shortage of resources on the machine.
+// IsListenerBroken reports whether no further accept can succeed. All other errors are temporary: a connection was lost
+// before it was accepted, or the machine is short of a resource for the moment.
 func IsListenerBroken(err error) bool { return isOneOf(err, brokenListenerErrors) }
 
 func isOneOf(err error, list []error) bool {
--- a/internal/netconn/age.go
+++ b/internal/netconn/age.go
@@ -21,7 +21,7 @@
 		return 0
 	}
 	var age time.Duration
-	_ = raw.Control(func(fd uintptr) { // fails only if the connection is closed; its age is zero
+	_ = raw.Control(func(fd uintptr) { // fails only if the connection is closed; the age is zero then
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil { // the kernel sets the time of the last sending when a connection is established
 			age = time.Duration(info.Last_data_sent) * time.Millisecond
