--- a/internal/sender/attempts.go
+++ b/internal/sender/attempts.go
@@ -8,9 +8,9 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// deliveryMargin is how far a client's measurement of a message's time may differ from the sender's. The client
-// measures from when it sent the message, the sender from when it arrived. The difference is not known, and the
-// protocol allows this much for it.
+// deliveryMargin is how far a client's measurement of the time that a message took may differ from the sender's. The
+// client measures from when it sent the message, the sender from when the message arrived. The sender does not know the
+// difference; the protocol allows this much for it.
 const deliveryMargin = 50 * time.Millisecond
 
 // handleCallEnd records how attempts of a call ended and returns the events that report this to the dispatcher.
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -22,7 +22,7 @@
 	timeout     time.Duration
 	cancel      func()
 	abortUnsent func()         // ends the call unless it has been written
-	remote      *handover.Link // the process that makes the call, nil for this one
+	remote      *handover.Link // to the process that makes the call; nil if this process makes it
 
 	reportedEnd *dispatch.AttemptResult // how the attempt ended, if it ended after a hand-over; nil otherwise
 }
--- a/internal/sender/forwarding.go
+++ b/internal/sender/forwarding.go
@@ -16,8 +16,8 @@
 }
 
 // forwardRequest forwards a request to the successor. Without a successor the request is kept, and this process handles
-// it itself once it has taken the lock back. During a shutdown it does not take the lock back, so it declines the
-// request, which no process can have accepted.
+// it itself once it has taken the lock back. After the grace period of a shutdown, requests no longer wait for that and
+// are declined: without a successor, no process can have accepted them.
 func (s *Sender) forwardRequest(sub ingress.Submission) {
 	if s.upgrade.successor == nil && s.dispatchStopped {
 		s.declineSubmission(sub, "shutting down")
@@ -26,9 +26,9 @@
 	s.upgrade.forward(sub)
 }
 
-// abandonForwarded answers the forwarded requests when the successor is gone and this process does not take over from
-// it either. The dead successor may have accepted the requests that were sent to it, so the responses to those promise
-// nothing.
+// abandonForwarded answers the forwarded requests when the successor is gone and they no longer wait for this process
+// to take the lock back. The dead successor may have accepted the requests that were sent to it, so the responses to
+// those do not promise that the message had no effect.
 func (s *Sender) abandonForwarded() {
 	for _, request := range s.upgrade.takeForwarded() {
 		if request.sent {
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -10,8 +10,9 @@
 	"onyxdyke.example/onyxdyke/internal/handover"
 )
 
-// canHandOver reports whether the journal on disk holds all that a successor needs. If not, it closes the successor's
-// link, and the successor has to ask again.
+// canHandOver reports whether the journal on disk holds all that a successor needs. After a failed write it compacts
+// the journal for that. If the compaction fails, too, it closes the successor's link, and the successor has to ask
+// again.
 func (s *Sender) canHandOver(ctx context.Context, successor *handover.Link) bool {
 	if !s.journal.Failed() || s.journal.Compact() == nil {
 		return true
@@ -66,7 +67,8 @@
 }
 
 // releaseConnections gives up the connections that are reserved for notices, and returns them for the successor. If the
-// machine lets a successor open no socket when it starts, it has no other connection to deliver its notices in time.
+// machine does not let the successor open a socket when it starts, the successor has no other connection on which it
+// could deliver its notices in time.
 func (s *Sender) releaseConnections() []handover.PassedConnection {
 	var passed []handover.PassedConnection
 	for _, reserved := range s.discovery.ReleaseReserved() {
@@ -117,7 +119,8 @@
 }
 
 // reclaimOwnership resumes the ownership after the successor's death. The attempts that the successor had in flight may
-// have run. The calls that this process had in flight at the hand-over still are in flight.
+// have run. The attempts that this process had in flight at the hand-over are restored as in flight; missedEvents then
+// handles the ends of those that have ended since.
 func (s *Sender) reclaimOwnership(ctx context.Context, lock *os.File) {
 	snapshot := &handover.Snapshot{
 		InFlight:     s.inFlightAttempts(),
--- a/internal/sender/listening.go
+++ b/internal/sender/listening.go
@@ -29,8 +29,8 @@
 }
 
 // startListening opens the listener for clients, unless the shutdown has been requested already: then the process only
-// ends the messages that it has resumed. The goroutine that opens the listener ends by itself, at the latest some time
-// after ctx; its result is not read then.
+// works on the messages that it has resumed. The goroutine that opens the listener ends by itself, soon after ctx at
+// the latest; if the loop has ended by then, its result is not read.
 func (s *Sender) startListening(ctx context.Context, listen ListenFunc) {
 	s.clientListener.open = func() {
 		go func() { s.clientListener.opened <- s.openListener(ctx, listen) }()
@@ -40,7 +40,8 @@
 	}
 }
 
-// openListener opens a listener for clients. It retries after transient errors until ctx ends.
+// openListener opens a listener for clients. It retries after transient errors, as retry.OnTransient does, and stops
+// retrying when ctx ends.
 func (s *Sender) openListener(ctx context.Context, listen ListenFunc) listenResult {
 	var listener net.Listener
 	err := retry.OnTransient(ctx, s.log, "opening the listener for clients", func() (err error) {
@@ -58,7 +59,7 @@
 		s.shutdown.finish(fmt.Errorf("listen: %w", opened.err))
 	case opened.err != nil:
 	case ctx.Err() != nil || s.upgrade.handedOver:
-		_ = opened.Close() // nobody has connected through it
+		_ = opened.Close() // no client has been accepted on it
 	default:
 		s.serveListener(opened.Listener)
 	}
--- a/internal/sender/listevents.go
+++ b/internal/sender/listevents.go
@@ -32,8 +32,8 @@
 	s.log.Info("list changed", "version", version, "endpoints", len(changes), "not_serving", notServing)
 }
 
-// applyEndpointList updates the endpoints from a list, or from changes to it, and returns the dispatcher's event for
-// that.
+// applyEndpointList updates the endpoints from a list, or from changes to it, and returns the event that reports the
+// update to the dispatcher.
 func (s *Sender) applyEndpointList(update endpointlist.Update, full bool) dispatch.Event {
 	translated := dispatch.EndpointListUpdate{Full: full}
 	s.listVersion = update.Version
@@ -85,8 +85,8 @@
 }
 
 // requestEndpointList asks discovery's goroutine to watch the list. If the settings have the list pushed, the
-// dispatcher never requests it. Then the sender itself watches it from its start on, because over a socket no change
-// arrives without a request.
+// dispatcher never requests it. In that case the sender itself watches the list from its start on, because no change
+// arrives over a socket without a request.
 func (s *Sender) requestEndpointList() {
 	select {
 	case s.watchRequests <- struct{}{}:
--- a/internal/sender/logwriter.go
+++ b/internal/sender/logwriter.go
@@ -15,7 +15,7 @@
 )
 
 // logWriter writes lines to a destination that may block or be closed, and never blocks its caller. While the queue is
-// full, lines are dropped; their number is written before the next line that is not.
+// full, lines are dropped; their number is written before the next line that is written.
 type logWriter struct {
 	destination io.Writer
 	lines       chan logLine
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -11,7 +11,8 @@
 // maxEventBatch bounds the events that are handled in one step.
 const maxEventBatch = 256
 
-// processEvents handles an event and those that are queued, and runs one step of the dispatcher.
+// processEvents handles an event and those that are queued, and runs one step of the dispatcher. If a successor has
+// requested the snapshot, it then hands over.
 func (s *Sender) processEvents(ctx context.Context, first event) {
 	if s.upgrade.handedOver {
 		s.handleAfterHandOver(ctx, first)
--- a/internal/sender/messages.go
+++ b/internal/sender/messages.go
@@ -12,14 +12,16 @@
 	number        dispatch.MessageID
 	priorAttempts int // attempts made by earlier processes
 	ownAttempts   int // attempts made by this process
-	// clients are those that wait for the response, several if the message was submitted more than once; nil once it
-	// has been sent.
+	// clients are those that wait for the response, several if the message was submitted more than once; nil once the
+	// response has been sent.
 	clients []chan ingress.Response
 	calls   map[int]*inFlightCall // in flight, by the dispatcher's number of the attempt
 	ended   bool
 }
 
-// removeUnstartedAttempt removes an attempt that was never started because its record could not be written.
+// removeUnstartedAttempt removes an attempt that was never started because its record could not be written. The
+// dispatcher has counted the attempt, so priorAttempts decreases: an attempt's index in the journal is priorAttempts
+// plus the dispatcher's number.
 func (m *message) removeUnstartedAttempt(index int) {
 	if index == len(m.Attempts)-1 {
 		m.Attempts = m.Attempts[:index]
--- a/internal/sender/peer.go
+++ b/internal/sender/peer.go
@@ -81,7 +81,7 @@
 			s.requestEndpointList()
 		}
 	case successorEvent:
-		e.link.Close() // it has to ask the current lock owner
+		e.link.Close() // the other process has to ask the current lock owner
 	case lockAcquiredEvent:
 		s.reclaimOwnership(ctx, e.lock)
 	case packetEvent:
--- a/internal/sender/process.go
+++ b/internal/sender/process.go
@@ -57,11 +57,11 @@
 	// reloadCtx lasts longer than ctx: the configuration can be reloaded during the shutdown as well.
 	reloadCtx, cancelReload := context.WithCancel(context.Background())
 	defer cancelReload()
-	go s.reloadOn(reloadCtx, hangups) // it ends with the process, which does not wait for it
+	go s.reloadOn(reloadCtx, hangups) // ends when runProcess returns, which does not wait for it
 	return s.Run(ctx, listen)
 }
 
-// limitRuntime keeps Go's runtime within the machine's limits.
+// limitRuntime applies the configured limits of cores and memory to Go's runtime.
 func limitRuntime(limits config.Limits) {
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -46,13 +46,13 @@
 	events        chan event    // posted by any goroutine
 	watchRequests chan struct{} // requests to discovery to watch the endpoint list
 	timer         *time.Timer   // the dispatcher's
-	journalRetry  *time.Timer   // for the next try to write a journal that could not be written
+	journalRetry  *time.Timer   // fires when a failed write of the journal is to be retried
 
 	messages        *messageTable
 	notices         *noticeQueue
 	callsInFlight   int
-	batchedMessages int    // messages so far that joined the call of another message
-	lastCallNumber  uint64 // includes the calls of the predecessor
+	batchedMessages int    // messages so far that were sent in the call of another message
+	lastCallNumber  uint64 // the highest one so far, the predecessor's calls in flight included
 	listVersion     int64  // of the endpoint list
 
 	storageFailing  bool        // the dispatcher has been told that the journal cannot be written
@@ -70,8 +70,8 @@
 	return NewInEnvironment(context.Background(), OperatingSystem(), cfg, log)
 }
 
-// NewInEnvironment is like New, but takes the environment. It retries operations that fail for a transient reason until
-// ctx ends.
+// NewInEnvironment is like New, but takes the environment. It retries operations that fail for a transient reason, as
+// retry.OnTransient does, and stops retrying when ctx ends.
 func NewInEnvironment(ctx context.Context, env Environment, cfg *config.Config, log *slog.Logger) (*Sender, error) {
 	registry := metrics.New(cfg.Classes, invariant.RuleNames()...)
 	checker := invariant.NewChecker(log, registry)
--- a/internal/sender/shutdown.go
+++ b/internal/sender/shutdown.go
@@ -63,15 +63,15 @@
 	s.shutdown.graceOver = nil
 	s.dispatchStopped = true
 	if s.upgrade.handedOver && s.upgrade.successor == nil {
-		s.abandonForwarded() // this process no longer takes the lock back
+		s.abandonForwarded() // they no longer wait for this process to take the lock back
 	}
 	s.abortUnsent(func(*inFlightCall) bool { return true })
 	s.log.Info("no further calls are started", "pending", s.messages.pending, "calls", s.callsInFlight)
 	s.server.Drain()
 }
 
-// endDrain answers the remaining requests. After a hand-over it first cancels the calls in flight and has their ends
-// reported, so that the successor does not send their messages again.
+// endDrain answers the remaining requests. If calls are in flight after a hand-over, it cancels them instead, so that
+// their ends are reported and the successor does not send their messages again.
 func (s *Sender) endDrain() {
 	s.shutdown.drainOver = nil
 	if !s.upgrade.handedOver || s.callsInFlight == 0 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// endServer answers the requests that have arrived and accepts no more. The server bounds how long its goroutine runs,
-// and the loop waits for that on shutdown.serverFinished.
+// endServer answers the requests that have arrived and accepts no more. It does so on a goroutine whose duration the
+// server bounds, and whose end the loop awaits on shutdown.serverFinished.
 func (s *Sender) endServer() {
 	if s.shutdown.serverFinished != nil {
 		return
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -14,7 +14,8 @@
 	"onyxdyke.example/onyxdyke/internal/retry"
 )
 
-// relockInterval is the pause before the lock is taken again after the journal could not be opened under it.
+// relockInterval is the pause before the lock is taken again, after it was released because the journal could not be
+// opened.
 const relockInterval = time.Second
 
 // upgrade is this process's part in upgrades: as the successor of a process that serves, as the lock owner, and as
