--- a/internal/sender/admin_test.go
+++ b/internal/sender/admin_test.go
@@ -49,7 +49,7 @@
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":       "fail ",
 		"\x00\xff\n":                              "fail ",
 	} {
-		if reply := adminCall(t, addr, call); !strings.HasPrefix(reply, want) || strings.Count(reply, "\n") != 1 {
+		if reply := adminCommand(t, addr, call); !strings.HasPrefix(reply, want) || strings.Count(reply, "\n") != 1 {
 			t.Errorf("%q is answered %q", call, reply)
 		}
 	}
@@ -60,7 +60,7 @@
 	t.Parallel()
 	admin := freeAddress(t)
 	startSender(t, st.NewAgent(t), func(c *config.Config) { c.Admin = admin })
-	adminCall(t, admin, "HEALTH\n")
+	adminCommand(t, admin, "HEALTH\n")
 	for n := range 3 * config.AdminConnectionLimit {
 		c, err := net.Dial("tcp", admin)
 		if err != nil {
@@ -71,7 +71,7 @@
 			_, _ = io.WriteString(c, "HEA")
 		}
 	}
-	if reply := adminCall(t, admin, "HEALTH\n"); reply != "ok\n" {
+	if reply := adminCommand(t, admin, "HEALTH\n"); reply != "ok\n" {
 		t.Errorf("HEALTH: %q", reply)
 	}
 }
--- a/internal/sender/batching_test.go
+++ b/internal/sender/batching_test.go
@@ -29,7 +29,7 @@
 
 func testExcluded(t *testing.T, short *endpoint.Item) {
 	e := st.NewEndpoint(t, st.Text(200, `[{"id":"b","state":"ok"},{"id":"a","state":"ok"}]`))
-	s := newTest(t, st.NewAgent(t, e.Addr), nil)
+	s := newTestSender(t, st.NewAgent(t, e.Addr), nil)
 	up := make(chan struct{})
 	s.config.ConnectTimeout = st.Timeout
 	s.pool = s.newPool(func(string, string, syscall.RawConn) error { <-up; return nil })
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := newTest(t, st.NewAgent(t), nil)
+	s := newTestSender(t, st.NewAgent(t), nil)
 	var items []callItem
 	// Until the first timeout the call has to be written: one that is not never ran, and ends otherwise.
 	for id, timeout := range map[string]time.Duration{"a": time.Second, "b": time.Hour} {
@@ -175,7 +175,7 @@
 			[][]dispatch.Outcome{{dispatch.TimedOut, dispatch.Cancelled}}, []bool{true}},
 	} {
 		e := st.NewEndpoint(t, st.Hang)
-		s := newTest(t, st.NewAgent(t), nil)
+		s := newTestSender(t, st.NewAgent(t), nil)
 		var items []callItem
 		for i, item := range c.items {
 			item.ID = "m" + strconv.Itoa(i)
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -87,7 +87,7 @@
 		return st.Status(200)(c, nc)
 	})
 	p := st.NewAgent(t, e.Addr)
-	s := newTest(t, p, nil)
+	s := newTestSender(t, p, nil)
 	at := testEndpoint(e.Addr)
 	s.list.byNumber = append(s.list.byNumber, at)
 	served := make(chan struct{}, 2)
@@ -123,7 +123,7 @@
 	const window = 500 * time.Millisecond
 	e := st.NewEndpoint(t, st.Status(500, "Connection: close"))
 	p := st.NewAgent(t, e.Addr)
-	s := newTest(t, p, func(c *config.Config) {
+	s := newTestSender(t, p, func(c *config.Config) {
 		c.Settings.Classes[1].IdempotencyWindow = window
 		c.Settings.MaxAttempts = 2 // the retry is the last attempt, and has all the time that is left
 	})
@@ -174,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := st.NewEndpoint(t, st.Status(200))
 			p := st.NewAgent(t, e.Addr, e.Addr)
-			s := newTest(t, p, nil)
+			s := newTestSender(t, p, nil)
 			dialing, up := make(chan struct{}, 1), make(chan struct{})
 			s.pool = s.newPool(func(string, string, syscall.RawConn) error {
 				dialing <- struct{}{}
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -20,7 +20,7 @@
 // A message that arrives twice in one step has one outcome: where the first is rejected the second is not accepted.
 func TestDuplicateInOneStepGetsTheSameResponse(t *testing.T) {
 	t.Parallel()
-	s := newTest(t, st.NewAgent(t, "127.0.0.1:1"), func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
+	s := newTestSender(t, st.NewAgent(t, "127.0.0.1:1"), func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
 	defer s.journal.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/sender/faultinjection_test.go
+++ b/internal/sender/faultinjection_test.go
@@ -22,28 +22,28 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// failingListener fails its first calls of Accept.
+// failingListener is a listener whose first calls of Accept fail.
 type failingListener struct {
 	net.Listener
-	left  atomic.Int32
-	errno syscall.Errno
+	failuresLeft atomic.Int32
+	errno        syscall.Errno
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if l.left.Add(-1) >= 0 {
+	if l.failuresLeft.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", l.errno)}
 	}
 	return l.Listener.Accept()
 }
 
-// withClockStep is the operating system's environment with its wall clock off by a step.
+// withClockStep returns the operating system's environment with a wall clock that is off by step.
 func withClockStep(step time.Duration) Environment {
 	env := OperatingSystem()
 	env.Wall = func() time.Time { return time.Now().Round(0).Add(step) }
 	return env
 }
 
-// silentAddress accepts connections and never answers on them.
+// silentAddress returns an address that accepts connections and never responds on them.
 func silentAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 	return l.Addr().String()
 }
 
-// pausingConn pauses its reader after a read, as a busy machine does.
+// pausingConn is a connection that delays the result of its second read by pauseTime, as on a busy machine.
 type pausingConn struct {
 	net.Conn
 	reads atomic.Int32
@@ -74,7 +74,7 @@
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-// pausingListener accepts connections that pause their reader.
+// pausingListener wraps each connection that it accepts in a pausingConn.
 type pausingListener struct{ net.Listener }
 
 func (l pausingListener) Accept() (net.Conn, error) {
@@ -85,7 +85,8 @@
 	return &pausingConn{Conn: c}, nil
 }
 
-// failingFiles fails where a test's functions do, and is the operating system's otherwise.
+// failingFiles is the operating system's file system, except that opening a file or writing to one fails if the
+// function for that returns an error. A nil function never fails.
 type failingFiles struct {
 	journal.OSFileSystem
 	open  func(path string, flag int) error
@@ -105,7 +106,7 @@
 	return failingFile{file, f.write}, nil
 }
 
-// failingFile fails where its function does.
+// failingFile is a file to which a write fails if its function returns an error.
 type failingFile struct {
 	File
 	write func(b []byte) error
@@ -118,7 +119,7 @@
 	return f.File.Write(b)
 }
 
-// failFirst fails so many calls with an error.
+// failFirst returns a function that returns err on its first calls, as many as times, and nil on later ones.
 func failFirst(times int32, err error) func() error {
 	left := &atomic.Int32{}
 	left.Store(times)
@@ -130,8 +131,8 @@
 	}
 }
 
-// startSilentPlatform starts a platform that answers nothing on its first connections, neither for the list nor for
-// notices. The IDs of later notices are sent to noticed.
+// startSilentPlatform starts a platform that does not respond on its first connections, neither to requests for the
+// list nor to notices. On later connections it accepts notices, and sends the IDs of their messages to noticed.
 func startSilentPlatform(t *testing.T, connections int) (addr string, noticed <-chan string) {
 	t.Helper()
 	ids := make(chan string, 10000)
@@ -164,17 +165,17 @@
 	return strings.TrimPrefix(p.URL, "http://"), ids
 }
 
-// logTo is a log that passes each line to a function.
-func logTo(heard func(line string)) slog.Handler {
-	return slog.NewTextHandler(writerFunc(heard), nil)
+// logTo returns a log handler that passes each line to a function.
+func logTo(handleLine func(line string)) slog.Handler {
+	return slog.NewTextHandler(writerFunc(handleLine), nil)
 }
 
-// writerFunc is a writer that calls a function.
+// writerFunc is a function that implements io.Writer.
 type writerFunc func(line string)
 
 func (w writerFunc) Write(b []byte) (int, error) { w(string(b)); return len(b), nil }
 
-// writeUnfinishedRetryAfter writes a response with a Retry-After and half of its body.
+// writeUnfinishedRetryAfter writes a response that asks for a pause, up to half of its body.
 func writeUnfinishedRetryAfter(conn net.Conn, pause time.Duration) {
 	_, _ = io.WriteString(conn, "HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: "+strconv.FormatInt(pause.Milliseconds(), 10)+
 		"\r\nContent-Length: 100\r\n\r\nhalf")
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -18,7 +18,7 @@
 func TestUpgradeHandsOverCallsAndRequests(t *testing.T) {
 	t.Parallel()
 	open := make(chan struct{})
-	slow, quick := st.NewEndpoint(t, answerOnceOpen(open)), st.NewEndpoint(t, st.Status(200))
+	slow, quick := st.NewEndpoint(t, answerAfter(open)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewAgent(t, slow.Addr, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
--- a/internal/sender/helpers_test.go
+++ b/internal/sender/helpers_test.go
@@ -23,7 +23,7 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// freeAddress is an address on which nobody listens.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,8 +34,8 @@
 	return l.Addr().String()
 }
 
-// adminCall makes one call at the admin address and returns the whole reply.
-func adminCall(t *testing.T, addr, call string) string {
+// adminCommand sends a command to the admin address, once it can be reached, and returns the whole reply.
+func adminCommand(t *testing.T, addr, command string) string {
 	t.Helper()
 	var c net.Conn
 	var err error
@@ -49,43 +49,43 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(st.Timeout))
-	if _, err := io.WriteString(c, call); err != nil {
+	if _, err := io.WriteString(c, command); err != nil {
 		t.Fatal(err)
 	}
 	reply, err := io.ReadAll(c)
 	if err != nil {
-		t.Fatalf("%q: %v", call, err)
+		t.Fatalf("reading the reply to the admin command %q: %v", command, err)
 	}
 	return string(reply)
 }
 
-// readMetrics reads the metrics once.
+// readMetrics returns the current metrics by name, without the prefix that all names share.
 func readMetrics(t *testing.T, addr string) map[string]int {
 	t.Helper()
-	text, complete := strings.CutSuffix(adminCall(t, addr, "DUMP\n"), "eof\n")
+	text, complete := strings.CutSuffix(adminCommand(t, addr, "DUMP\n"), "eof\n")
 	if !complete {
-		t.Fatalf("the metrics have no end: %q", text)
+		t.Fatalf("the reply to DUMP does not end with eof: %q", text)
 	}
 	got := map[string]int{}
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		name, value, _ := strings.Cut(line, "=")
 		n, err := strconv.Atoi(value)
-		short, ok := strings.CutPrefix(name, "edge_edge.")
+		shortName, ok := strings.CutPrefix(name, "edge_edge.")
 		if err != nil || !ok {
-			t.Fatalf("line %q", line)
+			t.Fatalf("invalid line in the reply to DUMP: %q", line)
 		}
-		got[short] = n
+		got[shortName] = n
 	}
 	return got
 }
 
-// awaitMetrics waits until the metrics are as wanted.
+// awaitMetrics waits until each metric in want has the value that is given there.
 func awaitMetrics(t *testing.T, addr string, want map[string]int) {
 	t.Helper()
 	var got map[string]int
 	for end := time.Now().Add(st.Timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		got = readMetrics(t, addr)
-		maps.DeleteFunc(got, func(name string, _ int) bool { _, asked := want[name]; return !asked })
+		maps.DeleteFunc(got, func(name string, _ int) bool { _, wanted := want[name]; return !wanted })
 		if maps.Equal(got, want) {
 			return
 		}
@@ -93,17 +93,18 @@
 	t.Fatalf("metrics %v, want %v", got, want)
 }
 
-// runningSender is a sender in this process that a test may stop.
+// runningSender is a sender that runs in the test process. stop shuts it down and waits for its end.
 type runningSender struct {
 	*Sender
 	addr string
 	stop func()
 }
 
-// startSenderIn starts a sender in an environment whose calls may fail. edit may change its configuration.
+// startSenderIn starts a sender in an environment, some of whose operations may fail, and waits until it listens. edit
+// changes the configuration; it may be nil.
 func startSenderIn(t *testing.T, env Environment, p *st.Agent, edit func(c *config.Config)) *runningSender {
 	t.Helper()
-	s := newTestIn(t, env, p, edit)
+	s := newTestSenderIn(t, env, p, edit)
 	ctx, cancel := context.WithCancel(context.Background())
 	done, addr := make(chan error, 1), make(chan string, 1)
 	go func() {
@@ -115,18 +116,19 @@
 			return l, err
 		})
 	}()
-	l := &runningSender{Sender: s, stop: sync.OnceFunc(func() {
+	running := &runningSender{Sender: s, stop: sync.OnceFunc(func() {
 		cancel()
 		if err := st.Receive(t, done); err != nil {
 			t.Error(err)
 		}
 	})}
-	t.Cleanup(l.stop)
-	l.addr = st.Receive(t, addr)
-	return l
+	t.Cleanup(running.stop)
+	running.addr = st.Receive(t, addr)
+	return running
 }
 
-// platformSocket is a clients' socket that the platform holds: each process listens on a descriptor of its own.
+// platformSocket opens a socket for clients that several processes can use one after another, like the socket that the
+// platform passes. It returns the socket's address and a function that listens on a duplicate of its descriptor.
 func platformSocket(t *testing.T) (addr string, listen ListenFunc) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -141,8 +143,8 @@
 	return l.Addr().String(), func() (net.Listener, error) { return net.FileListener(f) }
 }
 
-// startProcess starts a sender whose state directory and socket other senders use as well. It returns its admin address
-// and what stops it.
+// startProcess starts a sender that shares its state directory and its socket with other senders, as the processes of
+// an upgrade do, and waits until it is healthy. It returns its admin address and a function that shuts it down.
 func startProcess(
 	t *testing.T, p *st.Agent, state string, listen ListenFunc,
 ) (admin string, stop func()) {
@@ -150,13 +152,13 @@
 	return startProcessIn(t, OperatingSystem(), p, state, listen)
 }
 
-// startProcessIn is startProcess in an environment whose calls may fail.
+// startProcessIn is like startProcess, but takes the environment.
 func startProcessIn(
 	t *testing.T, env Environment, p *st.Agent, state string, listen ListenFunc,
 ) (admin string, stop func()) {
 	t.Helper()
 	admin = freeAddress(t)
-	s := newTestIn(t, env, p, func(c *config.Config) { c.State, c.Admin = state, admin })
+	s := newTestSenderIn(t, env, p, func(c *config.Config) { c.State, c.Admin = state, admin })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx, listen) }()
@@ -175,27 +177,27 @@
 	return admin, stop
 }
 
-// awaitHealth waits until HEALTH answers as wanted.
+// awaitHealth waits until the admin command HEALTH is answered with want.
 func awaitHealth(t *testing.T, admin, want string) {
 	t.Helper()
 	got := ""
 	for end := time.Now().Add(st.Timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got = adminCall(t, admin, "HEALTH\n"); got == want {
+		if got = adminCommand(t, admin, "HEALTH\n"); got == want {
 			return
 		}
 	}
-	t.Fatalf("HEALTH: %q, want %q", got, want)
+	t.Fatalf("HEALTH is answered %q, want %q", got, want)
 }
 
-// answerOnceOpen is an endpoint's script that answers once open is closed.
-func answerOnceOpen(open <-chan struct{}) func(st.Call, net.Conn) bool {
+// answerAfter returns a function that answers an endpoint's calls with status 200 once release is closed.
+func answerAfter(release <-chan struct{}) func(st.Call, net.Conn) bool {
 	return func(c st.Call, conn net.Conn) bool {
-		<-open
+		<-release
 		return st.Status(200)(c, conn)
 	}
 }
 
-// reply is a response whose body has been read.
+// reply holds the status and the header of a response whose body has been read.
 type reply struct {
 	Status     string
 	StatusCode int
@@ -224,7 +226,7 @@
 	return newReply(resp), nil
 }
 
-// sendOn sends a request on a connection that the client keeps.
+// sendOn sends a request on a connection that stays open, and returns the response.
 func sendOn(t *testing.T, c net.Conn, r *bufio.Reader, req *http.Request) reply {
 	t.Helper()
 	_ = c.SetDeadline(time.Now().Add(st.Timeout))
@@ -235,7 +237,7 @@
 	return resp
 }
 
-// exchange writes a request and reads its response to the end.
+// exchange writes a request to a connection and reads the whole response.
 func exchange(c net.Conn, r *bufio.Reader, req *http.Request) (reply, error) {
 	if err := req.Write(c); err != nil {
 		return reply{}, err
@@ -249,7 +251,8 @@
 	return newReply(resp), err
 }
 
-// requestSnapshot plays a successor: it gets the lock owner's snapshot and does nothing with it.
+// requestSnapshot acts as a successor: it requests the lock owner's snapshot, and returns it with the link. The test
+// itself then acts for the successor on the link.
 func requestSnapshot(t *testing.T, state string) (*handover.Link, *handover.Snapshot) {
 	t.Helper()
 	// The lock owner's socket may open after HEALTH says ok.
@@ -265,48 +268,49 @@
 	}
 }
 
-// stoppableSender is a sender whose shutdown a test observes.
+// stoppableSender is a sender that runs in the test process and whose shutdown the test observes.
 type stoppableSender struct {
 	*Sender
 	addr string
-	stop context.CancelFunc // SIGTERM
+	stop context.CancelFunc // requests the shutdown, as SIGTERM does
 	done chan error
 }
 
-// startStoppable starts a sender and returns once it listens.
+// startStoppable starts a sender and waits until it listens. edit changes the configuration; it may be nil.
 func startStoppable(t *testing.T, p *st.Agent, edit func(c *config.Config)) *stoppableSender {
 	t.Helper()
-	s, addr := newTest(t, p, edit), make(chan string, 1)
-	l := newStoppable(s)
-	l.run(func() (net.Listener, error) {
-		nl, err := net.Listen("tcp", l.config.Listen)
+	s, addr := newTestSender(t, p, edit), make(chan string, 1)
+	stoppable := newStoppable(s)
+	stoppable.run(func() (net.Listener, error) {
+		nl, err := net.Listen("tcp", stoppable.config.Listen)
 		if err == nil {
 			addr <- nl.Addr().String()
 		}
 		return nl, err
 	})
-	l.addr = st.Receive(t, addr)
-	return l
+	stoppable.addr = st.Receive(t, addr)
+	return stoppable
 }
 
+// newStoppable returns a stoppableSender that has not been started.
 func newStoppable(s *Sender) *stoppableSender {
 	return &stoppableSender{Sender: s, done: make(chan error, 1)}
 }
 
-// run starts the sender. stop requests its shutdown, and done gets its result.
-func (l *stoppableSender) run(listen ListenFunc) {
+// run starts the sender. From then on stop requests its shutdown, and done receives the result of Run.
+func (s *stoppableSender) run(listen ListenFunc) {
 	var ctx context.Context
-	ctx, l.stop = context.WithCancel(context.Background())
-	go func() { l.done <- l.Run(ctx, listen) }()
+	ctx, s.stop = context.WithCancel(context.Background())
+	go func() { s.done <- s.Run(ctx, listen) }()
 }
 
-// awaitEnd waits for the end of the process and returns the messages that the next one finds.
-func (l *stoppableSender) awaitEnd(t *testing.T) map[string]*journal.Message {
+// awaitEnd waits until Run has returned, and returns the messages, by ID, that the next process finds in the journal.
+func (s *stoppableSender) awaitEnd(t *testing.T) map[string]*journal.Message {
 	t.Helper()
-	if err := st.Receive(t, l.done); err != nil {
+	if err := st.Receive(t, s.done); err != nil {
 		t.Error(err)
 	}
-	j := openJournal(t, l.upgrade.stateDir)
+	j := openJournal(t, s.upgrade.stateDir)
 	defer j.Close()
 	pending := map[string]*journal.Message{}
 	for _, m := range j.Messages() {
@@ -315,7 +319,7 @@
 	return pending
 }
 
-// openJournal opens a state directory's journal.
+// openJournal opens the journal in a state directory.
 func openJournal(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	const budget = 1 << 20 // bytes
@@ -326,7 +330,7 @@
 	return j
 }
 
-// renderRequest is a request as it is written.
+// renderRequest returns a request in its encoding for the wire.
 func renderRequest(t *testing.T, r *http.Request) string {
 	t.Helper()
 	var text bytes.Buffer
@@ -336,7 +340,7 @@
 	return text.String()
 }
 
-// dial connects to an address until the test ends.
+// dial connects to an address. The connection is closed when the test ends.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -348,23 +352,24 @@
 	return c
 }
 
-// awaitDrain waits until a sender that shuts down starts no more calls: then it rejects new messages.
-func (l *stoppableSender) awaitDrain(t *testing.T) {
+// awaitDrain waits until the grace period of a shutdown is over. From then on the sender starts no calls and rejects
+// new messages, which is how awaitDrain notices it.
+func (s *stoppableSender) awaitDrain(t *testing.T) {
 	t.Helper()
 	for n, status := 0, 0; status != http.StatusServiceUnavailable; n++ {
-		resp, _ := do(t, st.Request(t, l.addr, "probe"+strconv.Itoa(n), "safe", 7, 15*time.Second, "body"))
+		resp, _ := do(t, st.Request(t, s.addr, "probe"+strconv.Itoa(n), "safe", 7, 15*time.Second, "body"))
 		status = resp.StatusCode
 	}
 }
 
-// newTest makes a sender with a short shutdown. edit may change its configuration.
-func newTest(t *testing.T, p *st.Agent, edit func(c *config.Config)) *Sender {
+// newTestSender returns a sender with a short shutdown. edit changes the configuration; it may be nil.
+func newTestSender(t *testing.T, p *st.Agent, edit func(c *config.Config)) *Sender {
 	t.Helper()
-	return newTestIn(t, OperatingSystem(), p, edit)
+	return newTestSenderIn(t, OperatingSystem(), p, edit)
 }
 
-// newTestIn is newTest in an environment whose calls may fail.
-func newTestIn(t *testing.T, env Environment, p *st.Agent, edit func(c *config.Config)) *Sender {
+// newTestSenderIn is like newTestSender, but takes the environment.
+func newTestSenderIn(t *testing.T, env Environment, p *st.Agent, edit func(c *config.Config)) *Sender {
 	t.Helper()
 	raw, err := json.Marshal(st.Config(p, t.TempDir()))
 	if err != nil {
@@ -385,7 +390,8 @@
 	return s
 }
 
-// startSender starts a sender in this process and returns its address.
+// startSender starts a sender in the test process and returns its address. edit changes the configuration; it may be
+// nil.
 func startSender(t *testing.T, p *st.Agent, edit func(c *config.Config)) string {
 	t.Helper()
 	return startSenderIn(t, OperatingSystem(), p, edit).addr
--- a/internal/sender/journalfailure_test.go
+++ b/internal/sender/journalfailure_test.go
@@ -119,7 +119,7 @@
 		return nil
 	}}
 	gated := make(chan struct{})
-	slow := st.NewEndpoint(t, answerOnceOpen(gated))
+	slow := st.NewEndpoint(t, answerAfter(gated))
 	p.Change(st.Server("s-1", slow.Addr, 1, "SERVING"))
 	first := startSenderIn(t, env, p, func(c *config.Config) { c.State, c.Admin = state, admin })
 	st.Submit(t, first.addr, "m", "unsafe", 1, 15*time.Second)
--- a/internal/sender/notices_test.go
+++ b/internal/sender/notices_test.go
@@ -103,7 +103,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	t.Cleanup(p.Close)
-	s := newTest(t, st.NewAgent(t), nil)
+	s := newTestSender(t, st.NewAgent(t), nil)
 	s.discovery.Move(strings.TrimPrefix(p.URL, "http://"))
 	addNotice := func(id string) {
 		m, err := s.journal.Accept(journal.Record{ID: id, Class: "safe"})
@@ -140,7 +140,7 @@
 // A notice that is added while a batch is on its way stays pending: the batch and the queue share no memory.
 func TestNoticesAddedDuringADeliveryStayPending(t *testing.T) {
 	t.Parallel()
-	s := newTest(t, st.NewAgent(t), nil)
+	s := newTestSender(t, st.NewAgent(t), nil)
 	for _, id := range []string{"a", "b", "c", "d"} {
 		m, err := s.journal.Accept(journal.Record{ID: id, Class: "safe"})
 		if err != nil {
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Sender = newTest(t, p, func(own *config.Config) { *own = *c; own.Admin = r.admin })
+	r.Sender = newTestSender(t, p, func(own *config.Config) { *own = *c; own.Admin = r.admin })
 	addr := make(chan string, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/sender/requests_test.go
+++ b/internal/sender/requests_test.go
@@ -31,7 +31,7 @@
 			env := OperatingSystem()
 			env.WrapListener = func(l net.Listener) net.Listener {
 				failing := &failingListener{Listener: l, errno: errno}
-				failing.left.Store(3)
+				failing.failuresLeft.Store(3)
 				return failing
 			}
 			s := startSenderIn(t, env, st.NewAgent(t, e.Addr), nil)
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -267,7 +267,7 @@
 	p := st.NewAgent(t, e.Addr)
 	classes := []string{"safe", "keyed", "unsafe"}
 	began := time.Now()
-	s := newTest(t, p, func(c *config.Config) {
+	s := newTestSender(t, p, func(c *config.Config) {
 		j := openJournal(t, c.State)
 		for i := range many {
 			if _, err := j.Accept(journal.Record{
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -264,7 +264,7 @@
 			t.Parallel()
 			e := st.NewEndpoint(t, st.Status(200))
 			p := st.NewAgent(t, e.Addr)
-			l := newStoppable(newTest(t, p, nil))
+			l := newStoppable(newTestSender(t, p, nil))
 			l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 5*time.Second
 			dialing, up := make(chan struct{}, 1), make(chan struct{})
 			l.pool = l.newPool(func(string, string, syscall.RawConn) error {
--- a/internal/sender/start_test.go
+++ b/internal/sender/start_test.go
@@ -176,7 +176,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Hang)
 	p := st.NewAgent(t, e.Addr)
-	s := newTest(t, p, func(c *config.Config) {
+	s := newTestSender(t, p, func(c *config.Config) {
 		j := openJournal(t, c.State)
 		deadline := clock.New(time.Now()).Now() + time.Minute
 		record := journal.Record{ID: "m", Class: "unsafe", Tenant: "acme", Deadline: deadline}
--- a/internal/sender/successorloss_test.go
+++ b/internal/sender/successorloss_test.go
@@ -18,7 +18,7 @@
 func TestPredecessorServesAgainAfterTheSuccessorsDeath(t *testing.T) {
 	t.Parallel()
 	open := make(chan struct{})
-	slow, quick := st.NewEndpoint(t, answerOnceOpen(open)), st.NewEndpoint(t, st.Status(200))
+	slow, quick := st.NewEndpoint(t, answerAfter(open)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewAgent(t, slow.Addr, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
@@ -104,7 +104,7 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Hang)
 	addr, listen := platformSocket(t)
-	l := newStoppable(newTest(t, st.NewAgent(t, hung.Addr), nil))
+	l := newStoppable(newTestSender(t, st.NewAgent(t, hung.Addr), nil))
 	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
 	l.run(listen)
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
@@ -149,7 +149,7 @@
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Hang)
 	addr, listen := platformSocket(t)
-	l := newStoppable(newTest(t, st.NewAgent(t, hung.Addr), nil))
+	l := newStoppable(newTestSender(t, st.NewAgent(t, hung.Addr), nil))
 	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
 	l.run(listen)
 	c := dial(t, addr)
