--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -17,19 +17,19 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// testEndpoint is an endpoint that is reached at an address.
+// testEndpoint returns an endpoint with an address.
 func testEndpoint(address string) *listedEndpoint {
 	e := &listedEndpoint{Endpoint: &endpoint.Endpoint{}}
 	e.SetAddress(address)
 	return e
 }
 
-// testMessage is a message with an id and no calls.
+// testMessage returns a message with an ID and no calls in flight.
 func testMessage(id string) *message {
 	return &message{Message: &journal.Message{Record: journal.Record{ID: id}}, calls: map[int]*inFlightCall{}}
 }
 
-// callOnce makes one call with one message and waits for its result.
+// callOnce makes a call with one message and returns its result.
 func callOnce(p *endpoint.Pool, e *listedEndpoint, timeout time.Duration, body string) dispatch.AttemptResult {
 	result := make(chan dispatch.AttemptResult, 1)
 	item := &endpoint.Item{ID: "id", Key: "key", Body: []byte(body), Timeout: timeout, LastAttempt: true}
@@ -38,7 +38,8 @@
 	return <-result
 }
 
-// A Retry-After applies from its header line on, also where the response never ends.
+// Guards against calls that ignore a Retry-After because its response has not ended. The pause applies as soon as the
+// header has been read, even if the response never ends.
 func TestRetryAfterOfAnUnfinishedResponseApplies(t *testing.T) {
 	t.Parallel()
 	const wait = 1200 * time.Millisecond
@@ -62,27 +63,28 @@
 	st.Submit(t, s.addr, "second", "safe", 0, 15*time.Second)
 	c := e.Next(t)
 	if after := time.Since(time.Unix(0, sentAt.Load())); c.ID != "second" || after < wait {
-		t.Errorf("%s is sent %v after a Retry-After of %v", c.ID, after, wait)
+		t.Errorf("message %s is sent %v after a Retry-After of %v was received", c.ID, after, wait)
 	}
 	if got := readMetrics(t, admin)["violations.wait"]; got != 0 {
-		t.Errorf("the guard had to stop %d calls", got)
+		t.Errorf("the invariant checker prevented %d calls during the pause", got)
 	}
 }
 
-// A machine that was cut off leaves idle connections that are silent: after a time-out there the next call opens a new
-// connection.
+// Guards against one timeout after another on old connections. If the machine of an endpoint was cut off, the idle
+// connections to it no longer respond. After a timeout at an endpoint its idle connections are closed, so that the next
+// call opens a new one.
 func TestTimeoutClosesIdleConnections(t *testing.T) {
 	t.Parallel()
 	var cut atomic.Bool
-	both := make(chan struct{}, 2)
-	answer := make(chan struct{})
+	arrived := make(chan struct{}, 2)
+	release := make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if c.Conn <= 2 && cut.Load() {
 			return st.Hang(c, nc)
 		}
 		if c.Conn <= 2 {
-			both <- struct{}{}
-			<-answer // two connections are needed
+			arrived <- struct{}{}
+			<-release // keeps both calls in flight, so that each has a connection of its own
 		}
 		return st.Status(200)(c, nc)
 	})
@@ -94,13 +96,13 @@
 	for range 2 {
 		go func() { callOnce(s.pool, at, st.Timeout, ""); served <- struct{}{} }()
 	}
-	st.Receive(t, both)
-	st.Receive(t, both)
-	close(answer)
+	st.Receive(t, arrived)
+	st.Receive(t, arrived)
+	close(release)
 	st.Receive(t, served)
 	st.Receive(t, served)
 	if n := s.pool.IdleConnections(); n != 2 {
-		t.Fatalf("%d idle connections", n)
+		t.Fatalf("%d idle connections before the timeout, want 2", n)
 	}
 	cut.Store(true)
 	began := time.Now()
@@ -109,15 +111,16 @@
 	m := &message{Message: &journal.Message{}, ended: true, calls: map[int]*inFlightCall{0: {cancel: func() {}}}}
 	s.handleCallEnd(callEndedEvent{[]attemptEnd{{m, 0, end}}, true})
 	if n := s.pool.IdleConnections(); n != 0 {
-		t.Errorf("%d idle connections after a time-out", n)
+		t.Errorf("%d idle connections after the timeout, want none", n)
 	}
 	if got := callOnce(s.pool, at, st.Timeout, ""); !got.Final {
-		t.Errorf("the next call: %+v", got)
+		t.Errorf("the call after the timeout ended with %+v, want a final response", got)
 	}
 }
 
-// Whether the idempotency window is still open is checked when a retry is written, not when it was decided: one whose
-// connection comes up after the window is not written at all.
+// Guards against a retry that the endpoint takes for a new message because it has forgotten the idempotency key. The
+// idempotency window is checked when the retry is written, not only when it is decided: a retry whose connection opens
+// after the end of the window is not written.
 func TestRetryAfterTheIdempotencyWindowIsNotWritten(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
@@ -125,14 +128,14 @@
 	p := st.NewAgent(t, e.Addr)
 	s := newTestSender(t, p, func(c *config.Config) {
 		c.Settings.Classes[1].IdempotencyWindow = window
-		c.Settings.MaxAttempts = 2 // the retry is the last attempt, and has all the time that is left
+		c.Settings.MaxAttempts = 2 // the retry is the last attempt, so its timeout is all the time that is left
 	})
 	var dials atomic.Int32
-	again, up := make(chan struct{}), make(chan struct{})
+	retryDialing, releaseDial := make(chan struct{}), make(chan struct{})
 	s.pool = s.newPool(func(string, string, syscall.RawConn) error {
 		if dials.Add(1) == 2 {
-			close(again)
-			<-up
+			close(retryDialing)
+			<-releaseDial
 		}
 		return nil
 	})
@@ -143,9 +146,9 @@
 	st.Submit(t, addr, "m", "keyed", 0, 15*time.Second)
 	e.Next(t)
 	first := time.Now()
-	st.Receive(t, again)
+	st.Receive(t, retryDialing)
 	<-time.After(time.Until(first.Add(window)))
-	close(up)
+	close(releaseDial)
 	if n := st.Receive(t, p.Notices); n.Message != "m" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
 	}
@@ -154,12 +157,12 @@
 		t.Error(err)
 	}
 	if len(e.Calls) > 0 {
-		t.Error("its repeat has been written")
+		t.Error("the retry has been written after the idempotency window")
 	}
 }
 
-// A call that still waits for its connection when its endpoint drains or is removed is not written any more: it could
-// arrive after the drain applies.
+// Guards against calls that arrive after an endpoint has started to drain or was removed from the list. A call that
+// still waits for its connection then is aborted before it is written.
 func TestUnsentCallToADrainedEndpointIsAborted(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(s *Sender, list endpointlist.Update) []dispatch.Event{
@@ -175,10 +178,10 @@
 			e := st.NewEndpoint(t, st.Status(200))
 			p := st.NewAgent(t, e.Addr, e.Addr)
 			s := newTestSender(t, p, nil)
-			dialing, up := make(chan struct{}, 1), make(chan struct{})
+			dialing, releaseDial := make(chan struct{}, 1), make(chan struct{})
 			s.pool = s.newPool(func(string, string, syscall.RawConn) error {
 				dialing <- struct{}{}
-				<-up
+				<-releaseDial
 				return nil
 			})
 			ctx, list := context.Background(), s.config.Known
@@ -189,13 +192,13 @@
 			s.dispatch(ctx, s.handleEvent(ctx, submissionEvent{sub}))
 			st.Receive(t, dialing)
 			s.dispatch(ctx, change(s, list))
-			close(up)
+			close(releaseDial)
 			end := st.Receive(t, s.events).(callEndedEvent)
 			if got := end.ends[0]; got.message.ID != "m1" || got.Outcome != dispatch.NotSent {
-				t.Errorf("%+v", got)
+				t.Errorf("the call ended with %+v, want that message m1 was not sent", got)
 			}
 			if len(e.Calls) > 0 {
-				t.Errorf("the endpoint got %+v", <-e.Calls)
+				t.Errorf("the endpoint got the call %+v", <-e.Calls)
 			}
 		})
 	}
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -17,7 +17,8 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// A message that arrives twice in one step has one outcome: where the first is rejected the second is not accepted.
+// Guards against different responses to one message. If a message is submitted twice in one step and the dispatcher
+// rejects it, both submissions are rejected.
 func TestDuplicateInOneStepGetsTheSameResponse(t *testing.T) {
 	t.Parallel()
 	s := newTestSender(t, st.NewAgent(t, "127.0.0.1:1"), func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
@@ -37,14 +38,14 @@
 	s.processEvents(ctx, submissionEvent{first})
 	a, b := st.Receive(t, first.Responses), st.Receive(t, second.Responses)
 	if a.Status != http.StatusServiceUnavailable || b != a {
-		t.Errorf("answered %+v and %+v", a, b)
+		t.Errorf("the two submissions are answered %+v and %+v, want 503 for both", a, b)
 	}
 	if s.messages.pending != 19 {
-		t.Errorf("%d messages are pending", s.messages.pending)
+		t.Errorf("%d messages are pending, want 19", s.messages.pending)
 	}
 }
 
-// A message is delivered with its ID, its key and its body.
+// The endpoint gets a message with its ID, its idempotency key and its body, also for a body of the largest size.
 func TestMessageIsDelivered(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -53,14 +54,15 @@
 	r := st.Request(t, addr, "m1", "keyed", 0, 5*time.Second, body)
 	r.Header.Set("X-Addressing", "other=1, dest=0")
 	if resp, text := do(t, r); resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("%s %s", resp.Status, text)
+		t.Fatalf("m1 is answered %s: %s", resp.Status, text)
 	}
 	if c := e.Next(t); c.ID != "m1" || c.Key != "key-m1" || c.Body != body {
-		t.Errorf("%s %s, %d bytes", c.ID, c.Key, len(c.Body))
+		t.Errorf("the endpoint got ID %s, key %s and a body of %d bytes", c.ID, c.Key, len(c.Body))
 	}
 }
 
-// The settings choose the names of classes and tenants: blanks and commas are allowed.
+// Guards against special treatment of spaces and commas in the names of classes and tenants: the settings may contain
+// any name.
 func TestNamesMayContainBlanksAndCommas(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -83,14 +85,15 @@
 	r := st.Request(t, addr, "m", "order, new", 0, 5*time.Second, "x")
 	r.Header.Set("X-Tenant", "acme & sons")
 	if resp, text := do(t, r); resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("%s %s", resp.Status, text)
+		t.Fatalf("m is answered %s: %s", resp.Status, text)
 	}
 	if c := e.Next(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
 }
 
-// What cannot be stored is rejected before it is sent, and the response says when the client may retry.
+// Guards against sending a message that cannot be stored. It is rejected first, and the response states when the client
+// may retry.
 func TestMessagesOverTheLimitAreRejected(t *testing.T) {
 	t.Parallel()
 	for name, edit := range map[string]func(*config.Config){
@@ -107,23 +110,24 @@
 			case http.StatusServiceUnavailable:
 				rejected = true
 				if wait, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || wait != 2 {
-					t.Errorf("%s: Retry-After %q", name, resp.Header.Get("Retry-After"))
+					t.Errorf("%s: Retry-After is %q, want 2 s", name, resp.Header.Get("Retry-After"))
 				}
 			default:
-				t.Fatalf("%s: %s", name, resp.Status)
+				t.Fatalf("%s: a message is answered %s", name, resp.Status)
 			}
 			if i == 0 && rejected {
-				t.Errorf("%s: the first is rejected", name)
+				t.Errorf("%s: the first message is rejected", name)
 			}
 		}
 		if !rejected {
-			t.Errorf("%s: nothing is rejected", name)
+			t.Errorf("%s: no message is rejected", name)
 		}
 	}
 }
 
-// A message that the dispatcher gives up ends at once: in the response if there is none yet, else by a notice, which is
-// repeated until it is accepted.
+// Guards against clients that wait until the deadline for a message that the dispatcher has given up. Its end is
+// announced at once: in the response, or, if the client already has one, by a notice, which is repeated until discovery
+// accepts it.
 func TestGivenUpMessageEndsAtOnce(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(500))
@@ -132,25 +136,26 @@
 	addr := startSender(t, p, nil)
 	resp, _ := do(t, st.Request(t, addr, "late", "safe", 0, 0, ""))
 	if resp.StatusCode != http.StatusInternalServerError {
-		t.Errorf("a message out of time is answered %s", resp.Status)
+		t.Errorf("a message whose deadline has passed is answered %s, want 500", resp.Status)
 	}
 	began := time.Now()
 	st.Submit(t, addr, "doubt", "unsafe", 0, 19*time.Second)
 	e.Next(t)
 	p.RejectNotices(false)
 	if n := st.Receive(t, p.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("notice %+v, want that message doubt is given up", n)
 	}
 	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("the notice came after %v", took)
+		t.Errorf("the notice was delivered after %v", took)
 	}
 	if len(e.Calls) != 0 {
 		t.Error("an unsafe message that may have run was sent again")
 	}
 }
 
-// Whether a delivery near the deadline was in time only the client's clock can tell: a notice is sent as well. It is
-// pending until it is accepted, and none is sent of a message that was delivered earlier.
+// Guards against clients that never learn the end of a message. By the client's clock, a message that is delivered just
+// before its deadline may be late, and then the client expects a notice. So a notice is sent, and none of a message
+// that was delivered well before its deadline.
 func TestDeliveryNearTheDeadlineIsNotified(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -160,14 +165,16 @@
 	e.Next(t)
 	st.Submit(t, addr, "close", "safe", 0, deliveryMargin-10*time.Millisecond)
 	if n := st.Receive(t, p.Notices); n.Message != "close" || n.Outcome != "given_up" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("notice %+v, want that message close is given up", n)
 	}
 	if len(p.Notices) > 0 {
-		t.Errorf("a further notice: %+v", <-p.Notices)
+		t.Errorf("unexpected second notice: %+v", <-p.Notices)
 	}
 }
 
-// A message that the dispatcher rejects after it was accepted is announced with the time after which to retry.
+// Guards against clients that do not learn when to retry a returned message: the end of a message that the dispatcher
+// rejects after it was accepted is announced by a notice with the time to wait, or by a 503 with a Retry-After if the
+// message has no response yet.
 func TestReturnedMessageIsNotified(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Hang)
@@ -176,21 +183,21 @@
 	for i := range 20 { // the dispatcher sheds load from 95% on
 		resp, body := do(t, st.Request(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, ""))
 		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
-			t.Fatalf("%s %s", resp.Status, body)
+			t.Fatalf("a message is answered %s: %s", resp.Status, body)
 		}
 		if resp.StatusCode == http.StatusServiceUnavailable {
 			if resp.Header.Get("Retry-After") != "2.000" {
-				t.Errorf("Retry-After %q", resp.Header.Get("Retry-After"))
+				t.Errorf("Retry-After is %q, want 2.000", resp.Header.Get("Retry-After"))
 			}
 			return
 		}
 	}
 	if n := st.Receive(t, p.Notices); n.Outcome != "handed_back" || n.RetryMS != 2000 {
-		t.Errorf("notice %+v", n)
+		t.Errorf("notice %+v, want handed_back and 2000 ms", n)
 	}
 }
 
-// After a Retry-After no call goes to that destination before the pause is over.
+// Guards against calls to a destination during the pause that its Retry-After asks for.
 func TestRetryAfterDelaysCalls(t *testing.T) {
 	t.Parallel()
 	var first atomic.Bool
@@ -209,6 +216,6 @@
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
 	e.Next(t)
 	if waited := time.Since(from); waited < 700*time.Millisecond {
-		t.Errorf("a call after %v", waited)
+		t.Errorf("the next call is sent %v after a Retry-After of 700 ms", waited)
 	}
 }
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -13,8 +13,9 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// While discovery is silent a restarted sender uses the list that the earlier process knew last, though the
-// configuration's is older: an endpoint that drains gets nothing, and one that was added in its place is used.
+// Guards against calls to endpoints that have drained or were removed. While discovery does not respond, a restarted
+// sender uses the latest list that the earlier process received, which the journal holds, and not the older one in the
+// configuration: the endpoint that drains or is gone gets no calls, and the one that was added instead does.
 func TestRestartUsesTheLastKnownListWhileDiscoveryIsSilent(t *testing.T) {
 	t.Parallel()
 	for name, state := range map[string]string{"draining": "DRAINING", "gone": "DELETED"} {
@@ -38,7 +39,7 @@
 				case <-fresh.Calls:
 					applied = true
 				case <-time.After(st.Timeout):
-					t.Fatal("no call")
+					t.Fatal("the message is sent to neither endpoint")
 				}
 			}
 			first.stop()
@@ -53,26 +54,26 @@
 			for range 3 {
 				select {
 				case call := <-fresh.Calls:
-					t.Log(call.ID, "is sent to the new one")
+					t.Log(call.ID, "is sent to the new endpoint")
 				case call := <-old.Calls:
-					t.Fatalf("%s is sent to the old one", call.ID)
+					t.Fatalf("message %s is sent to the old endpoint, which accepts no more calls", call.ID)
 				case <-time.After(3 * time.Second):
-					t.Fatal("nothing is sent")
+					t.Fatal("no message is sent to the new endpoint")
 				}
 			}
 		})
 	}
 }
 
-// awaitWatch waits until the sender watches the list from a version on.
+// awaitWatch waits until the sender requests the changes of the list after a version.
 func awaitWatch(t *testing.T, p *st.Agent, version int) {
 	t.Helper()
 	for !strings.HasPrefix(st.Receive(t, p.ListRequests), "after="+strconv.Itoa(version)+"&") {
 	}
 }
 
-// forEachListMode runs a test where the dispatcher polls the list and where the list is pushed: on sockets the sender
-// watches either way.
+// forEachListMode runs a test with a list that the dispatcher polls, and with one that is pushed. Over sockets the
+// sender watches the list in both modes.
 func forEachListMode(t *testing.T, test func(t *testing.T, edit func(*config.Config))) {
 	t.Parallel()
 	for name, polled := range map[string]bool{"on request": true, "pushed": false} {
@@ -97,15 +98,15 @@
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
 	p.Change(st.Server("s-9", other.Addr, 0, "SERVING"))
 	if c := other.Next(t); c.ID != "b" {
-		t.Errorf("the new endpoint got %s", c.ID)
+		t.Errorf("the new endpoint got %s, want b", c.ID)
 	}
 	if len(old.Calls) != 0 {
 		t.Error("the draining endpoint got a call")
 	}
 }
 
-// While discovery is down the sender goes on with the list that it has. Then it requests the full list, as it has
-// missed changes, and watches from there.
+// Guards against a discovery outage that stops deliveries. While discovery fails, the sender uses the list that it has.
+// After the outage it requests the full list, because it has missed changes, and watches the list from that version on.
 func TestDiscoveryOutageKeepsTheKnownList(t *testing.T) { forEachListMode(t, testDiscoveryOutage) }
 
 func testDiscoveryOutage(t *testing.T, edit func(*config.Config)) {
@@ -114,7 +115,7 @@
 	addr := startSender(t, p, edit)
 	awaitWatch(t, p, 1)
 	p.SetDown(true)
-	for st.Receive(t, p.ListRequests) != "" { // it requests the full list, in vain
+	for st.Receive(t, p.ListRequests) != "" { // until the sender requests the full list, which fails
 	}
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
 	e.Next(t)
@@ -127,11 +128,11 @@
 	}
 }
 
-// A watch may stay unanswered for good after an outage of discovery. It times out, and the list is requested anew
-// before much is sent to endpoints that are gone.
-func TestUnansweredWatchIsRepeated(t *testing.T) { forEachListMode(t, testLostWatch) }
+// Guards against an outdated list: after an outage of discovery a watch may never be answered. The watch times out, and
+// the sender requests the list again within 6 s, before it sends many messages to endpoints that are gone.
+func TestUnansweredWatchIsRepeated(t *testing.T) { forEachListMode(t, testUnansweredWatch) }
 
-func testLostWatch(t *testing.T, edit func(*config.Config)) {
+func testUnansweredWatch(t *testing.T, edit func(*config.Config)) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewAgent(t, e.Addr)
 	addr := startSender(t, p, edit)
@@ -141,7 +142,7 @@
 	p.Change(st.Server("s-0", other.Addr, 0, "SERVING"))
 	awaitWatch(t, p, 2)
 	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("it took %v", took)
+		t.Errorf("the new list was received after %v", took)
 	}
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
 	if c := other.Next(t); c.ID != "a" {
@@ -149,8 +150,8 @@
 	}
 }
 
-// The configuration's list may be older than what the earlier process knew: a resumed message does not go to an
-// endpoint that has drained since.
+// Guards against sending a resumed message to an endpoint that has drained. The list in the configuration may be older
+// than the one that the earlier process knew, so the sender waits for a response of discovery before it sends.
 func TestResumedMessageAvoidsADrainedEndpoint(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
@@ -171,7 +172,7 @@
 		}
 	})
 	if c := other.Next(t); c.ID != "m" {
-		t.Errorf("the new endpoint got %s", c.ID)
+		t.Errorf("the new endpoint got %s, want m", c.ID)
 	}
 	if len(old.Calls) != 0 {
 		t.Error("the drained endpoint got a call")
