--- a/internal/sender/format_test.go
+++ b/internal/sender/format_test.go
@@ -14,18 +14,20 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// The formats that outlive a release are pinned here. The files under testdata were written by the release of commit
-// 5d1fee9: the journal, the streams of a hand-over between two processes, and the operators' figures.
+// The tests in this file pin the formats that must stay the same from one release to the next. The files under testdata
+// were written by the release of commit 5d1fee9: the journal, the streams of a hand-over between two processes, and the
+// operators' metrics.
 
-// What is stored, and printed for the operators, has the form of the release.
-func TestStoredStringsAndNumbersAreTheReleased(t *testing.T) {
+// Guards against a renamed or renumbered value that journals of earlier releases contain, or that operators' tools
+// match.
+func TestStoredValuesMatchTheRelease(t *testing.T) {
 	for effect, number := range map[dispatch.Effect]uint8{
 		dispatch.Idempotent:      0,
 		dispatch.IdempotentByKey: 1,
 		dispatch.NonIdempotent:   2,
 	} {
 		if uint8(effect) != number {
-			t.Errorf("effect %d is stored as %d", number, effect)
+			t.Errorf("the effect that is released as %d is now stored as %d", number, effect)
 		}
 	}
 	outcomes := map[dispatch.Outcome]string{
@@ -39,9 +41,9 @@
 		dispatch.NotSent:          "not_sent",
 		dispatch.NotStarted:       "not_begun",
 	}
-	for outcome, word := range outcomes {
-		if outcome.String() != word {
-			t.Errorf("outcome %s is printed as %s", word, outcome)
+	for outcome, name := range outcomes {
+		if outcome.String() != name {
+			t.Errorf("the outcome that is released as %s is now printed as %s", name, outcome)
 		}
 	}
 	for got, want := range map[journal.Outcome]string{
@@ -51,40 +53,40 @@
 		journal.OutcomeReturned:  "handed_back",
 	} {
 		if string(got) != want {
-			t.Errorf("%s is written as %s", want, got)
+			t.Errorf("the journal outcome that is released as %s is now written as %s", want, got)
 		}
 	}
 	if journal.FileName != "messages.journal" {
-		t.Errorf("the journal's file is named %s", journal.FileName)
+		t.Errorf("the journal file is named %s, want messages.journal", journal.FileName)
 	}
 }
 
 func TestMetricsHaveTheReleasedNames(t *testing.T) {
-	f := metrics.New([]string{"safe", "keyed"}, invariant.RuleNames()...)
-	f.MessageSucceeded("safe")
-	f.MessageDeclined("safe")
-	f.MessageDeclined("unsafe")
-	f.MessageAborted("keyed")
-	f.MessagesForwarded(3)
-	f.ConfigReloaded(true)
-	f.ConfigReloaded(false)
-	f.SetGauges(metrics.Gauges{Outstanding: 4, Discovered: 5, Ejected: 6})
+	registry := metrics.New([]string{"safe", "keyed"}, invariant.RuleNames()...)
+	registry.MessageSucceeded("safe")
+	registry.MessageDeclined("safe")
+	registry.MessageDeclined("unsafe")
+	registry.MessageAborted("keyed")
+	registry.MessagesForwarded(3)
+	registry.ConfigReloaded(true)
+	registry.ConfigReloaded(false)
+	registry.SetGauges(metrics.Gauges{Outstanding: 4, Discovered: 5, Ejected: 6})
 	for _, kind := range []metrics.ReasonKind{
 		metrics.ReasonViolation, metrics.ReasonClosed, metrics.ReasonRejected, metrics.ReasonRetried,
 		metrics.ReasonAccept, metrics.ReasonDropped, metrics.ReasonDiscovery,
 	} {
-		f.CountReason(kind, "why")
+		registry.CountReason(kind, "why")
 	}
 	var dump bytes.Buffer
-	f.Dump(&dump)
+	registry.Dump(&dump)
 	golden.Compare(t, "admin/dump.txt", dump.String())
 }
 
 func TestReasonsHaveTheReleasedNames(t *testing.T) {
-	words := []string{
+	reasons := []string{
 		endpoint.DroppedAbandoned, endpoint.DroppedUnwritten, endpoint.DroppedUnread, endpoint.DroppedIncomplete,
 		discovery.ReasonMoved, discovery.ReasonHedged, discovery.ReasonRejected, discovery.ReasonSilent,
 		discovery.ReasonStale,
 	}
-	golden.Compare(t, "admin/reasons.txt", strings.Join(words, "\n")+"\n")
+	golden.Compare(t, "admin/reasons.txt", strings.Join(reasons, "\n")+"\n")
 }
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -13,12 +13,13 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// A successor takes over while the first process has a call in flight and a client connected: the call ends once, where
-// the successor counts it; a request on the old connection is answered there and sent by the successor.
+// Guards against calls and requests that an upgrade loses or repeats. A successor takes over while the predecessor has
+// a call in flight and a client connected. The call ends once, and the successor counts its end. A request on the old
+// connection is answered on it, and its message is sent by the successor.
 func TestUpgradeHandsOverCallsAndRequests(t *testing.T) {
 	t.Parallel()
-	open := make(chan struct{})
-	slow, quick := st.NewEndpoint(t, answerAfter(open)), st.NewEndpoint(t, st.Status(200))
+	release := make(chan struct{})
+	slow, quick := st.NewEndpoint(t, answerAfter(release)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewAgent(t, slow.Addr, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
@@ -31,7 +32,7 @@
 	r := bufio.NewReader(c)
 	resp := sendOn(t, c, r, st.Request(t, addr, "out", "unsafe", 0, 15*time.Second, "x"))
 	if resp.StatusCode != 202 || resp.Close {
-		t.Fatalf("%s, close %v", resp.Status, resp.Close)
+		t.Fatalf("before the upgrade: %s, close %v, want 202 on a connection that stays open", resp.Status, resp.Close)
 	}
 	slow.Next(t)
 
@@ -41,12 +42,12 @@
 	awaitMetrics(t, newAdmin, map[string]int{"outstanding": 1, "forwards": 0, "discovered": 2})
 	resp = sendOn(t, c, r, st.Request(t, addr, "late", "unsafe", 1, 15*time.Second, "y"))
 	if resp.StatusCode != 202 || !resp.Close {
-		t.Errorf("on the old connection: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("after the upgrade: %s, close %v, want 202 on a connection that is closed", resp.Status, resp.Close)
 	}
 	if got := quick.Next(t); got.ID != "late" || got.Body != "y" {
-		t.Errorf("the endpoint got %+v", got)
+		t.Errorf("the endpoint got %+v, want late", got)
 	}
-	close(open)
+	close(release)
 	awaitMetrics(t, newAdmin, map[string]int{"outstanding": 0, "succeeded.unsafe": 2, "forwards": 1})
 	awaitMetrics(t, oldAdmin, map[string]int{"succeeded.unsafe": 0, "forwards": 1})
 	stopOld()
@@ -54,15 +55,15 @@
 	quick.Next(t)
 	for _, e := range []*st.Endpoint{slow, quick} {
 		select {
-		case again := <-e.Calls:
-			t.Errorf("%s is sent again", again.ID)
+		case repeat := <-e.Calls:
+			t.Errorf("message %s is sent a second time", repeat.ID)
 		default:
 		}
 	}
 }
 
-// A client that sends the ID of a message again that ended just before the hand-over gets its response, and the message
-// is not sent a second time.
+// Guards against a second delivery of a message that ended just before a hand-over. If a client submits its ID again,
+// the successor accepts the submission and does not send the message.
 func TestEndedIDsSurviveAHandOver(t *testing.T) {
 	t.Parallel()
 	quick := st.NewEndpoint(t, st.Status(200))
@@ -73,7 +74,7 @@
 	st.Submit(t, addr, "done", "unsafe", 0, 15*time.Second)
 	quick.Next(t)
 	awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": 1, "outstanding": 0})
-	for range 2 { // and a hand-over after that
+	for range 2 { // two hand-overs, one after the other
 		_, stop := startProcess(t, p, state, listen)
 		st.Submit(t, addr, "done", "unsafe", 0, 15*time.Second)
 		stopOld()
@@ -82,12 +83,13 @@
 	st.Submit(t, addr, "done", "unsafe", 0, 15*time.Second)
 	st.Submit(t, addr, "new", "unsafe", 0, 15*time.Second)
 	if c := quick.Next(t); c.ID != "new" {
-		t.Errorf("%s is sent again", c.ID)
+		t.Errorf("message %s is sent a second time", c.ID)
 	}
 }
 
-// Calls that the predecessor still has in flight at its end may have run: what may be repeated is sent again, and only
-// then.
+// Guards against a message that is in flight twice, and against a repeat of one that may have run. When the predecessor
+// ends, it cancels the calls that it still has in flight. These may have run: the successor sends again only the
+// messages that may be repeated, and only after that.
 func TestPredecessorCancelsCallsAtItsEnd(t *testing.T) {
 	t.Parallel()
 	silent := st.NewEndpoint(t, st.Hang)
@@ -103,16 +105,16 @@
 	awaitMetrics(t, admin, map[string]int{"outstanding": 2, "forwards": 0})
 	stopOld()
 	if c := silent.Next(t); c.ID != "safe" {
-		t.Errorf("%s is sent again", c.ID)
+		t.Errorf("message %s is sent a second time, want only safe", c.ID)
 	}
 	if n := st.Receive(t, p.Notices); n.Message != "unsafe" || n.Outcome != "given_up" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("notice %+v, want that message unsafe is given up", n)
 	}
 	awaitMetrics(t, admin, map[string]int{"aborted.unsafe": 1, "outstanding": 1})
 }
 
-// A message's backoff after failed attempts applies in the successor, too, and in the predecessor that becomes the
-// owner again.
+// Guards against retries that come too early after a hand-over: a message's backoff after failed attempts also applies
+// in the successor, and in a predecessor that becomes the owner again.
 func TestRetryBackoffSurvivesAHandOver(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(500))
@@ -125,25 +127,26 @@
 		e.Next(t)
 	}
 	var backoffUntil time.Time
-	for recorded := false; !recorded; { // until its last response is: before, its call is handed over as in flight
+	for recorded := false; !recorded; { // until the last response is recorded; before that, its call is in flight
 		link, snapshot := requestSnapshot(t, state)
 		recorded = len(snapshot.InFlight) == 0
 		until, ok := snapshot.BackoffUntil["m"]
 		if backoffUntil = time.Unix(0, int64(until)); recorded && !ok {
-			t.Errorf("it has no backoff: %+v", snapshot)
+			t.Errorf("the snapshot has no backoff of the message: %+v", snapshot)
 		}
 		link.Close()
 		awaitHealth(t, admin, "ok\n")
 	}
-	startProcess(t, p, state, listen) // the predecessor has it again, and hands it over
+	startProcess(t, p, state, listen) // the predecessor has become the owner again, and hands over the backoff
 	if e.Next(t); time.Now().Before(backoffUntil) {
-		t.Errorf("it was sent %v too early", time.Until(backoffUntil))
+		t.Errorf("the message was sent %v before the end of its backoff", time.Until(backoffUntil))
 	}
 }
 
-// A successor whose machine lets it open no socket delivers the notices that are due meanwhile in time: the predecessor
-// passes its reserved connections on. Before that it had none until sockets worked, and notices were as late.
-func TestASuccessorThatCanOpenNoSocketDeliversNotices(t *testing.T) {
+// Guards against late notices from a successor whose machine lets it open no socket. The predecessor passes its
+// reserved connections on to it. A successor without them had no connection until sockets could be opened again, and
+// delivered its notices only then.
+func TestSuccessorThatCanOpenNoSocketDeliversNotices(t *testing.T) {
 	t.Parallel()
 	const deadline, noticeGrace = 1200 * time.Millisecond, 300 * time.Millisecond
 	p := st.NewAgent(t)
@@ -154,7 +157,7 @@
 	st.Submit(t, addr, "m", "safe", 5, deadline)
 	st.Submit(t, addr, "earlier", "safe", 5, 300*time.Millisecond)
 	if n := st.Receive(t, p.Notices); n.Message != "earlier" {
-		t.Fatalf("first notice %+v", n)
+		t.Fatalf("the first notice is %+v, want one of message earlier", n)
 	}
 	noSockets := OperatingSystem()
 	noSockets.Control = func(string, string, syscall.RawConn) error {
@@ -163,14 +166,15 @@
 	admin, _ := startProcessIn(t, noSockets, p, state, listen)
 	awaitMetrics(t, admin, map[string]int{"outstanding": 1})
 	if n := st.Receive(t, p.Notices); n.Message != "m" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("the second notice is %+v, want one of message m", n)
 	}
 	if late := time.Since(began) - deadline; late > noticeGrace {
-		t.Errorf("the notice comes %v after the deadline", late)
+		t.Errorf("the notice is delivered %v after the deadline", late)
 	}
 }
 
-// The socket that a killed process has left, a file on which nobody listens, prevents no start.
+// Guards against a start that fails because of the socket file of a killed process: it remains, and nothing listens on
+// it.
 func TestStaleSocketIsReplaced(t *testing.T) {
 	t.Parallel()
 	quick := st.NewEndpoint(t, st.Status(200))
@@ -197,7 +201,8 @@
 	}
 }
 
-// Where the Unix socket cannot be opened the sender starts and serves all the same, without upgrades.
+// Guards against a start that depends on the Unix socket. If the socket cannot be opened, the sender still starts and
+// serves, without upgrades.
 func TestStartWithoutAnUpgradeSocket(t *testing.T) {
 	t.Parallel()
 	quick := st.NewEndpoint(t, st.Status(200))
@@ -212,20 +217,21 @@
 	startProcess(t, p, state, listen)
 	st.Submit(t, addr, "m", "unsafe", 0, 15*time.Second)
 	if c := quick.Next(t); c.ID != "m" {
-		t.Errorf("the endpoint got %s", c.ID)
+		t.Errorf("the endpoint got %s, want m", c.ID)
 	}
 }
 
-// A Retry-After that the predecessor gets in a response that never ends applies in the successor, too.
+// Guards against calls by the successor during a pause that only the predecessor knows: the predecessor gets the
+// Retry-After in a response that never ends, and reports it to the successor at once.
 func TestRetryAfterIsReportedToTheSuccessor(t *testing.T) {
 	t.Parallel()
 	const wait = 1500 * time.Millisecond
-	answer, answered := make(chan struct{}), make(chan time.Time, 1)
+	release, answered := make(chan struct{}), make(chan time.Time, 1)
 	e := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
 		if c.ID != "out" {
 			return st.Status(200)(c, conn)
 		}
-		<-answer
+		<-release
 		writeUnfinishedRetryAfter(conn, wait)
 		answered <- time.Now()
 		return st.Hang(c, conn)
@@ -234,18 +240,18 @@
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
 	startProcess(t, p, state, listen)
-	for n := range 5 { // the concurrency window grows, so that it allows a further call
+	for n := range 5 { // the concurrency window grows until it allows a second call
 		st.Submit(t, addr, "before"+strconv.Itoa(n), "safe", 0, 15*time.Second)
 		e.Next(t)
 	}
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
 	e.Next(t)
 	startProcess(t, p, state, listen)
-	close(answer)
+	close(release)
 	at := st.Receive(t, answered)
 	time.Sleep(100 * time.Millisecond)
 	st.Submit(t, addr, "after", "safe", 0, 15*time.Second)
 	if c := e.Next(t); c.ID != "after" || time.Since(at) < wait {
-		t.Errorf("%s is sent %v after a Retry-After of %v", c.ID, time.Since(at), wait)
+		t.Errorf("message %s is sent %v after a Retry-After of %v", c.ID, time.Since(at), wait)
 	}
 }
--- a/internal/sender/invariants_test.go
+++ b/internal/sender/invariants_test.go
@@ -12,69 +12,73 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// newTestChecker is a checker and the registry in which it counts.
+// newTestChecker returns a checker and the registry in which it counts violations.
 func newTestChecker() (*invariant.Checker, *metrics.Registry) {
-	f := metrics.New(nil)
-	return invariant.NewChecker(slog.New(slog.DiscardHandler), f), f
+	registry := metrics.New(nil)
+	return invariant.NewChecker(slog.New(slog.DiscardHandler), registry), registry
 }
 
-// wantRule checks which rule a violation names, "" for none.
+// wantRule checks that an error is a violation of a rule, or nil if the rule is "".
 func wantRule(t *testing.T, err error, want invariant.Rule) {
 	t.Helper()
 	var violation *invariant.ViolationError
 	errors.As(err, &violation)
 	switch {
 	case want == "" && err != nil:
-		t.Errorf("it is not allowed: %v", err)
+		t.Errorf("the attempt is not allowed: %v", err)
 	case want != "" && (violation == nil || violation.Rule != want):
-		t.Errorf("%v, want rule %s", err, want)
+		t.Errorf("the attempt ends with %v, want a violation of rule %s", err, want)
 	}
 }
 
-func TestCheckerChecksRetries(t *testing.T) {
+// Guards against attempts that the rules of their message forbid: the checker gets from sendPermitFor what it needs to
+// know about the message.
+func TestCheckerEnforcesRetryRules(t *testing.T) {
 	t.Parallel()
 	second, now := time.Second, 100*time.Second
 	for name, c := range map[string]struct {
-		rules journal.Rules
-		tries []journal.Attempt
-		out   int
-		want  invariant.Rule
+		rules    journal.Rules
+		attempts []journal.Attempt
+		inFlight int // attempts
+		want     invariant.Rule
 	}{
 		"a first attempt": {rules: journal.Rules{
 			Effect: dispatch.NonIdempotent,
-		}, tries: []journal.Attempt{{SentAt: now}}},
+		}, attempts: []journal.Attempt{{SentAt: now}}},
 		"a safe repeat": {rules: journal.Rules{
 			Effect: dispatch.Idempotent,
-		}, tries: []journal.Attempt{{SentAt: 0}, {SentAt: now}}},
+		}, attempts: []journal.Attempt{{SentAt: 0}, {SentAt: now}}},
 		"an unsafe repeat": {rules: journal.Rules{
 			Effect: dispatch.NonIdempotent,
-		}, tries: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, want: invariant.RuleRepeat},
-		"unsafe, never ran": {rules: journal.Rules{
+		}, attempts: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, want: invariant.RuleRepeat},
+		"an unsafe repeat of an attempt that never ran": {rules: journal.Rules{
 			Effect: dispatch.NonIdempotent,
-		}, tries: []journal.Attempt{{SentAt: now - second, NeverRan: true}, {SentAt: now}}},
-		"a key that is remembered": {rules: journal.Rules{
+		}, attempts: []journal.Attempt{{SentAt: now - second, NeverRan: true}, {SentAt: now}}},
+		"a retry inside the idempotency window": {rules: journal.Rules{
 			Effect:            dispatch.IdempotentByKey,
 			IdempotencyWindow: 2 * second,
-		}, tries: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}},
-		"a key that is forgotten": {rules: journal.Rules{
+		}, attempts: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}},
+		"a retry after the idempotency window": {rules: journal.Rules{
 			Effect:            dispatch.IdempotentByKey,
 			IdempotencyWindow: second / 2,
-		}, tries: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, want: invariant.RuleRepeat},
-		"a second attempt at one time": {rules: journal.Rules{
+		}, attempts: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, want: invariant.RuleRepeat},
+		"an attempt while another is in flight": {rules: journal.Rules{
 			Effect: dispatch.Idempotent,
-		}, tries: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, out: 1, want: invariant.RuleConcurrent},
+		}, attempts: []journal.Attempt{{SentAt: now - second}, {SentAt: now}}, inFlight: 1,
+			want: invariant.RuleConcurrent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g, _ := newTestChecker()
+			checker, _ := newTestChecker()
 			m := &message{
-				Message: &journal.Message{Record: journal.Record{ID: "m", Rules: &c.rules, Attempts: c.tries}},
+				Message: &journal.Message{Record: journal.Record{ID: "m", Rules: &c.rules, Attempts: c.attempts}},
 				calls:   map[int]*inFlightCall{},
 			}
-			for n := range c.out {
+			for n := range c.inFlight {
 				m.calls[n] = &inFlightCall{}
 			}
-			wantRule(t, g.CheckSend(invariant.Target{}, []invariant.SendPermit{sendPermitFor(m, m.calls, now)}), c.want)
+			wantRule(t, checker.CheckSend(
+				invariant.Target{}, []invariant.SendPermit{sendPermitFor(m, m.calls, now)}), c.want)
 		})
 	}
 }
--- a/internal/sender/journalfailure_test.go
+++ b/internal/sender/journalfailure_test.go
@@ -14,12 +14,13 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// A rejection promises that the message has no effect: it is written first, so that no later process sends the message.
-// Where it cannot be written, nothing is promised.
+// Guards against a rejected message that the next process sends. A rejection promises the client that the message has
+// no effect, so it is written to the journal before the response. If it cannot be written, the response is a 500, which
+// promises nothing.
 func TestRejectionIsWrittenBeforeItIsAnswered(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		write func(b []byte) error // of the rejection's record
+		write func(b []byte) error // called to write the rejection's record
 		want  int
 	}{
 		"a disk that is slow": {
@@ -49,16 +50,18 @@
 			hung.Next(t)
 			resp, _ := do(t, st.Request(t, s.addr, "refused", "unsafe", 5, 15*time.Second, "body"))
 			if resp.StatusCode != c.want {
-				t.Errorf("it is answered %s, want %d", resp.Status, c.want)
+				t.Errorf("the message is answered %s, want %d", resp.Status, c.want)
 			}
 			if !done.Load() {
-				t.Error("it is answered before its end is written")
+				t.Error("the message is answered before its end is written")
 			}
 		})
 	}
 }
 
-// A disk that fails for a while costs a message time, and none of its attempts.
+// Guards against messages that are given up because of the disk. While the journal cannot be written, no message is
+// sent, because after a kill the next process would not know of the attempt, and no attempt is counted. When the
+// journal can be written again, the messages are sent.
 func TestDiskFailureCostsNoAttempt(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
@@ -84,9 +87,9 @@
 			time.Sleep(1500 * time.Millisecond)
 			select {
 			case c := <-e.Calls:
-				t.Errorf("%s is sent, and nobody would know after a kill", c.ID)
+				t.Errorf("message %s is sent although its attempt cannot be written to the journal", c.ID)
 			case n := <-p.Notices:
-				t.Errorf("%+v", n)
+				t.Errorf("notice %+v while the disk fails, want none", n)
 			default:
 			}
 			failing.Store(false)
@@ -94,17 +97,17 @@
 				select {
 				case <-e.Calls:
 				case n := <-p.Notices:
-					t.Fatalf("%+v", n)
+					t.Fatalf("notice %+v, want that all messages are sent", n)
 				case <-time.After(3 * time.Second):
-					t.Fatal("nothing is sent when the disk works again")
+					t.Fatal("a message is not sent when the disk works again")
 				}
 			}
 		})
 	}
 }
 
-// While the journal cannot be written it lacks the ends of messages: it is not handed over then, and a successor that
-// waits gets it complete.
+// Guards against a successor that sends delivered messages again. While the journal cannot be written, it lacks the
+// ends of messages, so it is not handed over. A successor that waits gets the journal once it is complete.
 func TestNoHandOverWhileTheDiskFails(t *testing.T) {
 	t.Parallel()
 	good := st.NewEndpoint(t, st.Status(200))
@@ -118,35 +121,35 @@
 		}
 		return nil
 	}}
-	gated := make(chan struct{})
-	slow := st.NewEndpoint(t, answerAfter(gated))
+	release := make(chan struct{})
+	slow := st.NewEndpoint(t, answerAfter(release))
 	p.Change(st.Server("s-1", slow.Addr, 1, "SERVING"))
 	first := startSenderIn(t, env, p, func(c *config.Config) { c.State, c.Admin = state, admin })
 	st.Submit(t, first.addr, "m", "unsafe", 1, 15*time.Second)
 	slow.Next(t)
 	failing.Store(true)
-	close(gated) // it is delivered, and that cannot be written
+	close(release) // m is delivered, and its end cannot be written
 	awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": 1, "outstanding": 0})
 
-	took := make(chan struct{})
+	handedOver := make(chan struct{})
 	go func() {
-		defer close(took)
-		l, _ := requestSnapshot(t, state)
-		defer l.Close()
+		defer close(handedOver)
+		link, _ := requestSnapshot(t, state)
+		defer link.Close()
 		j, err := journal.Open(journal.OSFileSystem{}, clock.New(time.Now()), state, 1<<20)
 		if err != nil {
 			t.Error(err)
 			return
 		}
 		if m := j.Message("m"); m != nil {
-			t.Errorf("a message that was delivered is handed over as pending: %+v", m.Attempts)
+			t.Errorf("a message that was delivered is handed over as pending, with the attempts %+v", m.Attempts)
 		}
 	}()
 	select {
-	case <-took:
+	case <-handedOver:
 		t.Error("the journal is handed over while it cannot be written")
 	case <-time.After(500 * time.Millisecond):
 	}
 	failing.Store(false)
-	st.Receive(t, took)
+	st.Receive(t, handedOver)
 }
--- a/internal/sender/notices_test.go
+++ b/internal/sender/notices_test.go
@@ -18,7 +18,8 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// A notice is delivered as soon as the platform can be reached again: it has 0.3 s from its message's end.
+// Guards against notices that are late after an outage: a notice is delivered as soon as sockets can be opened again,
+// and at most 0.3 s after its message's end.
 func TestNoticeIsDeliveredOnceSocketsWorkAgain(t *testing.T) {
 	t.Parallel()
 	const deadline, failing = 500 * time.Millisecond, 250 * time.Millisecond
@@ -40,16 +41,16 @@
 			until.Store(at.Add(deadline + failing).UnixNano())
 			st.Submit(t, s.addr, "m", "safe", 5, deadline)
 			if n := st.Receive(t, p.Notices); n.Message != "m" {
-				t.Errorf("%+v", n)
+				t.Errorf("notice %+v, want one of message m", n)
 			}
 			if late := time.Since(at) - deadline; late > 300*time.Millisecond {
-				t.Errorf("it is delivered %v after the deadline", late)
+				t.Errorf("the notice is delivered %v after the deadline", late)
 			}
 		})
 	}
 }
 
-// A notice is delivered in time also while no socket can be opened at all: a connection is reserved for notices.
+// Guards against late notices while no socket can be opened at all: a connection is reserved for them.
 func TestNoticeIsDeliveredOnTheReservedConnection(t *testing.T) {
 	t.Parallel()
 	const deadline = 1200 * time.Millisecond
@@ -77,25 +78,26 @@
 			select {
 			case n := <-p.Notices:
 				if late := time.Since(at) - deadline; n.Message != "m" || late > 300*time.Millisecond {
-					t.Errorf("%+v, %v after the deadline", n, late)
+					t.Errorf("notice %+v is delivered %v after the deadline, want one of m within 300 ms", n, late)
 				}
 			case <-time.After(deadline + 500*time.Millisecond):
-				t.Error("it is not delivered")
+				t.Error("the notice is not delivered")
 			}
 			failing.Store(false)
 		})
 	}
 }
 
-// A connection to discovery that has become silent delays no notice for longer than one try: notices added meanwhile go
-// with the next batch, on another connection, while they are still in time.
+// Guards against notices that are late because discovery no longer responds on a connection. The first delivery times
+// out; the next batch is sent on another connection, and holds also the notices that were added in the meantime, while
+// they are still in time.
 func TestSilentDiscoveryConnectionDelaysNoNotice(t *testing.T) {
 	t.Parallel()
 	posts := make(chan string, 10)
-	var heard atomic.Bool
+	var received atomic.Bool
 	p := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		first := heard.CompareAndSwap(false, true)
+		first := received.CompareAndSwap(false, true)
 		posts <- string(body)
 		if first {
 			<-r.Context().Done()
@@ -121,7 +123,7 @@
 	})
 	addNotice("a")
 	if text := st.Receive(t, posts); !strings.Contains(text, `"a"`) {
-		t.Fatalf("first %s", text)
+		t.Fatalf("the first batch is %s, want a notice of a", text)
 	}
 	began := time.Now()
 	addNotice("b")
@@ -130,14 +132,15 @@
 		s.notices.deliver()
 	}
 	if text := st.Receive(t, posts); !strings.Contains(text, `"a"`) || !strings.Contains(text, `"b"`) {
-		t.Errorf("then %s", text)
+		t.Errorf("the second batch is %s, want notices of a and b", text)
 	}
 	if took := time.Since(began); took > 300*time.Millisecond {
-		t.Errorf("delivered after %v", took)
+		t.Errorf("the notices are delivered after %v", took)
 	}
 }
 
-// A notice that is added while a batch is on its way stays pending: the batch and the queue share no memory.
+// Guards against notices that are lost because a batch shares its memory with the queue: a notice that is added while a
+// batch is being delivered stays pending.
 func TestNoticesAddedDuringADeliveryStayPending(t *testing.T) {
 	t.Parallel()
 	s := newTestSender(t, st.NewAgent(t), nil)
@@ -156,6 +159,6 @@
 	s.handleEvent(context.Background(), noticesDeliveredEvent{batch})
 	pending := s.notices.pending
 	if len(pending) != 1 || pending[0].Message != "d" || s.journal.Message("d") == nil || s.journal.Len() != 1 {
-		t.Errorf("delivered %v, still pending %v, in the journal %d", batch, pending, s.journal.Len())
+		t.Errorf("delivered %v, pending %v, %d in the journal; want only d pending", batch, pending, s.journal.Len())
 	}
 }
