--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -23,7 +23,8 @@
 	stop              func()
 }
 
-// startReloadable starts a sender with a configuration file. edit may change its text.
+// startReloadable starts a sender with a configuration file and waits until it listens. edit changes the file's
+// content; it may be nil.
 func startReloadable(t *testing.T, p *st.Agent, state string, edit func(text map[string]any)) *reloadable {
 	t.Helper()
 	r := &reloadable{text: st.Config(p, state), admin: freeAddress(t), file: filepath.Join(t.TempDir(), "config.json")}
@@ -61,6 +62,7 @@
 	return r
 }
 
+// getenv returns an environment variable of the sender. Only EDGE_CONFIG is set, to the path of the configuration file.
 func (r *reloadable) getenv(name string) string {
 	if name == "EDGE_CONFIG" {
 		return r.file
@@ -68,6 +70,7 @@
 	return ""
 }
 
+// write replaces the content of the configuration file: a string as it is, any other value as JSON.
 func (r *reloadable) write(t *testing.T, text any) {
 	t.Helper()
 	raw, ok := text.(string)
@@ -83,18 +86,19 @@
 	}
 }
 
-// services is the list of classes in a configuration's text.
-func services(text map[string]any) []any {
+// classesIn returns the classes in a configuration.
+func classesIn(text map[string]any) []any {
 	return text["settings"].(map[string]any)["services"].([]any)
 }
 
-// service is a class of the test's configuration, edited.
-func service(name, effect string) map[string]any {
+// classEntry returns the settings of a class, as a configuration holds them.
+func classEntry(name, effect string) map[string]any {
 	return map[string]any{"name": name, "slo": 2500.0, "giveUp": 20000.0, "effect": effect, "dedupWindow": 7500.0,
 		"dedupScope": "all", "worth": 1.0, "lateValue": 0.5}
 }
 
-// Nothing of an invalid file is applied, not even its valid parts; it is counted, and the next valid one is applied.
+// Guards against an invalid configuration file that is applied in part. Not even its valid parts are applied, the
+// reload is counted as rejected, and the next valid file is applied.
 func TestInvalidConfigurationIsRejectedAsAWhole(t *testing.T) {
 	t.Parallel()
 	good := st.NewEndpoint(t, st.Status(200))
@@ -103,7 +107,7 @@
 	fresh := func(edit func(text map[string]any)) map[string]any {
 		text := st.Config(p, "")
 		set := text["settings"].(map[string]any)
-		set["services"] = append(services(text), service("fresh", "read_like"))
+		set["services"] = append(classesIn(text), classEntry("fresh", "read_like"))
 		edit(text)
 		return text
 	}
@@ -113,97 +117,101 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	broken := map[string]any{
-		"empty":           "",
-		"cut":             string(raw[:len(raw)*2/3]),
-		"two":             string(raw) + string(raw),
-		"a list":          "[]",
-		"no settings":     fresh(func(c map[string]any) { delete(c, "settings") }),
-		"no discovery":    fresh(func(c map[string]any) { delete(c, "discovery") }),
-		"no limits":       fresh(func(c map[string]any) { delete(settings(c), "limits") }),
-		"no attempts":     fresh(func(c map[string]any) { delete(limits(c), "maxAttempts") }),
-		"attempts 0":      fresh(func(c map[string]any) { limits(c)["maxAttempts"] = 0 }),
-		"attempts -1":     fresh(func(c map[string]any) { limits(c)["maxAttempts"] = -1 }),
-		"attempts a word": fresh(func(c map[string]any) { limits(c)["maxAttempts"] = "many" }),
-		"no classes":      fresh(func(c map[string]any) { settings(c)["services"] = []any{} }),
-		"no deadline":     fresh(func(c map[string]any) { delete(services(c)[3].(map[string]any), "giveUp") }),
-		"deadline 0":      fresh(func(c map[string]any) { services(c)[3].(map[string]any)["giveUp"] = 0.0 }),
-		"deadline -5":     fresh(func(c map[string]any) { services(c)[0].(map[string]any)["giveUp"] = -5 }),
-		"deadline a word": fresh(func(c map[string]any) { services(c)[3].(map[string]any)["giveUp"] = "soon" }),
-		"deadline null":   fresh(func(c map[string]any) { services(c)[3].(map[string]any)["giveUp"] = nil }),
-		"no effect":       fresh(func(c map[string]any) { delete(services(c)[1].(map[string]any), "effect") }),
-		"odd effect":      fresh(func(c map[string]any) { services(c)[3].(map[string]any)["effect"] = "sometimes" }),
-		"a name twice":    fresh(func(c map[string]any) { services(c)[3].(map[string]any)["name"] = "safe" }),
-		"no senders":      fresh(func(c map[string]any) { settings(c)["balancers"] = 0 }),
-		"senders -80":     fresh(func(c map[string]any) { settings(c)["balancers"] = -80 }),
-		"senders endless": fresh(func(c map[string]any) { settings(c)["balancers"] = 1e9 }),
-		"half a sender":   fresh(func(c map[string]any) { settings(c)["balancers"] = 2.5 }),
-		"number -1":       fresh(func(c map[string]any) { settings(c)["slotNo"] = -1 }),
-		"number too high": fresh(func(c map[string]any) { settings(c)["balancers"], settings(c)["slotNo"] = 80, 80 }),
-		"number a word":   fresh(func(c map[string]any) { settings(c)["slotNo"] = "first" }),
-		"no name":         fresh(func(c map[string]any) { delete(services(c)[3].(map[string]any), "name") }),
+	invalid := map[string]any{
+		"empty":            "",
+		"cut":              string(raw[:len(raw)*2/3]),
+		"two":              string(raw) + string(raw),
+		"a list":           "[]",
+		"no settings":      fresh(func(c map[string]any) { delete(c, "settings") }),
+		"no discovery":     fresh(func(c map[string]any) { delete(c, "discovery") }),
+		"no limits":        fresh(func(c map[string]any) { delete(settings(c), "limits") }),
+		"no attempts":      fresh(func(c map[string]any) { delete(limits(c), "maxAttempts") }),
+		"attempts 0":       fresh(func(c map[string]any) { limits(c)["maxAttempts"] = 0 }),
+		"attempts -1":      fresh(func(c map[string]any) { limits(c)["maxAttempts"] = -1 }),
+		"attempts as text": fresh(func(c map[string]any) { limits(c)["maxAttempts"] = "many" }),
+		"no classes":       fresh(func(c map[string]any) { settings(c)["services"] = []any{} }),
+		"no deadline":      fresh(func(c map[string]any) { delete(classesIn(c)[3].(map[string]any), "giveUp") }),
+		"deadline 0":       fresh(func(c map[string]any) { classesIn(c)[3].(map[string]any)["giveUp"] = 0.0 }),
+		"deadline -5":      fresh(func(c map[string]any) { classesIn(c)[0].(map[string]any)["giveUp"] = -5 }),
+		"deadline as text": fresh(func(c map[string]any) { classesIn(c)[3].(map[string]any)["giveUp"] = "soon" }),
+		"deadline null":    fresh(func(c map[string]any) { classesIn(c)[3].(map[string]any)["giveUp"] = nil }),
+		"no effect":        fresh(func(c map[string]any) { delete(classesIn(c)[1].(map[string]any), "effect") }),
+		"unknown effect":   fresh(func(c map[string]any) { classesIn(c)[3].(map[string]any)["effect"] = "sometimes" }),
+		"duplicate name":   fresh(func(c map[string]any) { classesIn(c)[3].(map[string]any)["name"] = "safe" }),
+		"no senders":       fresh(func(c map[string]any) { settings(c)["balancers"] = 0 }),
+		"senders -80":      fresh(func(c map[string]any) { settings(c)["balancers"] = -80 }),
+		"too many senders": fresh(func(c map[string]any) { settings(c)["balancers"] = 1e9 }),
+		"senders 2.5":      fresh(func(c map[string]any) { settings(c)["balancers"] = 2.5 }),
+		"slotNo -1":        fresh(func(c map[string]any) { settings(c)["slotNo"] = -1 }),
+		"slotNo too high":  fresh(func(c map[string]any) { settings(c)["balancers"], settings(c)["slotNo"] = 80, 80 }),
+		"slotNo as text":   fresh(func(c map[string]any) { settings(c)["slotNo"] = "first" }),
+		"no name":          fresh(func(c map[string]any) { delete(classesIn(c)[3].(map[string]any), "name") }),
 	}
-	n := 0
-	for name, text := range broken {
+	rejected := 0
+	for name, text := range invalid {
 		r.write(t, text)
 		err := r.Reload(context.Background(), r.getenv)
 		if err == nil {
-			t.Errorf("%s: applied", name)
+			t.Errorf("%s: the invalid file is applied", name)
 			continue
 		}
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %q is no plain line", name, err)
+			t.Errorf("%s: the error %q has more than one line", name, err)
 		}
-		n++
+		rejected++
 	}
-	awaitMetrics(t, r.admin, map[string]int{"sighup_applied": 0, "sighup_rejected": n})
+	awaitMetrics(t, r.admin, map[string]int{"sighup_applied": 0, "sighup_rejected": rejected})
 	if resp, _ := do(t, st.Request(t, r.addr, "m", "fresh", 0, 5*time.Second, "x")); resp.StatusCode != 400 {
-		t.Errorf("a class of a broken file: %s", resp.Status)
+		t.Errorf("a message of a class from a rejected file is answered %s, want 400", resp.Status)
 	}
 	if _, shown := readMetrics(t, r.admin)["succeeded.fresh"]; shown {
-		t.Error("a class of a broken file has figures")
+		t.Error("a class from a rejected file has metrics")
 	}
 	r.write(t, string(raw))
 	if err := r.Reload(context.Background(), r.getenv); err != nil {
 		t.Fatal(err)
 	}
 	awaitMetrics(t, r.admin, map[string]int{
-		"sighup_applied": 1, "sighup_rejected": n, "succeeded.fresh": 0, "aborted.fresh": 0,
+		"sighup_applied": 1, "sighup_rejected": rejected, "succeeded.fresh": 0, "aborted.fresh": 0,
 	})
 	st.Submit(t, r.addr, "m", "fresh", 0, 5*time.Second)
 	awaitMetrics(t, r.admin, map[string]int{"succeeded.fresh": 1})
 }
 
-// Messages keep the effect and the attempts under which they were accepted, in this process and in the next one; later
-// ones have the new rules, under the same class name. A dropped class accepts no more, and its messages end.
+// Guards against a reload that changes the rules of pending messages. They keep the effect and the attempts under which
+// they were accepted, in this process and in the next one; messages that are submitted later have the new rules, under
+// the same class name. A class that was removed accepts no more messages, and its pending messages still end.
 func TestPendingMessagesKeepTheirRulesAcrossAReload(t *testing.T) {
 	for name, restart := range map[string]bool{"same process": false, "next process": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			open, later := make(chan struct{}), make(chan struct{})
-			at := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
-				if c.Conn == 1 { // what is in flight across the change may have run
-					<-open
+			releaseFirst, releaseSecond := make(chan struct{}), make(chan struct{})
+			first := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
+				if c.Conn == 1 { // the call that is in flight during the reload may have run
+					<-releaseFirst
 					return st.Reset(c, conn)
 				}
 				return st.Status(200)(c, conn)
 			})
-			gone := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool { <-later; return st.Reset(c, conn) })
-			p := st.NewAgent(t, at.Addr, gone.Addr)
+			second := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
+				<-releaseSecond
+				return st.Reset(c, conn)
+			})
+			p := st.NewAgent(t, first.Addr, second.Addr)
 			state := t.TempDir()
 			r := startReloadable(t, p, state, nil)
 			st.Submit(t, r.addr, "old", "safe", 0, 15*time.Second)
-			at.Next(t)
+			first.Next(t)
 			st.Submit(t, r.addr, "dropped", "unsafe", 1, 15*time.Second)
-			gone.Next(t)
+			second.Next(t)
 			change := func(text map[string]any) {
 				set := text["settings"].(map[string]any)
-				set["services"] = []any{service("safe", "non_idempotent"), service("keyed", "idempotency_key")}
+				set["services"] = []any{classEntry("safe", "non_idempotent"), classEntry("keyed", "idempotency_key")}
 				set["limits"].(map[string]any)["maxAttempts"] = 1
 			}
 			if restart {
 				r.stop()
-				close(open)
+				close(releaseFirst)
 				r = startReloadable(t, p, state, change)
 			} else {
 				change(r.text)
@@ -212,24 +220,24 @@
 					t.Fatal(err)
 				}
 				awaitMetrics(t, r.admin, map[string]int{"sighup_applied": 1, "outstanding": 2})
-				close(open)
+				close(releaseFirst)
 			}
-			close(later)
-			if c := at.Next(t); c.ID != "old" {
-				t.Errorf("the endpoint got %s", c.ID)
+			close(releaseSecond)
+			if c := first.Next(t); c.ID != "old" {
+				t.Errorf("the endpoint got %s, want old a second time", c.ID)
 			}
 			if n := st.Receive(t, p.Notices); n.Message != "dropped" || n.Outcome != "given_up" {
-				t.Errorf("notice %+v", n)
+				t.Errorf("notice %+v, want that message dropped is given up", n)
 			}
 			awaitMetrics(t, r.admin, map[string]int{"succeeded.safe": 1, "aborted.unsafe": 1, "outstanding": 0})
 			resp, _ := do(t, st.Request(t, r.addr, "m", "unsafe", 0, 5*time.Second, "x"))
 			if resp.StatusCode != 400 {
-				t.Errorf("a dropped class: %s", resp.Status)
+				t.Errorf("a message of a removed class is answered %s, want 400", resp.Status)
 			}
 			st.Submit(t, r.addr, "new", "safe", 1, 15*time.Second)
-			gone.Next(t)
+			second.Next(t)
 			if n := st.Receive(t, p.Notices); n.Message != "new" || n.Outcome != "given_up" {
-				t.Errorf("under the new rules: %+v", n)
+				t.Errorf("notice %+v, want that message new is given up after one attempt under the new rules", n)
 			}
 		})
 	}
--- a/internal/sender/requests_test.go
+++ b/internal/sender/requests_test.go
@@ -18,7 +18,7 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// Whatever transient error accept fails with, the sender goes on to accept clients.
+// Guards against a sender that accepts no more clients after a transient error of accept.
 func TestTransientAcceptErrorsAreRetried(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{
@@ -42,14 +42,14 @@
 			}
 			_ = resp.Body.Close()
 			if resp.StatusCode != http.StatusAccepted {
-				t.Errorf("%s", resp.Status)
+				t.Errorf("the message is answered %s, want 202", resp.Status)
 			}
 		})
 	}
 }
 
-// A request that has been read completely is answered, also where its connection is evicted while the process is
-// paused.
+// Guards against a complete request that gets no response because its connection is evicted. The process is paused
+// after the request has arrived and before it is handled, and meanwhile the connection limit is reached.
 func TestCompleteRequestIsAnsweredAfterAPause(t *testing.T) {
 	t.Parallel()
 	env := OperatingSystem()
@@ -65,15 +65,16 @@
 	}
 	_, _ = io.WriteString(conns[0], "body")
 	time.Sleep(10 * time.Millisecond)
-	dial(t, s.addr) // the connection limit is reached now, and the first connection has the oldest incomplete request
+	dial(t, s.addr) // reaches the connection limit, while the first connection has the oldest incomplete request
 	_ = conns[0].SetReadDeadline(time.Now().Add(st.Timeout))
 	resp, err := readReply(bufio.NewReader(conns[0]))
 	if err != nil || resp.StatusCode != http.StatusAccepted {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("the complete request is answered %+v, %v, want 202", resp, err)
 	}
 }
 
-// Invalid input is answered with one plain line, goes no further, and leaves the sender serving.
+// Guards against invalid requests that are accepted or that stop the sender: each is answered with an error status and
+// one line of text, no endpoint gets it, and a valid request after it is served.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -82,20 +83,20 @@
 		edit   func(*http.Request)
 		status int
 	}{
-		"no id":            {func(r *http.Request) { r.Header.Del("X-Request-Id") }, 400},
-		"endless id":       {func(r *http.Request) { r.Header.Set("X-Request-Id", strings.Repeat("i", 200)) }, 400},
-		"id not ASCII":     {func(r *http.Request) { r.Header.Set("X-Request-Id", "\xff") }, 400},
-		"no class":         {func(r *http.Request) { r.Header.Del("X-Class") }, 400},
-		"unknown class":    {func(r *http.Request) { r.Header.Set("X-Class", "other") }, 400},
-		"unknown tenant":   {func(r *http.Request) { r.Header.Set("X-Tenant", "other") }, 400},
-		"no key":           {func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
-		"no deadline":      {func(r *http.Request) { r.Header.Del("X-Deadline-Ms") }, 400},
-		"deadline a word":  {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "soon") }, 400},
-		"deadline below 0": {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "-5") }, 400},
-		"deadline endless": {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "9223372036854775807") }, 400},
-		"no dest":          {func(r *http.Request) { r.Header.Del("X-Addressing") }, 400},
-		"dest a word":      {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=here") }, 400},
-		"dest too high":    {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=70000") }, 400},
+		"no id":             {func(r *http.Request) { r.Header.Del("X-Request-Id") }, 400},
+		"id too long":       {func(r *http.Request) { r.Header.Set("X-Request-Id", strings.Repeat("i", 200)) }, 400},
+		"id not ASCII":      {func(r *http.Request) { r.Header.Set("X-Request-Id", "\xff") }, 400},
+		"no class":          {func(r *http.Request) { r.Header.Del("X-Class") }, 400},
+		"unknown class":     {func(r *http.Request) { r.Header.Set("X-Class", "other") }, 400},
+		"unknown tenant":    {func(r *http.Request) { r.Header.Set("X-Tenant", "other") }, 400},
+		"no key":            {func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
+		"no deadline":       {func(r *http.Request) { r.Header.Del("X-Deadline-Ms") }, 400},
+		"deadline as text":  {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "soon") }, 400},
+		"negative deadline": {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "-5") }, 400},
+		"deadline too high": {func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "9223372036854775807") }, 400},
+		"no dest":           {func(r *http.Request) { r.Header.Del("X-Addressing") }, 400},
+		"dest as text":      {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=here") }, 400},
+		"dest too high":     {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=70000") }, 400},
 		"body too long": {func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, ingress.MaxBody+1))), ingress.MaxBody+1
 		}, 413},
@@ -109,17 +110,17 @@
 		c.edit(r)
 		resp, text := do(t, r)
 		if resp.StatusCode != c.status || strings.Count(text, "\n") != 1 || len(text) < 5 {
-			t.Errorf("%s: %s %q", name, resp.Status, text)
+			t.Errorf("%s: answered %s %q", name, resp.Status, text)
 		}
 	}
 	st.Submit(t, addr, "good", "keyed", 0, 5*time.Second)
 	if c := e.Next(t); c.ID != "good" {
-		t.Errorf("the endpoint got %s", c.ID)
+		t.Errorf("the endpoint got %s, want good", c.ID)
 	}
 }
 
-// A body is bytes, whatever it looks like. A request whose end is ambiguous is not accepted, and what follows it on the
-// connection is not parsed as another request.
+// Guards against request smuggling: the bytes of a body are never parsed as a request. A request whose end is ambiguous
+// is not accepted, and what follows it on the connection is not parsed as another request.
 func TestBodyIsNotParsedAsARequest(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -143,7 +144,7 @@
 			strings.Replace(head("m", "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n"),
 				"HTTP/1.1", "HTTP/1.0", 1) + "0\r\n\r\n" + inner, "505",
 		},
-		"unsound class": {strings.Replace(head("m", "Content-Length: 0\r\n"), "safe", "other", 1) + inner, "400"},
+		"unknown class": {strings.Replace(head("m", "Content-Length: 0\r\n"), "safe", "other", 1) + inner, "400"},
 	} {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -151,7 +152,8 @@
 		}
 		_ = nc.SetDeadline(time.Now().Add(st.Timeout))
 		_, _ = io.WriteString(nc, c.text)
-		got, _ := io.ReadAll(nc) // to its close, by which all that the client sent has been read or dropped
+		// The sender closes the connection only when all that the client sent has been read or dropped.
+		got, _ := io.ReadAll(nc)
 		_ = nc.Close()
 		if len(got) < 12 || string(got[9:12]) != c.status || strings.Count(string(got), "Content-Type: ") != 1 {
 			t.Errorf("%s: answered %q", name, got)
@@ -159,12 +161,12 @@
 	}
 	st.Submit(t, addr, "good", "safe", 0, 9*time.Second)
 	if c := e.Next(t); c.ID != "good" || c.Body != "body of good" {
-		t.Errorf("the endpoint got %s %q", c.ID, c.Body)
+		t.Errorf("the endpoint got %s with the body %q, want good", c.ID, c.Body)
 	}
 }
 
-// A client that sends nothing, or half a request, is answered or disconnected within 3 s, and nothing of it is
-// accepted.
+// Guards against clients that hold a connection forever. A client that sends nothing, or half a request, is answered or
+// disconnected within 3 s, and nothing that it sent is accepted.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
@@ -193,7 +195,7 @@
 		}()
 	}
 	for name, done := range disconnected {
-		if took := st.Receive(t, done); took > 4500*time.Millisecond { // with room for a slow machine
+		if took := st.Receive(t, done); took > 4500*time.Millisecond { // 3 s and a margin for a slow machine
 			t.Errorf("%s: disconnected after %v", name, took)
 		}
 	}
@@ -202,12 +204,13 @@
 	}
 }
 
-// A client that is evicted in the middle of a request gets a response before its connection is closed.
+// Guards against clients that do not learn why they are disconnected: a client whose connection is evicted in the
+// middle of a request gets a response before the connection is closed.
 func TestEvictedIncompleteRequestIsAnswered(t *testing.T) {
 	t.Parallel()
 	addr := startSender(t, st.NewAgent(t), func(c *config.Config) { c.Limits.Sockets = 8 })
-	said := time.Now()
-	first := make(chan string, 4)
+	began := time.Now()
+	firstLines := make(chan string, 4)
 	for range 4 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -220,17 +223,17 @@
 		if err := r.Write(&text); err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetDeadline(said.Add(st.Timeout))
+		_ = c.SetDeadline(began.Add(st.Timeout))
 		_, _ = c.Write(text.Bytes()[:text.Len()-2])
 		go func() {
 			line, err := bufio.NewReader(c).ReadString('\n')
-			first <- fmt.Sprint(line, err)
+			firstLines <- fmt.Sprint(line, err)
 		}()
 	}
-	if got := st.Receive(t, first); !strings.HasPrefix(got, "HTTP/1.1 400 ") {
-		t.Errorf("it got %s", got)
+	if got := st.Receive(t, firstLines); !strings.HasPrefix(got, "HTTP/1.1 400 ") {
+		t.Errorf("the evicted client got %s, want status 400", got)
 	}
-	if took := time.Since(said); took > ingress.HeaderTimeout {
-		t.Errorf("it made room after %v", took)
+	if took := time.Since(began); took > ingress.HeaderTimeout {
+		t.Errorf("the client was evicted after %v", took)
 	}
 }
