--- a/internal/sender/start_test.go
+++ b/internal/sender/start_test.go
@@ -19,7 +19,7 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// What fails with a transient error at a start, or at a reload, is retried.
+// Guards against a start or a reload that fails for good because of a transient error: the operation is retried.
 func TestTransientErrorsAtStartAreRetried(t *testing.T) {
 	t.Parallel()
 	const times = 3
@@ -44,7 +44,7 @@
 		}}
 		startSenderIn(t, env, p, func(c *config.Config) { c.State = state })
 		if c := e.Next(t); c.ID != "m" {
-			t.Errorf("%+v", c)
+			t.Errorf("the endpoint got %+v, want m", c)
 		}
 	})
 	t.Run("the address", func(t *testing.T) {
@@ -80,7 +80,7 @@
 		}()
 		select {
 		case err := <-done:
-			t.Fatalf("it ends with %v", err)
+			t.Fatalf("Run returned %v", err)
 		case at := <-addr:
 			st.Submit(t, at, "m", "safe", 0, 5*time.Second)
 			e.Next(t)
@@ -111,18 +111,18 @@
 		}
 		_, err = config.Load(context.Background(), slog.New(slog.DiscardHandler), env.ReadFile, getenv)
 		if err != nil {
-			t.Errorf("a start: %v", err)
+			t.Errorf("loading the configuration: %v", err)
 		}
 		s := startSenderIn(t, env, p, nil)
 		failing = fail("open", syscall.EMFILE)
 		if err := s.Reload(context.Background(), getenv); err != nil {
-			t.Errorf("a new configuration: %v", err)
+			t.Errorf("reloading the configuration: %v", err)
 		}
 	})
 }
 
-// Messages that have ended stay so for a process that starts while the disk is full: neither delivered nor rejected
-// ones are resumed.
+// Guards against a process that resumes messages that have ended, because it starts while the disk is full. Neither
+// delivered nor rejected messages are resumed.
 func TestStartOnAFullDiskResumesNoEndedMessage(t *testing.T) {
 	t.Parallel()
 	good, hung := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Hang)
@@ -159,10 +159,10 @@
 	for until := time.After(time.Second); ; {
 		select {
 		case c := <-good.Calls:
-			t.Errorf("%s has ended, and is sent again with %q", c.ID, c.Body)
+			t.Errorf("message %s has ended, and is sent again with the body %q", c.ID, c.Body)
 		case n := <-p.Notices:
 			if n.Message != "out" {
-				t.Errorf("it had ended: %+v", n)
+				t.Errorf("notice of a message that had ended already: %+v", n)
 			}
 		case <-until:
 			return
@@ -170,8 +170,8 @@
 	}
 }
 
-// A sender whose shutdown is requested before it is ready resumes nothing and does not listen; its messages are there
-// for the next process.
+// Guards against messages that are lost or sent by a sender whose shutdown is requested before it is ready. It resumes
+// nothing and does not listen, and the next process finds its messages in the journal.
 func TestShutdownRequestedBeforeTheStart(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Hang)
@@ -189,17 +189,17 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	err := s.Run(ctx, func() (net.Listener, error) { t.Error("it listens"); return nil, net.ErrClosed })
+	err := s.Run(ctx, func() (net.Listener, error) { t.Error("the sender listens"); return nil, net.ErrClosed })
 	if err != nil {
 		t.Error(err)
 	}
 	j := openJournal(t, s.upgrade.stateDir)
 	if m := j.Message("m"); m == nil || len(m.Attempts) > 0 {
-		t.Errorf("the next process finds %+v", m)
+		t.Errorf("the next process finds the message %+v, want m without attempts", m)
 	}
 	_ = j.Close()
 	startSender(t, p, func(c *config.Config) { c.State = s.upgrade.stateDir })
 	if c := e.Next(t); c.ID != "m" {
-		t.Errorf("the endpoint got %s", c.ID)
+		t.Errorf("the endpoint got %s, want m", c.ID)
 	}
 }
--- a/internal/sender/successorloss_test.go
+++ b/internal/sender/successorloss_test.go
@@ -13,12 +13,12 @@
 	st "onyxdyke.example/onyxdyke/internal/sendertest"
 )
 
-// A successor that dies halfway changes nothing: the predecessor takes the lock and the journal again and serves, and
-// its call that was in flight all the time ends as usual.
+// Guards against an upgrade that leaves no process to serve because the successor dies. The predecessor takes the lock
+// and the journal again and serves, and its call that was in flight all the time ends as usual.
 func TestPredecessorServesAgainAfterTheSuccessorsDeath(t *testing.T) {
 	t.Parallel()
-	open := make(chan struct{})
-	slow, quick := st.NewEndpoint(t, answerAfter(open)), st.NewEndpoint(t, st.Status(200))
+	release := make(chan struct{})
+	slow, quick := st.NewEndpoint(t, answerAfter(release)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewAgent(t, slow.Addr, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
@@ -26,45 +26,48 @@
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
 	slow.Next(t)
 	for n := range 2 {
-		l, snapshot := requestSnapshot(t, state)
+		link, snapshot := requestSnapshot(t, state)
 		if len(snapshot.InFlight) != 1 || snapshot.InFlight[0].ID != (handover.AttemptID{Message: "out", Attempt: 0}) {
-			t.Errorf("calls handed over: %+v", snapshot.InFlight)
+			t.Errorf("the snapshot has the attempts in flight %+v, want one of message out", snapshot.InFlight)
 		}
 		awaitHealth(t, admin, "fail leaving\n")
-		l.Close()
+		link.Close()
 		awaitHealth(t, admin, "ok\n")
 		id := "again" + strconv.Itoa(n)
 		st.Submit(t, addr, id, "unsafe", 1, 15*time.Second)
 		if c := quick.Next(t); c.ID != id {
-			t.Errorf("the endpoint got %s", c.ID)
+			t.Errorf("after the successor's death the endpoint got %s", c.ID)
 		}
-		awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": n + 1}) // else it is handed over as in flight, too
+		awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": n + 1}) // until then its call is in flight, too
 	}
-	close(open)
+	close(release)
 	awaitMetrics(t, admin, map[string]int{"outstanding": 0, "succeeded.unsafe": 3, "aborted.unsafe": 0, "forwards": 3})
 }
 
-// A call that ends while a successor is the owner, and is reported to it just before it dies, has ended all the same:
-// its message is neither lost nor treated as one that may have run. That holds for the calls of an earlier process,
-// too.
+// Guards against the loss of a call's end. A call of the predecessor ends while a successor is the owner, and the end
+// is reported to the successor just before that dies. The predecessor has kept the result: the message is neither lost
+// nor treated as one that may have run. That holds for the calls of an earlier process, too.
 func TestAttemptEndsReportedToADeadSuccessorAreKept(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
 		want   map[string]int
-		again  bool
+		resent bool
 	}{
 		"delivered": {
 			st.Status(200), map[string]int{"outstanding": 0, "succeeded.unsafe": 1, "aborted.unsafe": 0}, false,
 		},
-		"rejected": {st.Status(503), map[string]int{"outstanding": 1, "aborted.unsafe": 0}, true},
-		"in doubt": {st.Status(500), map[string]int{"outstanding": 0, "aborted.unsafe": 1}, false},
+		"rejected":     {st.Status(503), map[string]int{"outstanding": 1, "aborted.unsafe": 0}, true},
+		"may have run": {st.Status(500), map[string]int{"outstanding": 0, "aborted.unsafe": 1}, false},
 	} {
 		for _, processes := range []int{1, 2} {
 			t.Run(name+" "+strconv.Itoa(processes), func(t *testing.T) {
 				t.Parallel()
-				open := make(chan struct{})
-				e := st.NewEndpoint(t, func(call st.Call, conn net.Conn) bool { <-open; return c.answer(call, conn) })
+				release := make(chan struct{})
+				e := st.NewEndpoint(t, func(call st.Call, conn net.Conn) bool {
+					<-release
+					return c.answer(call, conn)
+				})
 				p := st.NewAgent(t, e.Addr)
 				state := t.TempDir()
 				addr, listen := platformSocket(t)
@@ -76,40 +79,40 @@
 						e.Next(t)
 					}
 				}
-				l, snapshot := requestSnapshot(t, state)
+				link, snapshot := requestSnapshot(t, state)
 				if len(snapshot.InFlight) != 1 {
-					t.Fatalf("calls handed over: %+v", snapshot.InFlight)
+					t.Fatalf("the snapshot has the attempts in flight %+v, want one", snapshot.InFlight)
 				}
-				close(open)
-				packet, err := l.Receive()
+				close(release)
+				packet, err := link.Receive()
 				if _, ok := packet.(handover.AttemptReport); err != nil || !ok {
-					t.Fatalf("the successor receives %+v, %v", packet, err)
+					t.Fatalf("the successor receives %+v, %v, want a report of the attempt", packet, err)
 				}
-				l.Close()
+				link.Close()
 				awaitHealth(t, admin, "ok\n")
 				awaitMetrics(t, admin, c.want)
-				if c.again {
+				if c.resent {
 					e.Next(t)
 				} else if len(e.Calls) > 0 {
-					t.Error("it is sent again")
+					t.Error("the message is sent a second time")
 				}
 			})
 		}
 	}
 }
 
-// Where the successor dies and this process shuts down, nobody can have accepted a new request: it is rejected, and its
-// client can send it again.
+// Guards against new requests without a response when the successor dies while the predecessor shuts down. No process
+// can have accepted such a request, so it is rejected, and its client can send it again.
 func TestRequestsAfterTheSuccessorsDeathAreRejectedDuringAShutdown(t *testing.T) {
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Hang)
 	addr, listen := platformSocket(t)
-	l := newStoppable(newTestSender(t, st.NewAgent(t, hung.Addr), nil))
-	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
-	l.run(listen)
+	s := newStoppable(newTestSender(t, st.NewAgent(t, hung.Addr), nil))
+	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 2*time.Second
+	s.run(listen)
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
 	hung.Next(t)
-	var incomplete []net.Conn // a connection with an incomplete request is not closed
+	var incomplete []net.Conn // the shutdown does not close connections with an incomplete request
 	for i := range 20 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -120,38 +123,39 @@
 		_, _ = io.WriteString(c, text[:len(text)-1])
 		incomplete = append(incomplete, c)
 	}
-	successor, _ := requestSnapshot(t, l.upgrade.stateDir)
-	l.stop()
+	successor, _ := requestSnapshot(t, s.upgrade.stateDir)
+	s.stop()
 	successor.Close()
 	rejected := false
-	for _, c := range incomplete { // until both have been noticed
+	for _, c := range incomplete { // until the sender has noticed both the shutdown and the successor's death
 		_, _ = io.WriteString(c, "y")
 		_ = c.SetDeadline(time.Now().Add(400 * time.Millisecond)) // as long as a client waits
 		if resp, err := readReply(bufio.NewReader(c)); err == nil {
 			if resp.StatusCode == http.StatusInternalServerError {
-				continue // forwarded before the death was noticed: it may have been accepted
+				continue // forwarded before the death was noticed: the successor may have accepted it
 			}
 			rejected = resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != ""
 			break
 		}
 	}
 	if !rejected {
-		t.Error("no request is rejected")
+		t.Error("no request is rejected with 503 and a Retry-After")
 	}
-	if pending := l.awaitEnd(t); len(pending) != 1 || pending["out"] == nil {
-		t.Errorf("the next process finds %v", pending)
+	if pending := s.awaitEnd(t); len(pending) != 1 || pending["out"] == nil {
+		t.Errorf("the next process finds the messages %v, want only message out", pending)
 	}
 }
 
-// A request that was forwarded to a successor that dies, while nobody can take the journal again, gets a response: it
-// may have been accepted, so nothing is promised.
+// Guards against a forwarded request that gets no response because the successor dies while the predecessor shuts down
+// and does not take the journal back. The successor may have accepted the request, so the response is a 500, which
+// promises nothing.
 func TestForwardedRequestsAreAnsweredAfterTheSuccessorsDeath(t *testing.T) {
 	t.Parallel()
 	hung := st.NewEndpoint(t, st.Hang)
 	addr, listen := platformSocket(t)
-	l := newStoppable(newTestSender(t, st.NewAgent(t, hung.Addr), nil))
-	l.shutdown.gracePeriod, l.shutdown.drainTimeout = 0, 2*time.Second
-	l.run(listen)
+	s := newStoppable(newTestSender(t, st.NewAgent(t, hung.Addr), nil))
+	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 2*time.Second
+	s.run(listen)
 	c := dial(t, addr)
 	r := bufio.NewReader(c)
 	accepted := sendOn(t, c, r, st.Request(t, addr, "out", "unsafe", 0, 15*time.Second, "x"))
@@ -159,26 +163,26 @@
 		t.Fatal(accepted.Status)
 	}
 	hung.Next(t)
-	successor, _ := requestSnapshot(t, l.upgrade.stateDir)
+	successor, _ := requestSnapshot(t, s.upgrade.stateDir)
 	_, _ = io.WriteString(c, renderRequest(t, st.Request(t, addr, "forwarded", "unsafe", 0, 15*time.Second, "x")))
 	for {
-		p, err := successor.Receive()
+		packet, err := successor.Receive()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, ok := p.(handover.ForwardedRequest); ok {
+		if _, ok := packet.(handover.ForwardedRequest); ok {
 			break
 		}
 	}
-	l.stop()
+	s.stop()
 	for draining := false; !draining; time.Sleep(time.Millisecond) {
-		draining = l.server.IsDraining()
+		draining = s.server.IsDraining()
 	}
 	successor.Close()
 	_ = c.SetReadDeadline(time.Now().Add(400 * time.Millisecond)) // as long as a client waits
 	resp, err := readReply(r)
 	if err != nil || resp.StatusCode != http.StatusInternalServerError {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("the forwarded request is answered %+v, %v, want 500", resp, err)
 	}
-	l.awaitEnd(t)
+	s.awaitEnd(t)
 }
