--- a/internal/sender/admin_test.go
+++ b/internal/sender/admin_test.go
@@ -15,9 +15,9 @@
 func TestMetricsCountMessageEnds(t *testing.T) {
 	t.Parallel()
 	good, bad, silent := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Reset), st.NewEndpoint(t, st.Hang)
-	p := st.NewAgent(t, good.Addr, bad.Addr, silent.Addr)
+	agent := st.NewAgent(t, good.Addr, bad.Addr, silent.Addr)
 	admin := freeAddress(t)
-	addr := startSender(t, p, func(c *config.Config) { c.Admin = admin; c.Settings.MaxPendingMessages = 2 })
+	addr := startSender(t, agent, func(c *config.Config) { c.Admin = admin; c.Settings.MaxPendingMessages = 2 })
 	awaitHealth(t, admin, "ok\n") // it listens shortly before it is ready
 	awaitMetrics(t, admin, map[string]int{
 		"succeeded.safe": 0, "declined.safe": 0, "aborted.safe": 0, "succeeded.unsafe": 0,
@@ -31,7 +31,7 @@
 		t.Errorf("a message above MaxPendingMessages is answered %s, want 503", resp.Status)
 	}
 	awaitMetrics(t, admin, map[string]int{"declined.keyed": 1, "declined.unsafe": 0, "outstanding": 1, "forwards": 3})
-	p.Change(st.Server("s-1", bad.Addr, 1, "DELETED"))
+	agent.Change(st.Server("s-1", bad.Addr, 1, "DELETED"))
 	awaitMetrics(t, admin, map[string]int{"discovered": 2})
 }
 
--- a/internal/sender/batching_test.go
+++ b/internal/sender/batching_test.go
@@ -45,8 +45,8 @@
 		t.Errorf("the first event is for %s: %+v, want that message a was not sent", end.message.ID, alone)
 	}
 	close(releaseDial)
-	if parts := e.Next(t).Entries(t); len(parts) != 1 || parts[0].ID != "b" {
-		t.Errorf("the endpoint got %+v, want only b", parts)
+	if entries := e.Next(t).Entries(t); len(entries) != 1 || entries[0].ID != "b" {
+		t.Errorf("the endpoint got %+v, want only b", entries)
 	}
 	for _, end := range st.Receive(t, s.events).(callEndedEvent).ends {
 		want := map[string]dispatch.Outcome{"a": dispatch.NotSent, "b": dispatch.Served}[end.message.ID]
@@ -114,8 +114,8 @@
 			return st.Status(200)(c, nc)
 		}
 		var states []string
-		for _, p := range c.Entries(t) {
-			states = append(states, `{"id":"`+p.ID+`","state":"ok"}`)
+		for _, entry := range c.Entries(t) {
+			states = append(states, `{"id":"`+entry.ID+`","state":"ok"}`)
 		}
 		return st.Text(200, "["+strings.Join(states, ",")+"]")(c, nc)
 	})
@@ -128,14 +128,14 @@
 		st.Submit(t, addr, "m"+strconv.Itoa(i+1), "keyed", 0, 15*time.Second)
 	}
 	close(releaseFirst)
-	parts := e.Next(t).Entries(t)
-	for _, p := range parts {
-		if p.Key != "key-"+p.ID || string(p.Body) != "body of "+p.ID {
-			t.Errorf("the endpoint got the batch entry %+v", p)
+	entries := e.Next(t).Entries(t)
+	for _, entry := range entries {
+		if entry.Key != "key-"+entry.ID || string(entry.Body) != "body of "+entry.ID {
+			t.Errorf("the endpoint got the batch entry %+v", entry)
 		}
 	}
-	if len(parts) != 5 {
-		t.Errorf("%d messages share the second call, want 5", len(parts))
+	if len(entries) != 5 {
+		t.Errorf("%d messages share the second call, want 5", len(entries))
 	}
 }
 
@@ -159,8 +159,8 @@
 		st.Submit(t, addr, id, "unsafe", 0, left*time.Second)
 	}
 	close(release)
-	if parts := e.Next(t).Entries(t); len(parts) != 3 || parts[0].ID != "long" {
-		t.Errorf("the batch is %+v, want three messages, long first", parts)
+	if entries := e.Next(t).Entries(t); len(entries) != 3 || entries[0].ID != "long" {
+		t.Errorf("the batch is %+v, want three messages, long first", entries)
 	}
 }
 
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -30,10 +30,10 @@
 }
 
 // callOnce makes a call with one message and returns its result.
-func callOnce(p *endpoint.Pool, e *listedEndpoint, timeout time.Duration, body string) dispatch.AttemptResult {
+func callOnce(pool *endpoint.Pool, e *listedEndpoint, timeout time.Duration, body string) dispatch.AttemptResult {
 	result := make(chan dispatch.AttemptResult, 1)
 	item := &endpoint.Item{ID: "id", Key: "key", Body: []byte(body), Timeout: timeout, LastAttempt: true}
-	call := p.NewCall(context.Background(), e.Endpoint, []*endpoint.Item{item})
+	call := pool.NewCall(context.Background(), e.Endpoint, []*endpoint.Item{item})
 	call.Start(true, func(results []endpoint.Result, _ bool) { result <- results[0].AttemptResult })
 	return <-result
 }
@@ -88,8 +88,8 @@
 		}
 		return st.Status(200)(c, nc)
 	})
-	p := st.NewAgent(t, e.Addr)
-	s := newTestSender(t, p, nil)
+	agent := st.NewAgent(t, e.Addr)
+	s := newTestSender(t, agent, nil)
 	at := testEndpoint(e.Addr)
 	s.list.byNumber = append(s.list.byNumber, at)
 	served := make(chan struct{}, 2)
@@ -125,8 +125,8 @@
 	t.Parallel()
 	const window = 500 * time.Millisecond
 	e := st.NewEndpoint(t, st.Status(500, "Connection: close"))
-	p := st.NewAgent(t, e.Addr)
-	s := newTestSender(t, p, func(c *config.Config) {
+	agent := st.NewAgent(t, e.Addr)
+	s := newTestSender(t, agent, func(c *config.Config) {
 		c.Settings.Classes[1].IdempotencyWindow = window
 		c.Settings.MaxAttempts = 2 // the retry is the last attempt, so its timeout is all the time that is left
 	})
@@ -149,7 +149,7 @@
 	st.Receive(t, retryDialing)
 	<-time.After(time.Until(first.Add(window)))
 	close(releaseDial)
-	if n := st.Receive(t, p.Notices); n.Message != "m" || n.Outcome != "given_up" {
+	if n := st.Receive(t, agent.Notices); n.Message != "m" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
 	}
 	cancel()
@@ -176,8 +176,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := st.NewEndpoint(t, st.Status(200))
-			p := st.NewAgent(t, e.Addr, e.Addr)
-			s := newTestSender(t, p, nil)
+			agent := st.NewAgent(t, e.Addr, e.Addr)
+			s := newTestSender(t, agent, nil)
 			dialing, releaseDial := make(chan struct{}, 1), make(chan struct{})
 			s.pool = s.newPool(func(string, string, syscall.RawConn) error {
 				dialing <- struct{}{}
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -66,8 +66,8 @@
 func TestNamesMayContainBlanksAndCommas(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, e.Addr)
-	text := st.Config(p, t.TempDir())
+	agent := st.NewAgent(t, e.Addr)
+	text := st.Config(agent, t.TempDir())
 	settings := text["settings"].(map[string]any)
 	settings["services"].([]any)[1].(map[string]any)["name"] = "order, new"
 	settings["orgs"].([]any)[0].(map[string]any)["name"] = "acme & sons"
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := startSender(t, p, func(c *config.Config) {
+	addr := startSender(t, agent, func(c *config.Config) {
 		parsed, err := config.Parse(raw)
 		if err != nil {
 			t.Fatal(err)
@@ -131,9 +131,9 @@
 func TestGivenUpMessageEndsAtOnce(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(500))
-	p := st.NewAgent(t, e.Addr)
-	p.RejectNotices(true)
-	addr := startSender(t, p, nil)
+	agent := st.NewAgent(t, e.Addr)
+	agent.RejectNotices(true)
+	addr := startSender(t, agent, nil)
 	resp, _ := do(t, st.Request(t, addr, "late", "safe", 0, 0, ""))
 	if resp.StatusCode != http.StatusInternalServerError {
 		t.Errorf("a message whose deadline has passed is answered %s, want 500", resp.Status)
@@ -141,8 +141,8 @@
 	began := time.Now()
 	st.Submit(t, addr, "doubt", "unsafe", 0, 19*time.Second)
 	e.Next(t)
-	p.RejectNotices(false)
-	if n := st.Receive(t, p.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
+	agent.RejectNotices(false)
+	if n := st.Receive(t, agent.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v, want that message doubt is given up", n)
 	}
 	if took := time.Since(began); took > 10*time.Second {
@@ -159,16 +159,16 @@
 func TestDeliveryNearTheDeadlineIsNotified(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, e.Addr)
-	addr := startSender(t, p, nil)
+	agent := st.NewAgent(t, e.Addr)
+	addr := startSender(t, agent, nil)
 	st.Submit(t, addr, "early", "safe", 0, 20*time.Second)
 	e.Next(t)
 	st.Submit(t, addr, "close", "safe", 0, deliveryMargin-10*time.Millisecond)
-	if n := st.Receive(t, p.Notices); n.Message != "close" || n.Outcome != "given_up" {
+	if n := st.Receive(t, agent.Notices); n.Message != "close" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v, want that message close is given up", n)
 	}
-	if len(p.Notices) > 0 {
-		t.Errorf("unexpected second notice: %+v", <-p.Notices)
+	if len(agent.Notices) > 0 {
+		t.Errorf("unexpected second notice: %+v", <-agent.Notices)
 	}
 }
 
@@ -178,8 +178,8 @@
 func TestReturnedMessageIsNotified(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Hang)
-	p := st.NewAgent(t, e.Addr)
-	addr := startSender(t, p, func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
+	agent := st.NewAgent(t, e.Addr)
+	addr := startSender(t, agent, func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
 	for i := range 20 { // the dispatcher sheds load from 95% on
 		resp, body := do(t, st.Request(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, ""))
 		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
@@ -192,7 +192,7 @@
 			return
 		}
 	}
-	if n := st.Receive(t, p.Notices); n.Outcome != "handed_back" || n.RetryMS != 2000 {
+	if n := st.Receive(t, agent.Notices); n.Outcome != "handed_back" || n.RetryMS != 2000 {
 		t.Errorf("notice %+v, want handed_back and 2000 ms", n)
 	}
 }
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -23,14 +23,14 @@
 			t.Parallel()
 			old, kept := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 			fresh := st.NewEndpoint(t, st.Status(200))
-			p := st.NewAgent(t, old.Addr, kept.Addr)
+			agent := st.NewAgent(t, old.Addr, kept.Addr)
 			directory := t.TempDir()
 			var known endpointlist.Update
-			first := startSenderIn(t, OperatingSystem(), p, func(c *config.Config) {
+			first := startSenderIn(t, OperatingSystem(), agent, func(c *config.Config) {
 				c.State, known = directory, c.Known
 			})
-			p.Change(st.Server("s-0", old.Addr, 0, state))
-			p.Change(st.Server("s-2", fresh.Addr, 0, "SERVING"))
+			agent.Change(st.Server("s-0", old.Addr, 0, state))
+			agent.Change(st.Server("s-2", fresh.Addr, 0, "SERVING"))
 			st.Submit(t, first.addr, "before", "unsafe", 0, 15*time.Second)
 			for applied, n := false, 0; !applied; n++ {
 				select {
@@ -43,7 +43,7 @@
 				}
 			}
 			first.stop()
-			second := startSenderIn(t, OperatingSystem(), p, func(c *config.Config) {
+			second := startSenderIn(t, OperatingSystem(), agent, func(c *config.Config) {
 				c.State, c.Known, c.Discovery = directory, known, silentAddress(t)
 			})
 			for _, id := range []string{"a", "b", "c"} {
@@ -66,9 +66,9 @@
 }
 
 // awaitWatch waits until the sender requests the changes of the list after a version.
-func awaitWatch(t *testing.T, p *st.Agent, version int) {
+func awaitWatch(t *testing.T, agent *st.Agent, version int) {
 	t.Helper()
-	for !strings.HasPrefix(st.Receive(t, p.ListRequests), "after="+strconv.Itoa(version)+"&") {
+	for !strings.HasPrefix(st.Receive(t, agent.ListRequests), "after="+strconv.Itoa(version)+"&") {
 	}
 }
 
@@ -88,15 +88,15 @@
 
 func testDrain(t *testing.T, edit func(*config.Config)) {
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, old.Addr)
-	addr := startSender(t, p, edit)
+	agent := st.NewAgent(t, old.Addr)
+	addr := startSender(t, agent, edit)
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
 	old.Next(t)
-	awaitWatch(t, p, 1)
-	p.Change(st.Server("s-0", old.Addr, 0, "DRAINING"))
-	awaitWatch(t, p, 2)
+	awaitWatch(t, agent, 1)
+	agent.Change(st.Server("s-0", old.Addr, 0, "DRAINING"))
+	awaitWatch(t, agent, 2)
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
-	p.Change(st.Server("s-9", other.Addr, 0, "SERVING"))
+	agent.Change(st.Server("s-9", other.Addr, 0, "SERVING"))
 	if c := other.Next(t); c.ID != "b" {
 		t.Errorf("the new endpoint got %s, want b", c.ID)
 	}
@@ -111,17 +111,17 @@
 
 func testDiscoveryOutage(t *testing.T, edit func(*config.Config)) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, e.Addr)
-	addr := startSender(t, p, edit)
-	awaitWatch(t, p, 1)
-	p.SetDown(true)
-	for st.Receive(t, p.ListRequests) != "" { // until the sender requests the full list, which fails
+	agent := st.NewAgent(t, e.Addr)
+	addr := startSender(t, agent, edit)
+	awaitWatch(t, agent, 1)
+	agent.SetDown(true)
+	for st.Receive(t, agent.ListRequests) != "" { // until the sender requests the full list, which fails
 	}
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
 	e.Next(t)
-	p.Change(st.Server("s-0", other.Addr, 0, "SERVING"))
-	p.SetDown(false)
-	awaitWatch(t, p, 2)
+	agent.Change(st.Server("s-0", other.Addr, 0, "SERVING"))
+	agent.SetDown(false)
+	awaitWatch(t, agent, 2)
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
 	if c := other.Next(t); c.ID != "b" {
 		t.Errorf("the new address got %s", c.ID)
@@ -134,13 +134,13 @@
 
 func testUnansweredWatch(t *testing.T, edit func(*config.Config)) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, e.Addr)
-	addr := startSender(t, p, edit)
-	awaitWatch(t, p, 1)
-	p.LoseWatches()
+	agent := st.NewAgent(t, e.Addr)
+	addr := startSender(t, agent, edit)
+	awaitWatch(t, agent, 1)
+	agent.LoseWatches()
 	began := time.Now()
-	p.Change(st.Server("s-0", other.Addr, 0, "SERVING"))
-	awaitWatch(t, p, 2)
+	agent.Change(st.Server("s-0", other.Addr, 0, "SERVING"))
+	awaitWatch(t, agent, 2)
 	if took := time.Since(began); took > 6*time.Second {
 		t.Errorf("the new list was received after %v", took)
 	}
@@ -155,10 +155,10 @@
 func TestResumedMessageAvoidsADrainedEndpoint(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, old.Addr)
-	p.Change(st.Server("s-0", old.Addr, 0, "DRAINING"))
-	p.Change(st.Server("s-1", other.Addr, 0, "SERVING"))
-	startSender(t, p, func(c *config.Config) {
+	agent := st.NewAgent(t, old.Addr)
+	agent.Change(st.Server("s-0", old.Addr, 0, "DRAINING"))
+	agent.Change(st.Server("s-1", other.Addr, 0, "SERVING"))
+	startSender(t, agent, func(c *config.Config) {
 		serving := endpointlist.Endpoint{ID: "s-0", Addr: old.Addr, State: "SERVING", Zone: "a", Kind: "plain"}
 		c.Known = endpointlist.Update{Version: 1, Full: true, Endpoints: []endpointlist.Endpoint{serving}}
 		j := openJournal(t, c.State)
--- a/internal/sender/faultinjection_test.go
+++ b/internal/sender/faultinjection_test.go
@@ -139,7 +139,7 @@
 	var mu sync.Mutex
 	seen := map[net.Conn]bool{}
 	type key struct{}
-	p := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	platform := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if silent := r.Context().Value(key{}).(bool); silent || r.Method != http.MethodPost {
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
@@ -154,15 +154,15 @@
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
-	p.Config.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
+	platform.Config.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		mu.Lock()
 		defer mu.Unlock()
 		seen[c] = true
 		return context.WithValue(ctx, key{}, len(seen) <= connections)
 	}
-	p.Start()
-	t.Cleanup(func() { p.CloseClientConnections(); p.Close() })
-	return strings.TrimPrefix(p.URL, "http://"), ids
+	platform.Start()
+	t.Cleanup(func() { platform.CloseClientConnections(); platform.Close() })
+	return strings.TrimPrefix(platform.URL, "http://"), ids
 }
 
 // logTo returns a log handler that passes each line to a function.
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -20,10 +20,10 @@
 	t.Parallel()
 	release := make(chan struct{})
 	slow, quick := st.NewEndpoint(t, answerAfter(release)), st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, slow.Addr, quick.Addr)
+	agent := st.NewAgent(t, slow.Addr, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
-	oldAdmin, stopOld := startProcess(t, p, state, listen)
+	oldAdmin, stopOld := startProcess(t, agent, state, listen)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 	}
 	slow.Next(t)
 
-	newAdmin, _ := startProcess(t, p, state, listen)
+	newAdmin, _ := startProcess(t, agent, state, listen)
 	awaitHealth(t, oldAdmin, "fail leaving\n")
 	awaitMetrics(t, oldAdmin, map[string]int{"outstanding": 0, "forwards": 1})
 	awaitMetrics(t, newAdmin, map[string]int{"outstanding": 1, "forwards": 0, "discovered": 2})
@@ -67,15 +67,15 @@
 func TestEndedIDsSurviveAHandOver(t *testing.T) {
 	t.Parallel()
 	quick := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, quick.Addr)
+	agent := st.NewAgent(t, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
-	admin, stopOld := startProcess(t, p, state, listen)
+	admin, stopOld := startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "done", "unsafe", 0, 15*time.Second)
 	quick.Next(t)
 	awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": 1, "outstanding": 0})
 	for range 2 { // two hand-overs, one after the other
-		_, stop := startProcess(t, p, state, listen)
+		_, stop := startProcess(t, agent, state, listen)
 		st.Submit(t, addr, "done", "unsafe", 0, 15*time.Second)
 		stopOld()
 		stopOld = stop
@@ -93,21 +93,21 @@
 func TestPredecessorCancelsCallsAtItsEnd(t *testing.T) {
 	t.Parallel()
 	silent := st.NewEndpoint(t, st.Hang)
-	p := st.NewAgent(t, silent.Addr, silent.Addr)
+	agent := st.NewAgent(t, silent.Addr, silent.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
-	_, stopOld := startProcess(t, p, state, listen)
+	_, stopOld := startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "safe", "safe", 0, 15*time.Second)
 	silent.Next(t)
 	st.Submit(t, addr, "unsafe", "unsafe", 1, 15*time.Second)
 	silent.Next(t)
-	admin, _ := startProcess(t, p, state, listen)
+	admin, _ := startProcess(t, agent, state, listen)
 	awaitMetrics(t, admin, map[string]int{"outstanding": 2, "forwards": 0})
 	stopOld()
 	if c := silent.Next(t); c.ID != "safe" {
 		t.Errorf("message %s is sent a second time, want only safe", c.ID)
 	}
-	if n := st.Receive(t, p.Notices); n.Message != "unsafe" || n.Outcome != "given_up" {
+	if n := st.Receive(t, agent.Notices); n.Message != "unsafe" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v, want that message unsafe is given up", n)
 	}
 	awaitMetrics(t, admin, map[string]int{"aborted.unsafe": 1, "outstanding": 1})
@@ -118,10 +118,10 @@
 func TestRetryBackoffSurvivesAHandOver(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(500))
-	p := st.NewAgent(t, e.Addr)
+	agent := st.NewAgent(t, e.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
-	admin, _ := startProcess(t, p, state, listen)
+	admin, _ := startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "m", "safe", 0, 15*time.Second)
 	for range 3 {
 		e.Next(t)
@@ -137,7 +137,7 @@
 		link.Close()
 		awaitHealth(t, admin, "ok\n")
 	}
-	startProcess(t, p, state, listen) // the predecessor has become the owner again, and hands over the backoff
+	startProcess(t, agent, state, listen) // the predecessor has become the owner again, and hands over the backoff
 	if e.Next(t); time.Now().Before(backoffUntil) {
 		t.Errorf("the message was sent %v before the end of its backoff", time.Until(backoffUntil))
 	}
@@ -149,23 +149,23 @@
 func TestSuccessorThatCanOpenNoSocketDeliversNotices(t *testing.T) {
 	t.Parallel()
 	const deadline, noticeGrace = 1200 * time.Millisecond, 300 * time.Millisecond
-	p := st.NewAgent(t)
+	agent := st.NewAgent(t)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
-	startProcess(t, p, state, listen)
+	startProcess(t, agent, state, listen)
 	began := time.Now()
 	st.Submit(t, addr, "m", "safe", 5, deadline)
 	st.Submit(t, addr, "earlier", "safe", 5, 300*time.Millisecond)
-	if n := st.Receive(t, p.Notices); n.Message != "earlier" {
+	if n := st.Receive(t, agent.Notices); n.Message != "earlier" {
 		t.Fatalf("the first notice is %+v, want one of message earlier", n)
 	}
 	noSockets := OperatingSystem()
 	noSockets.Control = func(string, string, syscall.RawConn) error {
 		return os.NewSyscallError("socket", syscall.ENFILE)
 	}
-	admin, _ := startProcessIn(t, noSockets, p, state, listen)
+	admin, _ := startProcessIn(t, noSockets, agent, state, listen)
 	awaitMetrics(t, admin, map[string]int{"outstanding": 1})
-	if n := st.Receive(t, p.Notices); n.Message != "m" {
+	if n := st.Receive(t, agent.Notices); n.Message != "m" {
 		t.Errorf("the second notice is %+v, want one of message m", n)
 	}
 	if late := time.Since(began) - deadline; late > noticeGrace {
@@ -178,7 +178,7 @@
 func TestStaleSocketIsReplaced(t *testing.T) {
 	t.Parallel()
 	quick := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, quick.Addr)
+	agent := st.NewAgent(t, quick.Addr)
 	state := t.TempDir()
 	if err := handover.WithSocket(state, func(path string) error {
 		l, err := net.Listen("unix", path)
@@ -191,8 +191,8 @@
 		t.Fatal(err)
 	}
 	addr, listen := platformSocket(t)
-	_, stop := startProcess(t, p, state, listen)
-	startProcess(t, p, state, listen)
+	_, stop := startProcess(t, agent, state, listen)
+	startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "m", "unsafe", 0, 15*time.Second)
 	quick.Next(t)
 	stop()
@@ -206,7 +206,7 @@
 func TestStartWithoutAnUpgradeSocket(t *testing.T) {
 	t.Parallel()
 	quick := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, quick.Addr)
+	agent := st.NewAgent(t, quick.Addr)
 	state := t.TempDir()
 	err := handover.WithSocket(state, func(path string) error { return os.MkdirAll(path+"/taken", 0o700) })
 	if err != nil {
@@ -214,7 +214,7 @@
 	}
 	t.Cleanup(func() { _ = handover.WithSocket(state, os.RemoveAll) })
 	addr, listen := platformSocket(t)
-	startProcess(t, p, state, listen)
+	startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "m", "unsafe", 0, 15*time.Second)
 	if c := quick.Next(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s, want m", c.ID)
@@ -236,17 +236,17 @@
 		answered <- time.Now()
 		return st.Hang(c, conn)
 	})
-	p := st.NewAgent(t, e.Addr)
+	agent := st.NewAgent(t, e.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
-	startProcess(t, p, state, listen)
+	startProcess(t, agent, state, listen)
 	for n := range 5 { // the concurrency window grows until it allows a second call
 		st.Submit(t, addr, "before"+strconv.Itoa(n), "safe", 0, 15*time.Second)
 		e.Next(t)
 	}
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
 	e.Next(t)
-	startProcess(t, p, state, listen)
+	startProcess(t, agent, state, listen)
 	close(release)
 	at := st.Receive(t, answered)
 	time.Sleep(100 * time.Millisecond)
--- a/internal/sender/helpers_test.go
+++ b/internal/sender/helpers_test.go
@@ -102,9 +102,9 @@
 
 // startSenderIn starts a sender in an environment, some of whose operations may fail, and waits until it listens. edit
 // changes the configuration; it may be nil.
-func startSenderIn(t *testing.T, env Environment, p *st.Agent, edit func(c *config.Config)) *runningSender {
+func startSenderIn(t *testing.T, env Environment, agent *st.Agent, edit func(c *config.Config)) *runningSender {
 	t.Helper()
-	s := newTestSenderIn(t, env, p, edit)
+	s := newTestSenderIn(t, env, agent, edit)
 	ctx, cancel := context.WithCancel(context.Background())
 	done, addr := make(chan error, 1), make(chan string, 1)
 	go func() {
@@ -146,19 +146,19 @@
 // startProcess starts a sender that shares its state directory and its socket with other senders, as the processes of
 // an upgrade do, and waits until it is healthy. It returns its admin address and a function that shuts it down.
 func startProcess(
-	t *testing.T, p *st.Agent, state string, listen ListenFunc,
+	t *testing.T, agent *st.Agent, state string, listen ListenFunc,
 ) (admin string, stop func()) {
 	t.Helper()
-	return startProcessIn(t, OperatingSystem(), p, state, listen)
+	return startProcessIn(t, OperatingSystem(), agent, state, listen)
 }
 
 // startProcessIn is like startProcess, but takes the environment.
 func startProcessIn(
-	t *testing.T, env Environment, p *st.Agent, state string, listen ListenFunc,
+	t *testing.T, env Environment, agent *st.Agent, state string, listen ListenFunc,
 ) (admin string, stop func()) {
 	t.Helper()
 	admin = freeAddress(t)
-	s := newTestSenderIn(t, env, p, func(c *config.Config) { c.State, c.Admin = state, admin })
+	s := newTestSenderIn(t, env, agent, func(c *config.Config) { c.State, c.Admin = state, admin })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx, listen) }()
@@ -277,9 +277,9 @@
 }
 
 // startStoppable starts a sender and waits until it listens. edit changes the configuration; it may be nil.
-func startStoppable(t *testing.T, p *st.Agent, edit func(c *config.Config)) *stoppableSender {
+func startStoppable(t *testing.T, agent *st.Agent, edit func(c *config.Config)) *stoppableSender {
 	t.Helper()
-	s, addr := newTestSender(t, p, edit), make(chan string, 1)
+	s, addr := newTestSender(t, agent, edit), make(chan string, 1)
 	stoppable := newStoppable(s)
 	stoppable.run(func() (net.Listener, error) {
 		nl, err := net.Listen("tcp", stoppable.config.Listen)
@@ -363,15 +363,15 @@
 }
 
 // newTestSender returns a sender with a short shutdown. edit changes the configuration; it may be nil.
-func newTestSender(t *testing.T, p *st.Agent, edit func(c *config.Config)) *Sender {
+func newTestSender(t *testing.T, agent *st.Agent, edit func(c *config.Config)) *Sender {
 	t.Helper()
-	return newTestSenderIn(t, OperatingSystem(), p, edit)
+	return newTestSenderIn(t, OperatingSystem(), agent, edit)
 }
 
 // newTestSenderIn is like newTestSender, but takes the environment.
-func newTestSenderIn(t *testing.T, env Environment, p *st.Agent, edit func(c *config.Config)) *Sender {
+func newTestSenderIn(t *testing.T, env Environment, agent *st.Agent, edit func(c *config.Config)) *Sender {
 	t.Helper()
-	raw, err := json.Marshal(st.Config(p, t.TempDir()))
+	raw, err := json.Marshal(st.Config(agent, t.TempDir()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -392,7 +392,7 @@
 
 // startSender starts a sender in the test process and returns its address. edit changes the configuration; it may be
 // nil.
-func startSender(t *testing.T, p *st.Agent, edit func(c *config.Config)) string {
+func startSender(t *testing.T, agent *st.Agent, edit func(c *config.Config)) string {
 	t.Helper()
-	return startSenderIn(t, OperatingSystem(), p, edit).addr
+	return startSenderIn(t, OperatingSystem(), agent, edit).addr
 }
--- a/internal/sender/journalfailure_test.go
+++ b/internal/sender/journalfailure_test.go
@@ -68,7 +68,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			e := st.NewEndpoint(t, st.Status(200))
-			p := st.NewAgent(t)
+			agent := st.NewAgent(t)
 			var failing atomic.Bool
 			env := OperatingSystem()
 			env.Files = failingFiles{write: func([]byte) error {
@@ -77,18 +77,18 @@
 				}
 				return nil
 			}}
-			s := startSenderIn(t, env, p, func(c *config.Config) { c.Settings.MaxAttempts = 2 })
+			s := startSenderIn(t, env, agent, func(c *config.Config) { c.Settings.MaxAttempts = 2 })
 			ids := []string{"a", "b", "c"}
 			for _, id := range ids {
 				st.Submit(t, s.addr, id, "unsafe", 0, 15*time.Second)
 			}
 			failing.Store(true)
-			p.Change(st.Server("s-0", e.Addr, 0, "SERVING"))
+			agent.Change(st.Server("s-0", e.Addr, 0, "SERVING"))
 			time.Sleep(1500 * time.Millisecond)
 			select {
 			case c := <-e.Calls:
 				t.Errorf("message %s is sent although its attempt cannot be written to the journal", c.ID)
-			case n := <-p.Notices:
+			case n := <-agent.Notices:
 				t.Errorf("notice %+v while the disk fails, want none", n)
 			default:
 			}
@@ -96,7 +96,7 @@
 			for range ids {
 				select {
 				case <-e.Calls:
-				case n := <-p.Notices:
+				case n := <-agent.Notices:
 					t.Fatalf("notice %+v, want that all messages are sent", n)
 				case <-time.After(3 * time.Second):
 					t.Fatal("a message is not sent when the disk works again")
@@ -111,7 +111,7 @@
 func TestNoHandOverWhileTheDiskFails(t *testing.T) {
 	t.Parallel()
 	good := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, good.Addr)
+	agent := st.NewAgent(t, good.Addr)
 	state, admin := t.TempDir(), freeAddress(t)
 	var failing atomic.Bool
 	env := OperatingSystem()
@@ -123,8 +123,8 @@
 	}}
 	release := make(chan struct{})
 	slow := st.NewEndpoint(t, answerAfter(release))
-	p.Change(st.Server("s-1", slow.Addr, 1, "SERVING"))
-	first := startSenderIn(t, env, p, func(c *config.Config) { c.State, c.Admin = state, admin })
+	agent.Change(st.Server("s-1", slow.Addr, 1, "SERVING"))
+	first := startSenderIn(t, env, agent, func(c *config.Config) { c.State, c.Admin = state, admin })
 	st.Submit(t, first.addr, "m", "unsafe", 1, 15*time.Second)
 	slow.Next(t)
 	failing.Store(true)
--- a/internal/sender/notices_test.go
+++ b/internal/sender/notices_test.go
@@ -26,7 +26,7 @@
 	for n := range 8 {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
 			t.Parallel()
-			p := st.NewAgent(t)
+			agent := st.NewAgent(t)
 			var from, until atomic.Int64 // Unix ns
 			env := OperatingSystem()
 			env.Control = func(string, string, syscall.RawConn) error {
@@ -35,12 +35,12 @@
 				}
 				return nil
 			}
-			s := startSenderIn(t, env, p, nil)
+			s := startSenderIn(t, env, agent, nil)
 			at := time.Now()
 			from.Store(at.UnixNano())
 			until.Store(at.Add(deadline + failing).UnixNano())
 			st.Submit(t, s.addr, "m", "safe", 5, deadline)
-			if n := st.Receive(t, p.Notices); n.Message != "m" {
+			if n := st.Receive(t, agent.Notices); n.Message != "m" {
 				t.Errorf("notice %+v, want one of message m", n)
 			}
 			if late := time.Since(at) - deadline; late > 300*time.Millisecond {
@@ -57,7 +57,7 @@
 	for name, earlier := range map[string]int{"the first notice": 0, "a later notice": 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := st.NewAgent(t)
+			agent := st.NewAgent(t)
 			var failing atomic.Bool
 			env := OperatingSystem()
 			env.Control = func(string, string, syscall.RawConn) error {
@@ -66,17 +66,17 @@
 				}
 				return nil
 			}
-			s := startSenderIn(t, env, p, nil)
+			s := startSenderIn(t, env, agent, nil)
 			for n := range earlier {
 				st.Submit(t, s.addr, "before"+strconv.Itoa(n), "safe", 5, 50*time.Millisecond)
-				st.Receive(t, p.Notices)
+				st.Receive(t, agent.Notices)
 			}
 			time.Sleep(200 * time.Millisecond)
 			failing.Store(true)
 			at := time.Now()
 			st.Submit(t, s.addr, "m", "safe", 5, deadline)
 			select {
-			case n := <-p.Notices:
+			case n := <-agent.Notices:
 				if late := time.Since(at) - deadline; n.Message != "m" || late > 300*time.Millisecond {
 					t.Errorf("notice %+v is delivered %v after the deadline, want one of m within 300 ms", n, late)
 				}
@@ -95,7 +95,7 @@
 	t.Parallel()
 	posts := make(chan string, 10)
 	var received atomic.Bool
-	p := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		first := received.CompareAndSwap(false, true)
 		posts <- string(body)
@@ -104,9 +104,9 @@
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
-	t.Cleanup(p.Close)
+	t.Cleanup(platform.Close)
 	s := newTestSender(t, st.NewAgent(t), nil)
-	s.discovery.Move(strings.TrimPrefix(p.URL, "http://"))
+	s.discovery.Move(strings.TrimPrefix(platform.URL, "http://"))
 	addNotice := func(id string) {
 		m, err := s.journal.Accept(journal.Record{ID: id, Class: "safe"})
 		if err != nil {
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -25,9 +25,13 @@
 
 // startReloadable starts a sender with a configuration file and waits until it listens. edit changes the file's
 // content; it may be nil.
-func startReloadable(t *testing.T, p *st.Agent, state string, edit func(text map[string]any)) *reloadable {
+func startReloadable(t *testing.T, agent *st.Agent, state string, edit func(text map[string]any)) *reloadable {
 	t.Helper()
-	r := &reloadable{text: st.Config(p, state), admin: freeAddress(t), file: filepath.Join(t.TempDir(), "config.json")}
+	r := &reloadable{
+		text:  st.Config(agent, state),
+		admin: freeAddress(t),
+		file:  filepath.Join(t.TempDir(), "config.json"),
+	}
 	if edit != nil {
 		edit(r.text)
 	}
@@ -36,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Sender = newTestSender(t, p, func(own *config.Config) { *own = *c; own.Admin = r.admin })
+	r.Sender = newTestSender(t, agent, func(own *config.Config) { *own = *c; own.Admin = r.admin })
 	addr := make(chan string, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -102,10 +106,10 @@
 func TestInvalidConfigurationIsRejectedAsAWhole(t *testing.T) {
 	t.Parallel()
 	good := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, good.Addr)
-	r := startReloadable(t, p, t.TempDir(), nil)
+	agent := st.NewAgent(t, good.Addr)
+	r := startReloadable(t, agent, t.TempDir(), nil)
 	fresh := func(edit func(text map[string]any)) map[string]any {
-		text := st.Config(p, "")
+		text := st.Config(agent, "")
 		set := text["settings"].(map[string]any)
 		set["services"] = append(classesIn(text), classEntry("fresh", "read_like"))
 		edit(text)
@@ -197,9 +201,9 @@
 				<-releaseSecond
 				return st.Reset(c, conn)
 			})
-			p := st.NewAgent(t, first.Addr, second.Addr)
+			agent := st.NewAgent(t, first.Addr, second.Addr)
 			state := t.TempDir()
-			r := startReloadable(t, p, state, nil)
+			r := startReloadable(t, agent, state, nil)
 			st.Submit(t, r.addr, "old", "safe", 0, 15*time.Second)
 			first.Next(t)
 			st.Submit(t, r.addr, "dropped", "unsafe", 1, 15*time.Second)
@@ -212,7 +216,7 @@
 			if restart {
 				r.stop()
 				close(releaseFirst)
-				r = startReloadable(t, p, state, change)
+				r = startReloadable(t, agent, state, change)
 			} else {
 				change(r.text)
 				r.write(t, r.text)
@@ -226,7 +230,7 @@
 			if c := first.Next(t); c.ID != "old" {
 				t.Errorf("the endpoint got %s, want old a second time", c.ID)
 			}
-			if n := st.Receive(t, p.Notices); n.Message != "dropped" || n.Outcome != "given_up" {
+			if n := st.Receive(t, agent.Notices); n.Message != "dropped" || n.Outcome != "given_up" {
 				t.Errorf("notice %+v, want that message dropped is given up", n)
 			}
 			awaitMetrics(t, r.admin, map[string]int{"succeeded.safe": 1, "aborted.unsafe": 1, "outstanding": 0})
@@ -236,7 +240,7 @@
 			}
 			st.Submit(t, r.addr, "new", "safe", 1, 15*time.Second)
 			second.Next(t)
-			if n := st.Receive(t, p.Notices); n.Message != "new" || n.Outcome != "given_up" {
+			if n := st.Receive(t, agent.Notices); n.Message != "new" || n.Outcome != "given_up" {
 				t.Errorf("notice %+v, want that message new is given up after one attempt under the new rules", n)
 			}
 		})
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -81,9 +81,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			silent, good := st.NewEndpoint(t, st.Hang), st.NewEndpoint(t, st.Status(200))
-			p := st.NewAgent(t)
+			agent := st.NewAgent(t)
 			if c.tried {
-				p.Change(st.Server("s-0", silent.Addr, 0, "SERVING"))
+				agent.Change(st.Server("s-0", silent.Addr, 0, "SERVING"))
 			}
 			state := t.TempDir()
 			window := 500 * time.Millisecond
@@ -91,7 +91,7 @@
 				window = 2500 * time.Millisecond
 			}
 			edit := func(conf *config.Config) { conf.State, conf.Settings.Classes[1].IdempotencyWindow = state, window }
-			first := startSenderIn(t, OperatingSystem(), p, edit)
+			first := startSenderIn(t, OperatingSystem(), agent, edit)
 			st.Submit(t, first.addr, "m", c.class, 0, c.deadline)
 			if c.tried {
 				silent.Next(t)
@@ -99,15 +99,15 @@
 			first.stop()
 			time.Sleep(c.pause)
 			if c.delivered || c.tried {
-				p.Change(st.Server("s-0", good.Addr, 0, "SERVING"))
+				agent.Change(st.Server("s-0", good.Addr, 0, "SERVING"))
 			}
-			startSenderIn(t, withClockStep(c.step), p, edit)
+			startSenderIn(t, withClockStep(c.step), agent, edit)
 			select {
 			case call := <-good.Calls:
 				if !c.delivered {
 					t.Errorf("message %s is sent, want that it is given up", call.ID)
 				}
-			case n := <-p.Notices:
+			case n := <-agent.Notices:
 				if c.delivered {
 					t.Errorf("notice %+v, want that the message is delivered", n)
 				}
@@ -139,12 +139,12 @@
 				time.Sleep(10 * time.Millisecond)
 				return st.Status(200)(c, conn)
 			})
-			p := st.NewAgent(t, e.Addr)
+			agent := st.NewAgent(t, e.Addr)
 			state := t.TempDir()
 			edit := func(c *config.Config) {
 				c.State, c.Settings.MaxPendingMessages, c.Settings.OverloadWindow = state, 200, 2*time.Second
 			}
-			s := startSenderIn(t, OperatingSystem(), p, edit)
+			s := startSenderIn(t, OperatingSystem(), agent, edit)
 			for n := range int(3 * usualRate) {
 				st.Submit(t, s.addr, "usual"+strconv.Itoa(n), "safe", 0, 15*time.Second)
 				e.Next(t)
@@ -163,7 +163,7 @@
 				<-e.Calls
 			}
 			if restart {
-				s = startSenderIn(t, OperatingSystem(), p, edit)
+				s = startSenderIn(t, OperatingSystem(), agent, edit)
 			}
 			rules := s.config.Settings
 			time.Sleep(rules.OverloadWindow)
@@ -232,8 +232,8 @@
 func TestDuplicateIDAcrossARestartIsOneMessage(t *testing.T) {
 	t.Parallel()
 	hung, quick := st.NewEndpoint(t, st.Hang), st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, hung.Addr, quick.Addr)
-	s := startStoppable(t, p, nil)
+	agent := st.NewAgent(t, hung.Addr, quick.Addr)
+	s := startStoppable(t, agent, nil)
 	submitBoth := func(addr string) {
 		st.Submit(t, addr, "doubt", "unsafe", 0, 3*time.Second)
 		st.Submit(t, addr, "done", "unsafe", 1, 3*time.Second)
@@ -246,9 +246,9 @@
 	if err := st.Receive(t, s.done); err != nil {
 		t.Error(err)
 	}
-	next := startStoppable(t, p, func(c *config.Config) { c.State = s.upgrade.stateDir })
+	next := startStoppable(t, agent, func(c *config.Config) { c.State = s.upgrade.stateDir })
 	submitBoth(next.addr)
-	if n := st.Receive(t, p.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
+	if n := st.Receive(t, agent.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v, want that message doubt is given up", n)
 	}
 	submitBoth(next.addr) // the notice of doubt has been delivered, or is being delivered
@@ -268,10 +268,10 @@
 	t.Parallel()
 	const messageCount = 95
 	e := st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, e.Addr)
+	agent := st.NewAgent(t, e.Addr)
 	classes := []string{"safe", "keyed", "unsafe"}
 	began := time.Now()
-	s := newTestSender(t, p, func(c *config.Config) {
+	s := newTestSender(t, agent, func(c *config.Config) {
 		j := openJournal(t, c.State)
 		for i := range messageCount {
 			if _, err := j.Accept(journal.Record{
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -266,8 +266,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := st.NewEndpoint(t, st.Status(200))
-			p := st.NewAgent(t, e.Addr)
-			s := newStoppable(newTestSender(t, p, nil))
+			agent := st.NewAgent(t, e.Addr)
+			s := newStoppable(newTestSender(t, agent, nil))
 			s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 5*time.Second
 			dialing, releaseDial := make(chan struct{}, 1), make(chan struct{})
 			s.pool = s.newPool(func(string, string, syscall.RawConn) error {
@@ -305,7 +305,7 @@
 			if successor != nil {
 				return
 			}
-			startSender(t, p, func(c *config.Config) { c.State = s.upgrade.stateDir })
+			startSender(t, agent, func(c *config.Config) { c.State = s.upgrade.stateDir })
 			if c := e.Next(t); c.ID != "m" {
 				t.Errorf("the endpoint got %s, want m", c.ID)
 			}
--- a/internal/sender/start_test.go
+++ b/internal/sender/start_test.go
@@ -29,12 +29,12 @@
 	t.Run("the journal", func(t *testing.T) {
 		t.Parallel()
 		e := st.NewEndpoint(t, st.Status(200))
-		p := st.NewAgent(t)
+		agent := st.NewAgent(t)
 		state := t.TempDir()
-		first := startSenderIn(t, OperatingSystem(), p, func(c *config.Config) { c.State = state })
+		first := startSenderIn(t, OperatingSystem(), agent, func(c *config.Config) { c.State = state })
 		st.Submit(t, first.addr, "m", "unsafe", 0, 15*time.Second)
 		first.stop()
-		p.Change(st.Server("s-0", e.Addr, 0, "SERVING"))
+		agent.Change(st.Server("s-0", e.Addr, 0, "SERVING"))
 		env, failing := OperatingSystem(), fail("open", syscall.ENFILE)
 		env.Files = failingFiles{open: func(_ string, flag int) error {
 			if flag != os.O_RDONLY {
@@ -42,7 +42,7 @@
 			}
 			return failing()
 		}}
-		startSenderIn(t, env, p, func(c *config.Config) { c.State = state })
+		startSenderIn(t, env, agent, func(c *config.Config) { c.State = state })
 		if c := e.Next(t); c.ID != "m" {
 			t.Errorf("the endpoint got %+v, want m", c)
 		}
@@ -92,8 +92,8 @@
 	})
 	t.Run("the configuration", func(t *testing.T) {
 		t.Parallel()
-		p := st.NewAgent(t)
-		raw, err := json.Marshal(st.Config(p, t.TempDir()))
+		agent := st.NewAgent(t)
+		raw, err := json.Marshal(st.Config(agent, t.TempDir()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,7 +113,7 @@
 		if err != nil {
 			t.Errorf("loading the configuration: %v", err)
 		}
-		s := startSenderIn(t, env, p, nil)
+		s := startSenderIn(t, env, agent, nil)
 		failing = fail("open", syscall.EMFILE)
 		if err := s.Reload(context.Background(), getenv); err != nil {
 			t.Errorf("reloading the configuration: %v", err)
@@ -126,10 +126,10 @@
 func TestStartOnAFullDiskResumesNoEndedMessage(t *testing.T) {
 	t.Parallel()
 	good, hung := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Hang)
-	p := st.NewAgent(t, good.Addr, hung.Addr)
+	agent := st.NewAgent(t, good.Addr, hung.Addr)
 	state, admin := t.TempDir(), freeAddress(t)
 	edit := func(c *config.Config) { c.State, c.Admin, c.Settings.MaxPendingMessages = state, admin, 2 }
-	first := startSenderIn(t, OperatingSystem(), p, edit)
+	first := startSenderIn(t, OperatingSystem(), agent, edit)
 	for _, id := range []string{"safe", "unsafe"} {
 		st.Submit(t, first.addr, id, id, 0, 15*time.Second)
 		good.Next(t)
@@ -143,7 +143,7 @@
 	}
 	first.stop()
 
-	p.Change(st.Server("s-2", good.Addr, 5, "SERVING"))
+	agent.Change(st.Server("s-2", good.Addr, 5, "SERVING"))
 	var failing atomic.Bool
 	failing.Store(true)
 	env := OperatingSystem()
@@ -153,14 +153,14 @@
 		}
 		return nil
 	}}
-	startSenderIn(t, env, p, edit)
+	startSenderIn(t, env, agent, edit)
 	time.Sleep(300 * time.Millisecond)
 	failing.Store(false)
 	for until := time.After(time.Second); ; {
 		select {
 		case c := <-good.Calls:
 			t.Errorf("message %s has ended, and is sent again with the body %q", c.ID, c.Body)
-		case n := <-p.Notices:
+		case n := <-agent.Notices:
 			if n.Message != "out" {
 				t.Errorf("notice of a message that had ended already: %+v", n)
 			}
@@ -175,8 +175,8 @@
 func TestShutdownRequestedBeforeTheStart(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Hang)
-	p := st.NewAgent(t, e.Addr)
-	s := newTestSender(t, p, func(c *config.Config) {
+	agent := st.NewAgent(t, e.Addr)
+	s := newTestSender(t, agent, func(c *config.Config) {
 		j := openJournal(t, c.State)
 		deadline := clock.New(time.Now()).Now() + time.Minute
 		record := journal.Record{ID: "m", Class: "unsafe", Tenant: "acme", Deadline: deadline}
@@ -198,7 +198,7 @@
 		t.Errorf("the next process finds the message %+v, want m without attempts", m)
 	}
 	_ = j.Close()
-	startSender(t, p, func(c *config.Config) { c.State = s.upgrade.stateDir })
+	startSender(t, agent, func(c *config.Config) { c.State = s.upgrade.stateDir })
 	if c := e.Next(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s, want m", c.ID)
 	}
--- a/internal/sender/successorloss_test.go
+++ b/internal/sender/successorloss_test.go
@@ -19,10 +19,10 @@
 	t.Parallel()
 	release := make(chan struct{})
 	slow, quick := st.NewEndpoint(t, answerAfter(release)), st.NewEndpoint(t, st.Status(200))
-	p := st.NewAgent(t, slow.Addr, quick.Addr)
+	agent := st.NewAgent(t, slow.Addr, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
-	admin, _ := startProcess(t, p, state, listen)
+	admin, _ := startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
 	slow.Next(t)
 	for n := range 2 {
@@ -68,12 +68,12 @@
 					<-release
 					return c.answer(call, conn)
 				})
-				p := st.NewAgent(t, e.Addr)
+				agent := st.NewAgent(t, e.Addr)
 				state := t.TempDir()
 				addr, listen := platformSocket(t)
 				var admin string
 				for n := range processes {
-					admin, _ = startProcess(t, p, state, listen)
+					admin, _ = startProcess(t, agent, state, listen)
 					if n == 0 {
 						st.Submit(t, addr, "m", "unsafe", 0, 15*time.Second)
 						e.Next(t)
