--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares texts with files that an earlier release wrote. Tests of the formats that outlive a release
-// use it; nothing rewrites the files.
+// Package golden compares texts with files that an earlier release wrote. The tests of formats that later releases have
+// to read as well use it. Nothing rewrites the files.
 package golden
 
 import (
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// Compare fails the test where a text differs from a file under testdata, with each line that does.
+// Compare compares a text with the file of a name under testdata. It reports each line that differs as a failure of the
+// test.
 func Compare(t testing.TB, name, got string) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", filepath.FromSlash(name)))
@@ -27,7 +28,7 @@
 	}
 }
 
-// lineAt is a line by its index, empty behind the last one.
+// lineAt returns the line with an index, or the empty string past the last line.
 func lineAt(lines []string, index int) string {
 	if index < len(lines) {
 		return lines[index]
--- a/internal/sendertest/agent.go
+++ b/internal/sendertest/agent.go
@@ -13,29 +13,31 @@
 	"time"
 )
 
-// Notice is the final outcome of a message, as discovery received it.
+// Notice is the final outcome of a message, as the agent received it.
 type Notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS int64  `json:"retry_in_ms"`
 }
 
-// Agent is discovery on the sender's machine: the endpoint list, its watches and the notices.
+// Agent stands in for the platform's agent on the sender's machine. It serves the endpoint list to polls and watches
+// (requests that wait for the next change), and accepts notices.
 type Agent struct {
 	Addr         string
-	Notices      chan Notice
-	ListRequests chan string // the query of each request for the list
+	Notices      chan Notice // each notice that was accepted
+	ListRequests chan string // the URL query of each request for the list
 
 	mu             sync.Mutex
 	version        int
-	servers        []map[string]any
-	changed        chan struct{} // closed when something changes
-	down           bool          // requests for the list are answered 503
-	rejectsNotices bool          // notices are answered 503
-	losses         int           // watches that began before the last loss are never answered
+	servers        []map[string]any // the lines of the endpoint list
+	changed        chan struct{}    // closed and replaced when the list or the agent's behaviour changes
+	down           bool             // requests for the list are answered with 503
+	rejectsNotices bool             // notices are answered with 503
+	watchLosses    int              // watches that began before the last loss are never answered
 }
 
-// NewAgent starts discovery with a list of endpoints: that at index i is for destination i.
+// NewAgent starts an agent whose list has one endpoint for each address. The endpoint at index i belongs to destination
+// i.
 func NewAgent(t testing.TB, addrs ...string) *Agent {
 	a := &Agent{
 		Notices:      make(chan Notice, queueSize),
@@ -58,7 +60,7 @@
 	return a
 }
 
-// Server is a line of the endpoint list.
+// Server returns a line of the endpoint list.
 func Server(id, addr string, destination int, state string) map[string]any {
 	return map[string]any{
 		"id":         id,
@@ -72,14 +74,14 @@
 	}
 }
 
-// Known is the list as a configuration holds it.
+// Known returns the current list in the form of a configuration's "known" section.
 func (a *Agent) Known() map[string]any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return map[string]any{"version": a.version, "full": true, "servers": a.servers}
 }
 
-// Change adds a line, or replaces that of the same endpoint, and answers the watches.
+// Change adds a line to the list, or replaces the line of the same endpoint, and answers the open watches.
 func (a *Agent) Change(line map[string]any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -94,12 +96,13 @@
 	a.wakeWatches()
 }
 
+// wakeWatches makes all open requests for the list look at the agent's state again. Callers hold the mutex.
 func (a *Agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// SetDown makes requests for the list fail, open watches too, or lets them work again.
+// SetDown makes requests for the list fail, including the open watches, or makes them succeed again.
 func (a *Agent) SetDown(down bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,22 +110,22 @@
 	a.wakeWatches()
 }
 
-// LoseWatches leaves the open watches unanswered for good, with their connections open.
+// LoseWatches makes the agent never answer the watches that are open now. Their connections stay open.
 func (a *Agent) LoseWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.losses++
+	a.watchLosses++
 	a.wakeWatches()
 }
 
-// RejectNotices makes notices fail, or lets them work again.
+// RejectNotices makes notices fail, or makes them succeed again.
 func (a *Agent) RejectNotices(rejects bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rejectsNotices = rejects
 }
 
-// handleList answers a request for the list: a poll at once, a watch when something has changed or its time is up.
+// handleList answers a request for the list: a poll at once, a watch when the list has changed or the watch times out.
 func (a *Agent) handleList(w http.ResponseWriter, r *http.Request) {
 	a.ListRequests <- r.URL.RawQuery
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
@@ -130,11 +133,11 @@
 	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	a.mu.Lock()
-	began := a.losses
+	lossesAtStart := a.watchLosses
 	a.mu.Unlock()
 	for {
 		a.mu.Lock()
-		version, changed, down, lost := a.version, a.changed, a.down, a.losses != began
+		version, changed, down, lost := a.version, a.changed, a.down, a.watchLosses != lossesAtStart
 		list, _ := json.Marshal(map[string]any{"version": a.version, "full": true, "servers": a.servers})
 		a.mu.Unlock()
 		switch {
@@ -145,14 +148,14 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		case isPoll || version > after:
-			_, _ = w.Write(list) // fails only if the sender has gone
+			_, _ = w.Write(list) // fails only if the sender has closed the connection
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
 			unchanged := map[string]any{"version": after, "full": false, "servers": []any{}}
-			_ = json.NewEncoder(w).Encode(unchanged) // fails only if the sender has gone
+			_ = json.NewEncoder(w).Encode(unchanged) // fails only if the sender has closed the connection
 			return
 		case <-r.Context().Done():
 			return
@@ -160,7 +163,7 @@
 	}
 }
 
-// handleNotices accepts notices, one JSON value each.
+// handleNotices accepts a request with any number of notices, one JSON value each.
 func (a *Agent) handleNotices(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	rejects := a.rejectsNotices
@@ -171,8 +174,8 @@
 	}
 	decoder := json.NewDecoder(r.Body)
 	for {
-		var n Notice
-		err := decoder.Decode(&n)
+		var notice Notice
+		err := decoder.Decode(&notice)
 		if errors.Is(err, io.EOF) {
 			break
 		}
@@ -180,7 +183,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		a.Notices <- n
+		a.Notices <- notice
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/sendertest/client.go
+++ b/internal/sendertest/client.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Request is a request that submits a message.
+// Request returns a request that submits a message of tenant "acme" to the sender at addr. Its idempotency key is
+// derived from the message's ID.
 func Request(t testing.TB, addr, id, class string, destination int, deadline time.Duration, body string) *http.Request {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+addr+"/api", strings.NewReader(body))
@@ -29,19 +30,19 @@
 	return request
 }
 
-// Response is an answer whose body has been read.
+// Response is a sender's response to a client. The body has been read already, and Do returns it separately.
 type Response struct {
 	Status     string
 	StatusCode int
 	Header     http.Header
-	Close      bool // the connection ends with it
+	Close      bool // the response announces that the connection is closed after it
 }
 
-// client has a transport of its own: the end of any httptest.Server closes the idle connections of the default one,
-// also under a request that has just taken one.
+// client has a transport of its own, because closing any httptest.Server closes the idle connections of the default
+// transport, including a connection that another request has just picked for reuse. That request would fail.
 var client = &http.Client{Transport: &http.Transport{}}
 
-// Do makes a request and returns the answer and its body.
+// Do sends a request and returns the response and its body. It fails the test if there is no complete response.
 func Do(t testing.TB, request *http.Request) (*Response, string) {
 	t.Helper()
 	response, err := client.Do(request)
@@ -61,11 +62,11 @@
 	}, string(body)
 }
 
-// Submit submits a message, and fails the test if it is not accepted.
+// Submit submits a message with the body "body of ID". It fails the test if the sender does not accept the message.
 func Submit(t testing.TB, addr, id, class string, destination int, deadline time.Duration) {
 	t.Helper()
 	request := Request(t, addr, id, class, destination, deadline, "body of "+id)
 	if response, body := Do(t, request); response.StatusCode != http.StatusAccepted {
-		t.Fatalf("%s is answered %s: %s", id, response.Status, body)
+		t.Fatalf("message %s was not accepted: %s: %s", id, response.Status, body)
 	}
 }
--- a/internal/sendertest/config.go
+++ b/internal/sendertest/config.go
@@ -1,7 +1,7 @@
 package sendertest
 
-// Config is a sender's configuration: classes "safe", "keyed" and "unsafe", one tenant "acme", at most ten calls in
-// flight.
+// Config returns a sender's configuration with the classes "safe", "keyed" and "unsafe", one tenant "acme", at most ten
+// calls in flight, and the agent's current endpoint list. Tests change single values of the returned map.
 func Config(a *Agent, statePath string) map[string]any {
 	return map[string]any{
 		"name":      "n0",
@@ -15,7 +15,7 @@
 	}
 }
 
-// settings are the settings in a configuration.
+// settings returns the "settings" section of a configuration.
 func settings() map[string]any {
 	return map[string]any{
 		"balancers": 1,
@@ -55,7 +55,7 @@
 	}
 }
 
-// classSettings are the settings of one class.
+// classSettings returns the settings of one class.
 func classSettings(name, effect string) map[string]any {
 	return map[string]any{
 		"name":        name,
--- a/internal/sendertest/endpoint.go
+++ b/internal/sendertest/endpoint.go
@@ -11,54 +11,55 @@
 	"testing"
 )
 
-// Call is a request as an endpoint received it.
+// Call is an HTTP request as an endpoint received it.
 type Call struct {
-	ID     string // X-Request-Id
-	Key    string // Idempotency-Key
+	ID     string // the header X-Request-Id
+	Key    string // the header Idempotency-Key
 	Body   string
 	Header http.Header
-	Conn   int // the number of the connection on which it came, from 1
+	Conn   int // the number of the connection that carried the call, in order of acceptance, from 1
 	Path   string
 }
 
-// batchPath is the path of calls with several messages.
+// batchPath is the path of calls that carry a batch of messages.
 const batchPath = "/hook/batch"
 
-// Entry is a message of a batch.
+// Entry is one message of a batch.
 type Entry struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Body []byte `json:"body"`
 }
 
-// Entries reads the messages of a batch, and fails the test for a call that is none.
+// Entries returns the messages of a batch. It fails the test if the call does not carry a batch.
 func (c Call) Entries(t testing.TB) []Entry {
 	t.Helper()
 	var entries []Entry
 	if err := json.Unmarshal([]byte(c.Body), &entries); c.Path != batchPath || err != nil {
-		t.Fatalf("%s is no batch: %v %q", c.Path, err, c.Body)
+		t.Fatalf("call to %s does not carry a batch: %v, body %q", c.Path, err, c.Body)
 	}
 	return entries
 }
 
-// Answer is the script of an endpoint. It gets each whole call and the connection to answer on; if it reports false,
-// the connection is closed without more.
-type Answer func(call Call, conn net.Conn) (goesOn bool)
+// Answer is the script of an endpoint: the function that answers its calls. It receives each call, once that has been
+// read completely, and the connection to answer on. It reports whether the endpoint reads a further call from the
+// connection; otherwise the endpoint closes the connection.
+type Answer func(call Call, conn net.Conn) (keepOpen bool)
 
-// Endpoint is an endpoint of a destination.
+// Endpoint stands in for an endpoint of a destination.
 type Endpoint struct {
 	Addr  string
-	Calls chan Call
+	Calls chan Call // each call, sent before the script answers it
 
-	listener net.Listener
-	accepted chan struct{} // closed when no more connections are accepted
+	listener   net.Listener
+	acceptDone chan struct{} // closed when no more connections are accepted
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// NewEndpoint starts an endpoint. Its connections end with the test; a script that waits for anything else has to be
-// released by the test.
+// NewEndpoint starts an endpoint that answers calls by a script. Its connections are closed when the test ends. A
+// script that waits for anything but its connection has to be released by the test.
 func NewEndpoint(t testing.TB, answer Answer) *Endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,17 +67,17 @@
 		t.Fatal(err)
 	}
 	e := &Endpoint{
-		Addr:     listener.Addr().String(),
-		Calls:    make(chan Call, queueSize),
-		listener: listener,
-		accepted: make(chan struct{}),
+		Addr:       listener.Addr().String(),
+		Calls:      make(chan Call, queueSize),
+		listener:   listener,
+		acceptDone: make(chan struct{}),
 	}
 	t.Cleanup(e.close)
 	go e.accept(answer)
 	return e
 }
 
-// close ends the listener and all connections.
+// close closes the listener and all connections, and waits until accept has returned.
 func (e *Endpoint) close() {
 	_ = e.listener.Close()
 	e.mu.Lock()
@@ -84,13 +85,13 @@
 		_ = conn.Close()
 	}
 	e.mu.Unlock()
-	<-e.accepted
+	<-e.acceptDone
 }
 
 // accept serves each connection in a goroutine of its own until the listener is closed.
 func (e *Endpoint) accept(answer Answer) {
-	defer close(e.accepted)
-	for number := 1; ; number++ {
+	defer close(e.acceptDone)
+	for connNumber := 1; ; connNumber++ {
 		conn, err := e.listener.Accept()
 		if err != nil {
 			return
@@ -98,12 +99,12 @@
 		e.mu.Lock()
 		e.conns = append(e.conns, conn)
 		e.mu.Unlock()
-		go e.serve(conn, number, answer)
+		go e.serve(conn, connNumber, answer)
 	}
 }
 
 // serve answers the calls of one connection, one after another.
-func (e *Endpoint) serve(conn net.Conn, number int, answer Answer) {
+func (e *Endpoint) serve(conn net.Conn, connNumber int, answer Answer) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -120,7 +121,7 @@
 			Key:    request.Header.Get("Idempotency-Key"),
 			Body:   string(body),
 			Header: request.Header,
-			Conn:   number,
+			Conn:   connNumber,
 			Path:   request.URL.Path,
 		}
 		e.Calls <- call
@@ -130,18 +131,18 @@
 	}
 }
 
-// Next waits for the next call.
+// Next returns the next call that the endpoint receives. It fails the test if none arrives within Timeout.
 func (e *Endpoint) Next(t testing.TB) Call {
 	t.Helper()
 	return Receive(t, e.Calls)
 }
 
-// Status is a script that gives every call one answer without a body, with further header lines.
+// Status returns a script that answers every call with a status and no body. headerLines are added to the response.
 func Status(code int, headerLines ...string) func(Call, net.Conn) bool {
 	return Text(code, "", headerLines...)
 }
 
-// Text is a script that gives every call one answer with a body, with further header lines.
+// Text returns a script that answers every call with a status and a body. headerLines are added to the response.
 func Text(code int, body string, headerLines ...string) func(Call, net.Conn) bool {
 	text := "HTTP/1.1 " + strconv.Itoa(code) + " X\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	for _, line := range headerLines {
@@ -154,14 +155,14 @@
 	}
 }
 
-// Hang is a script that answers nothing and keeps the connection until its other side closes it.
+// Hang is a script that answers no call and keeps the connection open until the peer closes it.
 func Hang(_ Call, conn net.Conn) bool {
-	_, _ = io.Copy(io.Discard, conn) // any end will do
+	_, _ = io.Copy(io.Discard, conn) // the way in which the connection ends does not matter
 	return false
 }
 
 // Reset is a script that resets the connection.
 func Reset(_ Call, conn net.Conn) bool {
-	_ = conn.(*net.TCPConn).SetLinger(0) // fails only if the connection has ended
+	_ = conn.(*net.TCPConn).SetLinger(0) // fails only if the connection is closed already
 	return false
 }
