--- a/internal/emulator/admin.go
+++ b/internal/emulator/admin.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-const adminTimeout = 2 * time.Second // of one call
+const adminTimeout = 2 * time.Second // for one admin command and its answer
 
-// isHealthy reports whether a process says at the admin address that it serves.
+// isHealthy reports whether the process answers the admin command HEALTH with ok.
 func (i *instance) isHealthy() bool {
 	reply, err := callAdmin(i.adminAddr, "HEALTH")
 	return err == nil && reply == "ok\n"
 }
 
-// Metrics reads the figures that the process reports of itself.
+// Metrics returns the metrics that the current process reports at its admin address.
 func (p *Process) Metrics() (map[string]int, error) {
 	text, err := callAdmin(p.current().adminAddr, "DUMP")
 	if err != nil {
@@ -33,17 +33,17 @@
 	return metrics, nil
 }
 
-// callAdmin makes one call at an admin address.
-func callAdmin(addr, call string) (string, error) {
+// callAdmin sends one command to an admin address and returns the answer.
+func callAdmin(addr, command string) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer conn.Close()
 	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
-		return "", fmt.Errorf("admin call %s: %w", call, err)
+		return "", fmt.Errorf("admin command %s: %w", command, err)
 	}
-	if _, err := io.WriteString(conn, call+"\n"); err != nil {
+	if _, err := io.WriteString(conn, command+"\n"); err != nil {
 		return "", err
 	}
 	reply, err := io.ReadAll(conn)
--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -12,37 +12,42 @@
 )
 
 const (
-	// polledListBinds is how long after the agent knows a change that is not pushed it binds at the latest.
-	polledListBinds = 6 * time.Second
-	// movedListBinds is how long after a move of discovery's address changes bind at the earliest.
-	movedListBinds = 4 * time.Second
-	// oldAddressLinger is how long after a move the open connections at the old address are closed.
+	// polledChangeTimeout is the longest time after which a change takes effect for a sender that polls its list,
+	// counted from when the agent knows the change.
+	polledChangeTimeout = 6 * time.Second
+	// addressMoveGrace is the time after a move of the agent's address during which changes do not take effect yet.
+	// They take effect at its end.
+	addressMoveGrace = 4 * time.Second
+	// oldAddressLinger is how long connections to the agent's old address stay open after a move.
 	oldAddressLinger = 1500 * time.Millisecond
-	// maxWatchMS is the longest time, in milliseconds, for which a watch stays open, whatever it asks for.
+	// maxWatchMS is the longest time, in milliseconds, for which a watch stays open, even if it asks for a longer one.
 	maxWatchMS = 60_000
 )
 
-// Agent is discovery on one sender's machine. While it is silent it answers no request for the list and learns
-// nothing, and requests that are open meanwhile stay unanswered when it answers again. It accepts notices at any time.
+// Agent stands in for the platform's agent on one sender's machine, which serves the endpoint list and accepts notices.
+// While it is silent, it answers no request for the list and learns of no change. Requests that are open during a
+// silence stay unanswered after it. The agent accepts notices at any time.
+//
+// A change takes effect for a sender when the invariants require the sender to honour it.
 type Agent struct {
 	history *History
 	sender  int
-	// pollsEndpointList says that the list is not pushed: a change binds when a poll is answered with it, and at the
-	// latest polledListBinds after the agent knows it.
+	// pollsEndpointList is set if the sender polls the list, which is not pushed to it. A change takes effect then when
+	// a poll is answered with it, and at the latest polledChangeTimeout after the agent knows it.
 	pollsEndpointList bool
 
-	mu              sync.Mutex
-	servers         []Server // in the order in which they were added
-	changedVersions []int    // of each server: the version of its last change
-	version         int
-	movedUntil      time.Duration // what changes before then binds then, as the agent's address has moved
-	wake            chan struct{} // closed when something changes
-	silent          bool
-	missedChanges   []Server // those that come while it is silent
-	watchLosses     int      // requests that began before the last loss are never answered
+	mu                  sync.Mutex
+	servers             []Server // in the order in which they were added
+	changedVersions     []int    // of each server: the list's version at its last change
+	version             int
+	addressMoveGraceEnd time.Duration // changes before this time take effect at it, as the agent's address has moved
+	wake                chan struct{} // closed and replaced when the list or the agent's behaviour changes
+	silent              bool
+	missedChanges       []Server // changes that happened while the agent was silent
+	watchLosses         int      // requests that began before the last loss are never answered
 }
 
-// NewAgent makes an agent that has a list from the start on.
+// NewAgent returns an agent whose list holds some servers, as version 1. It serves no address before Listen.
 func NewAgent(h *History, sender int, pollsEndpointList bool, servers []Server) *Agent {
 	a := &Agent{
 		history:           h,
@@ -57,19 +62,19 @@
 	return a
 }
 
-// agentAddress is an address at which an agent is served. It owns the server's goroutine and the timer of its end.
-type agentAddress struct {
+// agentServer serves an agent at one address. It owns the server's goroutine and the timer that closes its connections.
+type agentServer struct {
 	addr     string
 	listener net.Listener
 	server   *http.Server
 	served   chan struct{} // closed when the server has stopped accepting connections
 
-	mu     sync.Mutex
-	linger *time.Timer // closes the open connections; nil before the address is retired
+	mu         sync.Mutex
+	closeTimer *time.Timer // closes the open connections; nil before retire is called
 }
 
-// Listen serves at an address of its own on host, beside those that the agent has.
-func (a *Agent) Listen(host string) (*agentAddress, error) {
+// Listen starts serving the agent at a further address on host. The agent's earlier addresses keep working.
+func (a *Agent) Listen(host string) (*agentServer, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
@@ -77,46 +82,46 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", a.handleList)
 	mux.HandleFunc("POST /v1/notices", a.handleNotices)
-	address := &agentAddress{
+	s := &agentServer{
 		addr:     listener.Addr().String(),
 		listener: listener,
 		server:   &http.Server{Handler: mux},
 		served:   make(chan struct{}),
 	}
 	go func() {
-		defer close(address.served)
-		_ = address.server.Serve(listener) // it ends when the listener is closed
+		defer close(s.served)
+		_ = s.server.Serve(listener) // returns an error whenever the listener is closed
 	}()
-	return address, nil
+	return s, nil
 }
 
-// retire accepts no new connection from now on, and closes the open ones a moment later.
-func (d *agentAddress) retire() {
-	closeQuietly(d.listener)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.linger = time.AfterFunc(oldAddressLinger, func() { closeQuietly(d.server) })
+// retire stops accepting connections at once, and closes the open ones after oldAddressLinger.
+func (s *agentServer) retire() {
+	closeQuietly(s.listener)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closeTimer = time.AfterFunc(oldAddressLinger, func() { closeQuietly(s.server) })
 }
 
-// close ends all connections and waits for the server.
-func (d *agentAddress) close() {
-	d.mu.Lock()
-	if d.linger != nil {
-		d.linger.Stop()
+// close closes all connections and waits until the server has stopped.
+func (s *agentServer) close() {
+	s.mu.Lock()
+	if s.closeTimer != nil {
+		s.closeTimer.Stop()
 	}
-	d.mu.Unlock()
-	closeQuietly(d.server)
-	<-d.served
+	s.mu.Unlock()
+	closeQuietly(s.server)
+	<-s.served
 }
 
-// Known is the list as it stands.
+// Known returns all lines of the current list.
 func (a *Agent) Known() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return List{Version: a.version, Full: true, Servers: append([]Server(nil), a.servers...)}
 }
 
-// Change adds or replaces a line of the list, at once or when the agent is no longer silent.
+// Change adds or replaces a line of the list. If the agent is silent, it does so when the silence ends.
 func (a *Agent) Change(s Server) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,15 +133,16 @@
 	a.wakeWatches()
 }
 
-// apply puts a line into the list.
+// apply adds or replaces a line of the list, and records from when on a drain or deletion has to be honoured. Callers
+// hold the mutex.
 func (a *Agent) apply(s Server) {
 	a.version++
 	if s.State != Serving {
-		binds := a.history.Now()
+		effectiveAt := a.history.Now()
 		if a.pollsEndpointList {
-			binds += polledListBinds
+			effectiveAt += polledChangeTimeout
 		}
-		a.recordDrain(s, max(binds, a.movedUntil))
+		a.recordDrain(s, max(effectiveAt, a.addressMoveGraceEnd))
 	}
 	for i := range a.servers {
 		if a.servers[i].ID == s.ID {
@@ -147,17 +153,19 @@
 	a.servers, a.changedVersions = append(a.servers, s), append(a.changedVersions, a.version)
 }
 
+// recordDrain records the time from which on the sender has to honour the drain or deletion of an endpoint.
 func (a *Agent) recordDrain(s Server, effectiveAt time.Duration) {
 	a.history.RecordListChange(ListChange{Sender: a.sender, Endpoint: s.ID, EffectiveAt: effectiveAt})
 }
 
+// wakeWatches makes all open requests for the list look at the agent's state again. Callers hold the mutex.
 func (a *Agent) wakeWatches() {
 	close(a.wake)
 	a.wake = make(chan struct{})
 }
 
-// SetSilent stops the agent from answering, or makes it answer again with every change that it has missed. Requests
-// that are open when it falls silent, or arrive while it is, are lost.
+// SetSilent makes the agent silent, or ends the silence and applies the changes that the agent has missed. Requests for
+// the list that are open when the silence begins, or arrive during it, are never answered.
 func (a *Agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -177,8 +185,8 @@
 	a.wakeWatches()
 }
 
-// LoseWatches leaves the open watches unanswered for good. What changes meanwhile binds at once all the same, as the
-// agent knows it.
+// LoseWatches makes the agent never answer the watches that are open now. Changes still take effect at once while the
+// sender waits for such a watch, as the agent knows them.
 func (a *Agent) LoseWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,17 +194,17 @@
 	a.wakeWatches()
 }
 
-// AddressMoved starts the time for which changes bind later, as the sender has to learn them at the new address.
-// Further moves in that time do not extend it.
+// AddressMoved starts the grace period in which changes do not take effect yet, because the sender has to learn them at
+// the agent's new address. Further moves in that period do not extend it.
 func (a *Agent) AddressMoved() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now := a.history.Now(); a.movedUntil < now {
-		a.movedUntil = now + movedListBinds
+	if now := a.history.Now(); a.addressMoveGraceEnd < now {
+		a.addressMoveGraceEnd = now + addressMoveGrace
 	}
 }
 
-// handleList answers a request for the list: a poll at once, a watch when something has changed or its time is up.
+// handleList answers a request for the list: a poll at once, a watch when the list has changed or the watch times out.
 func (a *Agent) handleList(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
 	full := err != nil
@@ -207,7 +215,7 @@
 	watchEnd := time.NewTimer(time.Duration(min(waitMS, maxWatchMS)) * time.Millisecond)
 	defer watchEnd.Stop()
 	a.mu.Lock()
-	began, silent := a.watchLosses, a.silent
+	lossesAtStart, silent := a.watchLosses, a.silent
 	a.mu.Unlock()
 	if silent {
 		<-r.Context().Done()
@@ -215,7 +223,7 @@
 	}
 	for timedOut := false; ; {
 		a.mu.Lock()
-		lost, wake := a.watchLosses != began, a.wake
+		lost, wake := a.watchLosses != lossesAtStart, a.wake
 		ready := full || a.version > after || timedOut
 		list := a.listSince(after, full)
 		a.mu.Unlock()
@@ -237,7 +245,8 @@
 	}
 }
 
-// listSince returns the full list, or the lines that changed after a version. Callers hold the mutex.
+// listSince returns the full list without deleted endpoints, or the lines that changed after a version. Callers hold
+// the mutex.
 func (a *Agent) listSince(after int, full bool) List {
 	list := List{Version: a.version, Full: full, Servers: []Server{}}
 	for i, s := range a.servers {
@@ -248,33 +257,33 @@
 	return list
 }
 
-// writeList answers a request for the list. What is written binds.
+// writeList answers a request for the list. For a sender that polls, the drains in the answer take effect now.
 func (a *Agent) writeList(w http.ResponseWriter, list List) {
 	for _, s := range list.Servers {
 		if a.pollsEndpointList && s.State != Serving {
 			a.recordDrain(s, a.history.Now())
 		}
 	}
-	_ = json.NewEncoder(w).Encode(list) // fails only if the sender has gone
+	_ = json.NewEncoder(w).Encode(list) // fails only if the sender has closed the connection
 }
 
-// handleNotices accepts notices, one JSON value each.
+// handleNotices accepts a request with any number of notices, one JSON value each.
 func (a *Agent) handleNotices(w http.ResponseWriter, r *http.Request) {
 	decoder := json.NewDecoder(r.Body)
 	for {
-		var n struct {
+		var notice struct {
 			Message string `json:"message"`
 			Outcome string `json:"outcome"`
 		}
-		err := decoder.Decode(&n)
+		err := decoder.Decode(&notice)
 		if errors.Is(err, io.EOF) {
 			break
 		}
-		if err != nil || n.Message == "" || n.Outcome == "" {
+		if err != nil || notice.Message == "" || notice.Outcome == "" {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		a.history.RecordNotice(Notice{ID: n.Message, Outcome: n.Outcome, Sender: a.sender})
+		a.history.RecordNotice(Notice{ID: notice.Message, Outcome: notice.Outcome, Sender: a.sender})
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/emulator/bad_peer.go
+++ b/internal/emulator/bad_peer.go
@@ -9,14 +9,14 @@
 
 const (
 	badPeerInterval    = 700 * time.Millisecond
-	badPeerReleaseTime = 3 * time.Second // a sender has to release a bad peer within this
-	badPeerPatience    = 4 * time.Second // a bad peer waits so long for it
+	badPeerReleaseTime = 3 * time.Second // a sender has to answer or disconnect a bad peer within this time
+	badPeerTimeout     = 4 * time.Second // a bad peer waits this long to be released, then it disconnects
 )
 
-// badPeerKinds are drawn from in this order.
+// badPeerKinds are the kinds of bad peers. A draw picks a kind by its index, so the order is part of what a seed means.
 var badPeerKinds = [...]string{"silent", "half head", "half body", "garbage"}
 
-// badPeerPayloads is what peers send that submit nothing.
+// badPeerPayloads holds what a bad peer of each kind sends.
 var badPeerPayloads = map[string]string{
 	"silent":    "",
 	"half head": "POST /api HTTP/1.1\r\nX-Request-",
@@ -25,7 +25,8 @@
 	"garbage": "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
 }
 
-// badPeer connects, sends something that is no request, and waits until it is released.
+// badPeer connects to the sender, sends a payload that is not a complete request, and waits until the sender releases
+// it, that is answers or closes the connection.
 func (c *Clients) badPeer() {
 	kind := badPeerKinds[c.drawIntN(len(badPeerKinds))]
 	conn, err := net.DialTimeout("tcp", c.addr, dialTimeout)
@@ -35,15 +36,15 @@
 	defer conn.Close()
 	peer := BadPeer{Sender: c.sender, Kind: kind, OpenedAt: c.history.Now()}
 	writeQuietly(conn, badPeerPayloads[kind])
-	if released := awaitRelease(conn, badPeerPatience); released {
+	if released := awaitRelease(conn, badPeerTimeout); released {
 		peer.ReleasedAt = c.history.Now()
 	}
 	c.history.RecordBadPeer(peer)
 }
 
-// awaitRelease reports whether the other side answers or ends a connection within a time.
-func awaitRelease(conn net.Conn, patience time.Duration) bool {
-	limitRead(conn, patience)
+// awaitRelease reports whether the peer answers or closes a connection before the timeout.
+func awaitRelease(conn net.Conn, timeout time.Duration) bool {
+	limitRead(conn, timeout)
 	_, err := conn.Read(make([]byte, 1))
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	fragmentPause     = 20 * time.Millisecond // between the parts of a request that comes in two
-	fragmentOneIn     = 8                     // requests come in two parts
-	retryOneIn        = 2                     // rejected messages are submitted again
-	maxRetries        = 2                     // of a rejected message
-	shortTimeoutOneIn = 12                    // messages have shortTimeout to be delivered
+	fragmentPause     = 20 * time.Millisecond // between the two parts of a request that is written in parts
+	fragmentOneIn     = 8                     // one in so many requests is written in two parts
+	retryOneIn        = 2                     // one in so many rejected messages is submitted again
+	maxRetries        = 2                     // of one rejected message
+	shortTimeoutOneIn = 12                    // one in so many messages has to be delivered within shortTimeout
 	shortTimeout      = 120 * time.Millisecond
-	idleReuseInterval = 150 * time.Millisecond
+	idleReuseInterval = 150 * time.Millisecond // between two rounds of messages on the idle connections
 	dialTimeout       = time.Second
 )
 
-// Clients submit messages to one sender, through a proxy, over persistent connections.
+// Clients stands in for the clients of one sender. They submit messages through a proxy, over persistent connections.
 type Clients struct {
 	history      *History
-	rules        Rules
+	parameters   Parameters
 	sender       int
 	addr         string
-	destinations []float64 // share of each in the messages
+	destinations []float64 // each destination's share of the messages
 	rate         float64   // messages per second
 
-	exchanges sync.WaitGroup // all goroutines of the clients
+	exchanges sync.WaitGroup // counts the goroutines of the clients
 
 	mu          sync.Mutex
-	accepted    chan struct{} // closed at the next answer that accepts a message; nil if nobody waits for it
+	accepted    chan struct{} // closed at the next answer that accepts a message; nil if nothing waits for it
 	rand        *rand.Rand
 	idle        []*clientConn
 	lastMessage int
@@ -49,15 +49,15 @@
 type clientConn struct {
 	net.Conn
 	reader  *bufio.Reader
-	isFresh bool // nothing has been answered on it yet
+	isFresh bool // no request has been answered on it yet
 }
 
-// NewClients prepares the clients of one sender.
-func NewClients(h *History, rules Rules, sender int, addr string, destinations []float64, rate float64,
+// NewClients returns the clients of one sender, which they reach at addr. They start no goroutine before Run.
+func NewClients(h *History, parameters Parameters, sender int, addr string, destinations []float64, rate float64,
 	seed uint64) *Clients {
 	return &Clients{
 		history:      h,
-		rules:        rules,
+		parameters:   parameters,
 		sender:       sender,
 		addr:         addr,
 		destinations: destinations,
@@ -66,7 +66,7 @@
 	}
 }
 
-// Run submits messages until the context ends, and waits for their answers.
+// Run submits messages and connects as bad peers until the context ends, and waits for the answers.
 func (c *Clients) Run(ctx context.Context) {
 	badPeers := time.NewTicker(badPeerInterval)
 	defer badPeers.Stop()
@@ -84,14 +84,14 @@
 	}
 }
 
-// Close waits for all exchanges and closes the idle connections.
+// Close waits until all goroutines of the clients have returned, and closes the idle connections.
 func (c *Clients) Close() {
 	c.exchanges.Wait()
 	c.closeIdle()
 }
 
-// UseIdleConnections submits a message on each connection that is open and idle, again and again until the context
-// ends.
+// UseIdleConnections submits as many messages as there are idle connections, again every idleReuseInterval until the
+// context ends.
 func (c *Clients) UseIdleConnections(ctx context.Context) {
 	for {
 		c.mu.Lock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// spawn does something in a goroutine that Close waits for.
+// spawn runs an exchange in a goroutine that Close waits for.
 func (c *Clients) spawn(exchange func()) {
 	c.exchanges.Add(1)
 	go func() {
@@ -118,23 +118,24 @@
 	}()
 }
 
-// chance draws whether something happens that happens once in so many times.
+// chance reports, by a draw, whether an event happens that has a probability of 1/oneIn.
 func (c *Clients) chance(oneIn int) bool { return c.drawIntN(oneIn) == 0 }
 
+// drawIntN draws a number from 0 to n-1.
 func (c *Clients) drawIntN(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rand.IntN(n)
 }
 
-// drawPause draws the time to the next message: arrivals are a Poisson process.
+// drawPause draws the time until the next message. The submissions are a Poisson process.
 func (c *Clients) drawPause() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(c.rand.ExpFloat64() / c.rate * float64(time.Second))
 }
 
-// drawSubmission makes a new message.
+// drawSubmission draws a new message.
 func (c *Clients) drawSubmission() Submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +159,8 @@
 	return s
 }
 
-// submit hands a message in, and some again after a rejection.
+// submit submits a message. After a rejection and the wait that it asks for, a draw decides whether the message is
+// submitted again, under a new ID and with the same key.
 func (c *Clients) submit(s Submission, retries int) {
 	a := c.exchange(s)
 	rejected := a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests
@@ -171,27 +173,28 @@
 	c.submit(s, retries+1)
 }
 
-// answer is what a client reads of a sender's answer; the zero value stands for none.
+// answer is a sender's answer to a client. The zero value means that there was no answer.
 type answer struct {
 	status     int
-	closes     bool // the connection ends with it
+	closes     bool // the sender closes the connection after it
 	retryAfter time.Duration
 }
 
 var errNotWritten = errors.New("the request could not be written completely")
 
-// exchange submits a message once. A request that races with the close of an idle connection is written once more.
+// exchange submits a message once. If an idle connection turns out to be closed, the request is written once more, on a
+// new connection.
 func (c *Clients) exchange(s Submission) answer {
 	for try := 0; ; try++ {
 		conn, err := c.acquire(try > 0)
 		if err != nil {
-			return answer{} // nobody listens: the message goes to no sender
+			return answer{} // no process listens, so the message reaches no sender
 		}
 		a, err := c.roundTrip(conn, s)
 		switch {
 		case err == nil:
 			c.history.RecordAnswer(s.ID, a.status)
-			c.noteAnswer(a.status)
+			c.signalAccepted(a.status)
 			if a.closes {
 				closeQuietly(conn)
 			} else {
@@ -213,7 +216,7 @@
 	}
 }
 
-// nextAccepted is closed at the next answer that accepts a message.
+// nextAccepted returns a channel that is closed at the next answer that accepts a message.
 func (c *Clients) nextAccepted() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,8 +226,8 @@
 	return c.accepted
 }
 
-// noteAnswer wakes those who wait for an accepted message.
-func (c *Clients) noteAnswer(status int) {
+// signalAccepted wakes the goroutines that wait for an accepted message, if the status accepts one.
+func (c *Clients) signalAccepted(status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.accepted != nil && status == http.StatusAccepted {
@@ -233,10 +236,10 @@
 	}
 }
 
-// messageBody is the body of a message.
+// messageBody returns the body of a message.
 func messageBody(s Submission) string { return "body of " + s.Key }
 
-// requestText is the request that submits a message.
+// requestText returns the HTTP request that submits a message.
 func requestText(s Submission, body string) string {
 	text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: backend.local\r\n"+
 		"X-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\nContent-Length: %d\r\nX-Addressing: dest=%d\r\n",
@@ -247,7 +250,7 @@
 	return text + "\r\n" + body
 }
 
-// roundTrip writes a request, some in two parts, and reads its answer.
+// roundTrip writes a request and reads the answer. It writes one in fragmentOneIn requests in two parts.
 func (c *Clients) roundTrip(conn *clientConn, s Submission) (answer, error) {
 	text := requestText(s, messageBody(s))
 	if c.chance(fragmentOneIn) {
@@ -263,7 +266,7 @@
 	if _, err := io.WriteString(conn, text); err != nil {
 		return answer{}, errNotWritten
 	}
-	limitRead(conn, c.rules.AnswerTimeout)
+	limitRead(conn, c.parameters.AnswerTimeout)
 	response, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		return answer{}, err
@@ -279,7 +282,7 @@
 	return a, nil
 }
 
-// acquire returns an idle connection, or opens one; it always opens one if the connection has to be fresh.
+// acquire returns an idle connection, or opens a new one if there is none or the connection has to be fresh.
 func (c *Clients) acquire(fresh bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
@@ -304,6 +307,7 @@
 	c.idle = append(c.idle, conn)
 }
 
+// closeIdle closes the idle connections.
 func (c *Clients) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/connection_flood.go
+++ b/internal/emulator/connection_flood.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// A connection flood is clients that connect and then idle, or stop in the middle of a request: more of them than the
-// sender has descriptors.
+// In a connection flood, clients open connections and then stay idle or stop in the middle of a request. They are more
+// than the sender has descriptors.
 const (
 	floodSize             = 640                    // connections; a sender has 512 descriptors
-	floodConnectInterval  = time.Millisecond       // between two of them
-	floodReconnectPause   = 200 * time.Millisecond // before one that was released connects again
-	floodJudgedOneIn      = 8                      // connections are judged as bad peers
-	floodHalfRequestOneIn = 4                      // connections stop in the middle of a request
+	floodConnectInterval  = time.Millisecond       // between the first attempts of two connections
+	floodReconnectPause   = 200 * time.Millisecond // before a connection that was closed is opened again
+	floodCheckedOneIn     = 8                      // one in so many connections is recorded as a bad peer
+	floodHalfRequestOneIn = 4                      // one in so many connections stops in the middle of a request
 )
 
-// flood holds floodSize connections to the sender's own address open until a time.
+// flood keeps floodSize connections to the sender's own address open until a time. It opens those again that the sender
+// closes.
 func (c *Clients) flood(addr string, until time.Duration) {
 	var connections sync.WaitGroup
 	for n := range floodSize {
@@ -25,7 +26,7 @@
 			defer connections.Done()
 			time.Sleep(time.Duration(n) * floodConnectInterval)
 			for c.history.Now() < until {
-				c.floodConnection(addr, until, n)
+				c.runFloodConnection(addr, until, n)
 				time.Sleep(floodReconnectPause)
 			}
 		}()
@@ -33,8 +34,9 @@
 	connections.Wait()
 }
 
-// floodConnection is one connection of a flood.
-func (c *Clients) floodConnection(addr string, until time.Duration, n int) {
+// runFloodConnection opens one connection of a flood and keeps it open until the sender releases it, the flood ends or
+// badPeerTimeout is over.
+func (c *Clients) runFloodConnection(addr string, until time.Duration, n int) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return
@@ -44,12 +46,12 @@
 	if n%floodHalfRequestOneIn == 0 {
 		writeQuietly(conn, badPeerPayloads["half head"])
 	}
-	released := awaitRelease(conn, min(until-c.history.Now(), badPeerPatience))
+	released := awaitRelease(conn, min(until-c.history.Now(), badPeerTimeout))
 	if released {
 		peer.ReleasedAt = c.history.Now()
 	}
-	// A peer that leaves before the sender's time to release it is up proves nothing about the sender.
-	if n%floodJudgedOneIn == 0 && (released || c.history.Now()-peer.OpenedAt >= badPeerPatience) {
+	// A peer that disconnects while the sender still has time to release it shows nothing about the sender.
+	if n%floodCheckedOneIn == 0 && (released || c.history.Now()-peer.OpenedAt >= badPeerTimeout) {
 		c.history.RecordBadPeer(peer)
 	}
 }
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -11,35 +11,38 @@
 
 const (
 	endpointsPerDestination = 2
-	capacityMultiple        = 2.0 // a destination's capacity over its mean traffic
+	capacityMultiple        = 2.0 // ratio of a destination's capacity to its mean traffic
 	batchDestinationEvery   = 3   // every third destination accepts batches
 	clientPort              = "8080"
 	adminPort               = "9090"
 	zone                    = "a"
 
-	// The kinds of endpoints, as settings and endpoint lists call them.
+	// The kinds of endpoints, as named in settings and endpoint lists.
 	plainKind = "plain"
 	batchKind = "shared"
 
-	startLeadTime = time.Second // from the start of the processes to the begin of the run's time
+	startLeadTime = time.Second // from the start of the processes until the run's clock is at 0
 )
 
-// runCount counts the runs of this program.
+// runCount counts the runs that this program has started.
 var runCount atomic.Uint32
 
-// loopbackAddress is a loopback address of this program and run, for one host of the emulated deployment.
+// loopbackAddress returns the loopback address of one emulated host. It depends on the process ID and the run's number,
+// so that programs and runs at the same time use different addresses.
 func loopbackAddress(run uint32, host int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%254, 1+run%254, host)
 }
 
-// senderHost is an address for one sender that no other has, of this run or of another one beside it. A sender comes
-// back under its address, so its port may not be one that others are given meanwhile.
+// senderHost returns the address of one sender, which no other sender has, neither in this run nor in another run at
+// the same time. A sender listens at the same port again after a restart, so nothing else may be given that port
+// meanwhile.
 func senderHost(run uint32, sender int) string { return loopbackAddress(run, 1+sender%253) }
 
-// standInHost is where the stand-ins of a run listen: no other run reaches them by a port that was its own before.
+// standInHost returns the address at which the stand-ins of a run listen. No other run uses it, so none of their
+// connections to a port that they used before can reach these stand-ins.
 func standInHost(run uint32) string { return loopbackAddress(run, 254) }
 
-// zipfShares is the share of the traffic that each of some destinations gets, by Zipf's law.
+// zipfShares returns the share of the traffic that each of n destinations gets, by Zipf's law.
 func zipfShares(n int) []float64 {
 	shares, sum := make([]float64, n), 0.0
 	for i := range shares {
@@ -52,9 +55,10 @@
 	return shares
 }
 
-// rateOf is how many messages a second the clients of a sender submit: from half to one and a half of the mean.
-func (r *runner) rateOf(sender int) float64 { return r.Rate * (0.5 + float64(sender%4)/3) }
+// clientRate returns how many messages per second the clients of a sender submit: between 0.5 and 1.5 times the mean.
+func (r *runner) clientRate(sender int) float64 { return r.Rate * (0.5 + float64(sender%4)/3) }
 
+// kindOf returns the kind of a destination's endpoints.
 func kindOf(destination int) string {
 	if destination%batchDestinationEvery == 0 {
 		return batchKind
@@ -62,14 +66,14 @@
 	return plainKind
 }
 
-// serverLine is the line of the endpoint list for an endpoint that a sender reaches at an address.
+// serverLine returns the endpoint list's line for an endpoint that a sender reaches at addr.
 func serverLine(id, addr string, destination int, state string) Server {
 	return Server{ID: id, Addr: addr, Zone: zone, Kind: kindOf(destination), Cell: destination, State: state, Weight: 1}
 }
 
-// build starts the endpoints and, for each sender, its links to them, its agent and its clients' link. The senders
-// themselves are started by startSenders.
-func (r *runner) build() error {
+// startStandIns starts the endpoints and, for each sender, its links to them, its agent and its clients' link. It also
+// prepares the senders' processes, which startSenders starts.
+func (r *runner) startStandIns() error {
 	r.trafficShares = zipfShares(r.Destinations)
 	lists := make([][]Server, r.Senders)
 	for destination := range r.Destinations {
@@ -91,7 +95,8 @@
 	return nil
 }
 
-// addEndpoint starts an endpoint with its links and returns its line of each sender's list.
+// addEndpoint starts an endpoint and a link to it for each sender. It returns the endpoint's line in each sender's
+// list.
 func (r *runner) addEndpoint(id string, destination int) ([]Server, error) {
 	e, err := NewEndpoint(r.host, r.history, EndpointSpec{
 		ID:          id,
@@ -122,17 +127,17 @@
 	return servers, nil
 }
 
-// addSender prepares a sender with its agent and its clients.
+// addSender starts the agent and the clients' link of a sender, and prepares its process and its clients.
 func (r *runner) addSender(number int, list []Server) error {
 	agent := NewAgent(r.history, number, r.PollsEndpointList, list)
-	address, err := agent.Listen(r.host)
+	server, err := agent.Listen(r.host)
 	if err != nil {
 		return err
 	}
-	r.addCloser(address.close)
-	r.agentAddresses = append(r.agentAddresses, address)
+	r.addCloser(server.close)
+	r.agentServers = append(r.agentServers, server)
 	r.agents = append(r.agents, agent)
-	process, err := r.newProcess(number, address.addr, agent)
+	process, err := r.newProcess(number, server.addr, agent)
 	if err != nil {
 		return err
 	}
@@ -146,28 +151,28 @@
 		return err
 	}
 	r.addCloser(proxy.Close)
-	clients := NewClients(r.history, r.rules, number, proxy.Addr, r.trafficShares, r.rateOf(number), r.Seed)
+	clients := NewClients(r.history, r.parameters, number, proxy.Addr, r.trafficShares, r.clientRate(number), r.Seed)
 	r.addCloser(clients.Close)
 	r.clients = append(r.clients, clients)
 	return nil
 }
 
-// newProcess prepares a sender's process. Every second sender has the socket for its clients from the platform, and can
-// be upgraded beside itself.
+// newProcess prepares the process of a sender without starting it. Every second sender is passed its clients' socket,
+// as by the platform, and can therefore be upgraded while its predecessor still runs.
 func (r *runner) newProcess(number int, discoveryAddr string, agent *Agent) (*Process, error) {
-	host := senderHost(r.number, number)
+	host := senderHost(r.runNumber, number)
 	p := &Process{
 		ProcessSpec: ProcessSpec{
-			Number:    number,
-			Addr:      net.JoinHostPort(host, clientPort),
-			AdminAddr: net.JoinHostPort(host, adminPort),
-			Directory: filepath.Join(r.Directory, fmt.Sprintf("n%d", number)),
-			Command:   r.Command,
-			Rules:     r.rules,
-			Senders:   r.Senders,
-			Agent:     agent,
-			Known:     agent.Known(),
-			History:   r.history,
+			Number:     number,
+			Addr:       net.JoinHostPort(host, clientPort),
+			AdminAddr:  net.JoinHostPort(host, adminPort),
+			Directory:  filepath.Join(r.Directory, fmt.Sprintf("n%d", number)),
+			Command:    r.Command,
+			Parameters: r.parameters,
+			Senders:    r.Senders,
+			Agent:      agent,
+			Known:      agent.Known(),
+			History:    r.history,
 		},
 		discoveryAddr: discoveryAddr,
 	}
@@ -186,9 +191,10 @@
 	return p, nil
 }
 
-// startSenders starts all senders with their shims. The plan's times count from startLeadTime after its call.
+// startSenders starts all senders with their shims, and waits until they are ready. The run's clock, from which the
+// plan's times count, is at 0 startLeadTime after the call.
 func (r *runner) startSenders() error {
-	r.history.begin(time.Now().Add(startLeadTime)) // the load begins when all are ready
+	r.history.begin(time.Now().Add(startLeadTime)) // the load begins at 0, when all senders are to be ready
 	start := monotonicNow() + int64(startLeadTime)
 	for _, f := range r.plan {
 		kind, isShim := shimKindOf[f.Kind]
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -14,32 +14,31 @@
 	"time"
 )
 
-// Behaviour is how an endpoint answers calls at a time.
+// Behaviour is the way in which an endpoint answers calls.
 type Behaviour int
 
 // The behaviours of an endpoint.
 const (
 	Healthy      Behaviour = iota
-	Hanging                // accepts calls and answers none
+	Hanging                // reads calls and answers none
 	Failing                // answers 500 at once
 	Unavailable            // answers 503 at once
-	RateLimiting           // answers 429 with a wait
+	RateLimiting           // answers 429 with a time to wait
 	Resetting              // resets the connection once it has read a complete call
-	Malformed              // sends answers that cannot be parsed, or never end
+	Malformed              // sends answers that cannot be parsed or are never complete
 )
 
 const (
-	serviceTime   = 15 * time.Millisecond
-	rateLimitWait = 600 * time.Millisecond
-	longestHang   = time.Minute // a connection on which nothing is answered is given up after this
-	batchPath     = "/hook/batch"
+	serviceTime     = 15 * time.Millisecond
+	rateLimitWait   = 600 * time.Millisecond
+	maxHangDuration = time.Minute // an endpoint closes a connection this long after it stopped answering on it
+	batchPath       = "/hook/batch"
 )
 
-// rateLimitHeader is the header line by which an endpoint tells a sender to wait.
+// rateLimitHeader is the header line with the time that a sender has to wait.
 var rateLimitHeader = fmt.Sprintf("X-RateLimit-Wait-Ms: %d", rateLimitWait.Milliseconds())
 
-// Endpoint is one of a destination's endpoints. Its connections come through proxies, whose preface says which sender
-// they are from.
+// Endpoint is one of a destination's endpoints. Senders connect to it through proxies, whose preface names the sender.
 type Endpoint struct {
 	ID          string
 	Destination int
@@ -48,21 +47,21 @@
 	behaviour func() Behaviour
 	listener  net.Listener
 	calls     atomic.Uint64
-	serving   sync.WaitGroup // the goroutines that accept and serve
+	serving   sync.WaitGroup // counts the goroutines that accept and serve connections
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
 	closed bool
 }
 
-// EndpointSpec says which endpoint to start.
+// EndpointSpec describes an endpoint to start.
 type EndpointSpec struct {
 	ID          string
 	Destination int
-	Behaviour   func() Behaviour // asked at each call
+	Behaviour   func() Behaviour // called for each call, when it has been read
 }
 
-// NewEndpoint starts an endpoint at host.
+// NewEndpoint starts an endpoint on a port of its own at host.
 func NewEndpoint(host string, h *History, spec EndpointSpec) (*Endpoint, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -84,10 +83,11 @@
 	return e, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the endpoint listens.
 func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
 
-// Close ends it as a process that dies, and waits for its goroutines.
+// Close stops the endpoint as if its process had been killed: it closes the listener and resets all connections. It
+// waits for the endpoint's goroutines.
 func (e *Endpoint) Close() {
 	closeQuietly(e.listener)
 	e.mu.Lock()
@@ -124,21 +124,21 @@
 	}
 }
 
-// batchEntry is a message of a batch.
+// batchEntry is one message of a call.
 type batchEntry struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Body []byte `json:"body"`
 }
 
-// endpointCall is one call as an endpoint reads it.
+// endpointCall is one call as an endpoint received it.
 type endpointCall struct {
 	isBatch  bool
-	entries  []batchEntry // one unless it is a batch
-	attempts []*Attempt   // one for each entry
+	entries  []batchEntry // exactly one if the call carries no batch
+	attempts []*Attempt   // the attempt of each entry
 }
 
-// readCall reads the messages of one call.
+// readCall reads one call with its messages.
 func readCall(r *bufio.Reader) (*endpointCall, error) {
 	request, err := http.ReadRequest(r)
 	if err != nil {
@@ -159,7 +159,7 @@
 	}}}, nil
 }
 
-// serve answers the calls of one connection, one after another.
+// serve reads the proxy's preface from a connection, and then answers the calls on it, one after another.
 func (e *Endpoint) serve(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	line, err := r.ReadString('\n')
@@ -187,40 +187,41 @@
 				ConnectDelay: connectDelay,
 			}))
 		}
-		connectDelay = 0 // that was the first call
-		if goesOn := e.answer(conn, r, call); !goesOn {
+		connectDelay = 0 // only the first call on a connection was delayed
+		if keepOpen := e.answer(conn, r, call); !keepOpen {
 			return
 		}
 	}
 }
 
-// end records how all attempts of a call ended.
-func (e *Endpoint) end(call *endpointCall, end AttemptEnd) {
+// endAttempts records how all attempts of a call ended.
+func (e *Endpoint) endAttempts(call *endpointCall, end AttemptEnd) {
 	for _, a := range call.attempts {
 		e.history.EndAttempt(a, end)
 	}
 }
 
-// write ends a call with a text and reports whether it could be written. What was written may be read at once, so
-// the end is recorded first.
+// write answers a call with a text and reports whether it could be written. It records the end of the attempts first,
+// as the sender may react to the text as soon as it is written.
 func (e *Endpoint) write(conn net.Conn, call *endpointCall, end AttemptEnd, text string) bool {
-	e.end(call, end)
+	e.endAttempts(call, end)
 	_, err := io.WriteString(conn, text)
 	return err == nil
 }
 
-// reply ends a call with an answer of the end's status and reports whether it could be written.
+// reply answers a call with the status in end, a body and header lines, and reports whether it could be written.
 func (e *Endpoint) reply(conn net.Conn, call *endpointCall, end AttemptEnd, body string, headers ...string) bool {
 	return e.write(conn, call, end, answerText(end.Status, body, headers...))
 }
 
-// answer behaves as the endpoint has to at the time and reports whether the connection goes on.
+// answer answers a call by the endpoint's current behaviour, and reports whether the connection stays open for further
+// calls.
 func (e *Endpoint) answer(conn net.Conn, r *bufio.Reader, call *endpointCall) bool {
-	lost := AttemptEnd{MayHaveRun: true}
+	noAnswer := AttemptEnd{MayHaveRun: true}
 	switch e.behaviour() {
 	case Hanging:
 		awaitClose(conn, r)
-		e.end(call, lost)
+		e.endAttempts(call, noAnswer)
 		return false
 	case Failing:
 		return e.reply(conn, call, AttemptEnd{Status: http.StatusInternalServerError, MayHaveRun: true}, "")
@@ -230,7 +231,7 @@
 		end := AttemptEnd{Status: http.StatusTooManyRequests, RetryAfter: rateLimitWait}
 		return e.reply(conn, call, end, "", rateLimitHeader)
 	case Resetting:
-		e.end(call, lost)
+		e.endAttempts(call, noAnswer)
 		reset(conn)
 		return false
 	case Malformed:
@@ -238,8 +239,8 @@
 		awaitClose(conn, r)
 		return false
 	}
-	if closesWithin(conn, r, serviceTime) { // the sender has gone, and the work goes on
-		e.end(call, lost)
+	if closesWithin(conn, r, serviceTime) { // the sender has closed it; the endpoint still does the work
+		e.endAttempts(call, noAnswer)
 		return false
 	}
 	body := ""
@@ -249,17 +250,18 @@
 	return e.reply(conn, call, AttemptEnd{Status: http.StatusOK, MayHaveRun: true}, body)
 }
 
-// answerMalformed sends one of several answers that break the protocol. The call may have run whichever it is.
+// answerMalformed sends one of several answers that violate HTTP, chosen by the message's ID. Whichever it sends, the
+// endpoint may have done the work.
 func (e *Endpoint) answerMalformed(conn net.Conn, call *endpointCall) {
-	const endless = "Content-Length: 4000\r\n\r\nnot so many"
+	const incompleteBody = "Content-Length: 4000\r\n\r\nnot so many"
 	end := AttemptEnd{MayHaveRun: true}
 	var text string
 	switch stableHash(call.attempts[0].ID) % 4 {
-	case 0: // a wait in an answer that never ends: the wait counts from its header line on
+	case 0: // an incomplete answer with a time to wait, which counts from when its header line arrives
 		end.RetryAfter = rateLimitWait
-		text = "HTTP/1.1 429 X\r\n" + rateLimitHeader + "\r\n" + endless
+		text = "HTTP/1.1 429 X\r\n" + rateLimitHeader + "\r\n" + incompleteBody
 	case 1:
-		text = "HTTP/1.1 500 X\r\n" + endless
+		text = "HTTP/1.1 500 X\r\n" + incompleteBody
 	case 2:
 		text = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 99"
 	case 3:
@@ -268,7 +270,7 @@
 	e.write(conn, call, end, text)
 }
 
-// answerText is an answer with a body and further header lines.
+// answerText returns an HTTP response with a body and further header lines.
 func answerText(status int, body string, headers ...string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n", status, len(body))
 	for _, header := range headers {
@@ -277,7 +279,7 @@
 	return text + "\r\n" + body
 }
 
-// batchAnswer is the body that reports every message of a batch as done.
+// batchAnswer returns the body of an answer that confirms every message of a batch.
 func batchAnswer(entries []batchEntry) string {
 	type state struct {
 		ID    string `json:"id"`
@@ -289,25 +291,25 @@
 	}
 	text, err := json.Marshal(states)
 	if err != nil {
-		panic(err) // strings only: it cannot fail
+		panic(err) // cannot happen: the structs hold only strings
 	}
 	return string(text)
 }
 
-// stableHash makes a choice that stays the same when a run is repeated.
+// stableHash returns a hash of an ID that is the same in every run, so that choices by it are repeatable.
 func stableHash(id string) uint32 {
 	h := fnv.New32a()
-	_, _ = io.WriteString(h, id) // a hash never fails to write
+	_, _ = io.WriteString(h, id) // writing to a hash never fails
 	return h.Sum32()
 }
 
-// awaitClose waits until the other side ends the connection.
+// awaitClose waits until the peer closes the connection or sends more, or maxHangDuration is over.
 func awaitClose(conn net.Conn, r *bufio.Reader) {
-	limitRead(conn, longestHang)
-	_, _ = r.Peek(1) // any end will do
+	limitRead(conn, maxHangDuration)
+	_, _ = r.Peek(1) // the way in which the wait ends does not matter
 }
 
-// closesWithin reports whether the other side ends the connection within a time.
+// closesWithin reports whether the peer closes the connection before the timeout.
 func closesWithin(conn net.Conn, r *bufio.Reader, timeout time.Duration) bool {
 	limitRead(conn, timeout)
 	defer unlimitRead(conn)
--- a/internal/emulator/fault_plan.go
+++ b/internal/emulator/fault_plan.go
@@ -53,12 +53,12 @@
 
 // drawFault draws the times of a fault and whom it affects.
 func drawFault(random *rand.Rand, o Options, kind FaultKind, wave time.Duration) Fault {
-	lasts, known := durationRanges[kind]
+	durations, known := durationRanges[kind]
 	if !known {
-		lasts = defaultDurationRange
+		durations = defaultDurationRange
 	}
 	f := Fault{Kind: kind, From: wave + time.Duration(random.Int64N(int64(waveJitter)))}
-	f.Until = f.From + lasts.shortest + time.Duration(random.Int64N(int64(lasts.longest-lasts.shortest)))
+	f.Until = f.From + durations.shortest + time.Duration(random.Int64N(int64(durations.longest-durations.shortest)))
 	if _, changesBehaviour := behaviourOf[kind]; changesBehaviour || kind == EndpointsReplaced {
 		f.Destination = random.IntN(o.Destinations)
 		return f
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -81,7 +81,7 @@
 	t.Parallel()
 	var b strings.Builder
 	for sender := range 3 {
-		c := NewClients(NewHistory(), DefaultRules(), sender, "", zipfShares(6), 8, 7)
+		c := NewClients(NewHistory(), DefaultParameters(), sender, "", zipfShares(6), 8, 7)
 		for range 60 {
 			s := c.drawSubmission()
 			request := strings.ReplaceAll(requestText(s, messageBody(s)), "\r\n", "|")
@@ -99,11 +99,11 @@
 	var b strings.Builder
 	for _, pollsEndpointList := range []bool{false, true} {
 		spec := ProcessSpec{
-			Number:  5,
-			Senders: 24,
-			Rules:   DefaultRules(),
-			Agent:   NewAgent(NewHistory(), 5, pollsEndpointList, nil),
-			Known:   List{Version: 3, Full: true, Servers: servers},
+			Number:     5,
+			Senders:    24,
+			Parameters: DefaultParameters(),
+			Agent:      NewAgent(NewHistory(), 5, pollsEndpointList, nil),
+			Known:      List{Version: 3, Full: true, Servers: servers},
 		}
 		text, err := json.MarshalIndent(senderConfig(spec, "127.0.0.1:2", "state"), "", " ")
 		if err != nil {
--- a/internal/emulator/incarnations.go
+++ b/internal/emulator/incarnations.go
@@ -96,7 +96,7 @@
 // bindingTime is from when on a change binds a sender whose agent knows it from a time on. That is at once if a process
 // runs then, whether or not the agent goes on to answer or a watch is open. Otherwise it is with the next process or,
 // where the agent is silent when that begins, with the end of the silence, as no process could know before.
-func (h *History) bindingTime(sender int, known time.Duration) time.Duration {
+func (h *History) effectiveTime(sender int, known time.Duration) time.Duration {
 	if h.hasProcess(sender, known) {
 		return known
 	}
--- a/internal/emulator/injection.go
+++ b/internal/emulator/injection.go
@@ -61,7 +61,7 @@
 	case WatchesLost:
 		r.forEachSender(f, func(i int) { r.agents[i].LoseWatches() })
 	case EndpointsReplaced:
-		r.noteError(r.replaceEndpoints(f))
+		r.recordError(r.replaceEndpoints(f))
 	case SendersTerminated:
 		r.forEachSender(f, func(i int) { r.terminate(i, f.signalRandom(r.Seed, i)) })
 	case SendersKilled:
@@ -75,7 +75,7 @@
 	case SendersKilledAtAnswer:
 		r.forEachSender(f, func(i int) { r.killAtAnswer(i, f.Until) })
 	case DescriptorsExhausted:
-		r.forEachSender(f, func(i int) { r.noteError(r.processes[i].LimitDescriptors(f.Until - f.From)) })
+		r.forEachSender(f, func(i int) { r.recordError(r.processes[i].LimitDescriptors(f.Until - f.From)) })
 	case SendersPaused:
 		r.forEachSender(f, func(i int) { r.processes[i].Pause(f.Until - f.From) })
 	}
@@ -87,11 +87,11 @@
 		return
 	}
 	defer r.restartLocks[sender].Unlock()
-	r.noteError(end())
+	r.recordError(end())
 	time.Sleep(restartPause)
 	r.startLocks[sender].Lock()
 	defer r.startLocks[sender].Unlock()
-	r.noteError(r.processes[sender].Start())
+	r.recordError(r.processes[sender].Start())
 }
 
 // kill restarts a sender by SIGKILL.
@@ -117,18 +117,18 @@
 	reloadsBefore, reloadsAfter, terminatesAgain := random.IntN(3) == 0, random.IntN(2) == 0, random.IntN(3) == 0
 	r.restart(sender, func() error {
 		if reloadsBefore {
-			r.noteError(r.reload(sender, true))
+			r.recordError(r.reload(sender, true))
 			time.Sleep(time.Duration(random.Int64N(int64(maxSignalOffset))))
 		}
-		running, gone := context.WithCancel(context.Background())
-		var beside sync.WaitGroup
-		beside.Add(2)
+		ctx, cancel := context.WithCancel(context.Background())
+		var concurrent sync.WaitGroup
+		concurrent.Add(2)
 		go func() {
-			defer beside.Done()
-			r.clients[sender].UseIdleConnections(running)
+			defer concurrent.Done()
+			r.clients[sender].UseIdleConnections(ctx)
 		}()
 		go func() {
-			defer beside.Done()
+			defer concurrent.Done()
 			time.Sleep(time.Duration(random.Int64N(int64(maxSignalOffset))))
 			if reloadsAfter {
 				r.reloadInSeries(sender, random)
@@ -138,8 +138,8 @@
 			}
 		}()
 		err := r.processes[sender].Terminate()
-		gone()
-		beside.Wait()
+		cancel()
+		concurrent.Wait()
 		return err
 	})
 }
@@ -152,22 +152,22 @@
 	defer r.restartLocks[sender].Unlock()
 	r.startLocks[sender].Lock()
 	defer r.startLocks[sender].Unlock()
-	running, gone := context.WithCancel(context.Background())
-	var using sync.WaitGroup
-	using.Add(1)
+	ctx, cancel := context.WithCancel(context.Background())
+	var clientLoop sync.WaitGroup
+	clientLoop.Add(1)
 	go func() {
-		defer using.Done()
-		r.clients[sender].UseIdleConnections(running)
+		defer clientLoop.Done()
+		r.clients[sender].UseIdleConnections(ctx)
 	}()
-	r.noteError(r.processes[sender].Upgrade())
-	gone()
-	using.Wait()
+	r.recordError(r.processes[sender].Upgrade())
+	cancel()
+	clientLoop.Wait()
 }
 
 // reloadInSeries reloads a sender's configuration one to four times in a row; most reloads move discovery.
 func (r *runner) reloadInSeries(sender int, random *rand.Rand) {
 	for range 1 + random.IntN(maxReloads) {
-		r.noteError(r.reload(sender, random.IntN(4) > 0))
+		r.recordError(r.reload(sender, random.IntN(4) > 0))
 		time.Sleep(minReloadInterval + time.Duration(random.Int64N(int64(reloadIntervalJitter))))
 	}
 }
@@ -182,7 +182,7 @@
 	if !r.processes[sender].mayReload() {
 		return nil
 	}
-	old := r.agentAddresses[sender]
+	old := r.agentServers[sender]
 	if !movesDiscovery {
 		return r.processes[sender].Reload(old.addr)
 	}
@@ -191,7 +191,7 @@
 		return err
 	}
 	r.addCloser(next.close)
-	r.agentAddresses[sender] = next
+	r.agentServers[sender] = next
 	r.agents[sender].AddressMoved()
 	err = r.processes[sender].Reload(next.addr)
 	old.retire()
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -56,11 +56,11 @@
 
 // RunFacts is what a run's plan adds to its history. A function that is nil reports false.
 type RunFacts struct {
-	Rules     Rules
-	Tolerance time.Duration // for delays of the machine itself
-	Outages   []Outage
-	Capacity  []float64 // calls per second that each destination can take when warm
-	End       time.Duration
+	Parameters Parameters
+	Tolerance  time.Duration // for delays of the machine itself
+	Outages    []Outage
+	Capacity   []float64 // calls per second that each destination can take when warm
+	End        time.Duration
 
 	// OutcomeUncertain reports whether answers may not reach a sender at a time, or its disk takes no writes.
 	OutcomeUncertain func(sender int, at time.Duration) bool
--- a/internal/emulator/invariants_client.go
+++ b/internal/emulator/invariants_client.go
@@ -34,7 +34,7 @@
 func checkAnswerTime(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for id, s := range h.submissions {
-		until := s.SentAt + f.Rules.AnswerTimeout
+		until := s.SentAt + f.Parameters.AnswerTimeout
 		hasToAnswer := h.isServing
 		if s.FreshConnection {
 			hasToAnswer = h.acceptsConnections
@@ -44,7 +44,7 @@
 		}
 		if !f.arrivedInFlood(s, s.SentAt) && !f.impairedBetween(s.Sender, s.SentAt-impairmentGrace, until) {
 			found = append(found, violationf(ruleSlow, s.SentAt,
-				"%s: sender %d does not answer within %v", id, s.Sender, f.Rules.AnswerTimeout))
+				"%s: sender %d does not answer within %v", id, s.Sender, f.Parameters.AnswerTimeout))
 		}
 	}
 	return found
@@ -54,7 +54,7 @@
 func checkBadPeers(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for _, p := range h.badPeers {
-		late := p.ReleasedAt == 0 || p.ReleasedAt-p.OpenedAt > badPeerReleaseTime+f.Rules.Slack+f.Tolerance
+		late := p.ReleasedAt == 0 || p.ReleasedAt-p.OpenedAt > badPeerReleaseTime+f.Parameters.Slack+f.Tolerance
 		if late && h.acceptsConnections(p.Sender, p.OpenedAt) &&
 			h.acceptsConnections(p.Sender, p.OpenedAt+badPeerReleaseTime) {
 			found = append(found, violationf(ruleBadPeer, p.OpenedAt,
--- a/internal/emulator/invariants_endpoint.go
+++ b/internal/emulator/invariants_endpoint.go
@@ -22,7 +22,7 @@
 	}
 	drained := map[route]time.Duration{}
 	for _, c := range h.listChanges {
-		binds := h.bindingTime(c.Sender, c.EffectiveAt)
+		binds := h.effectiveTime(c.Sender, c.EffectiveAt)
 		if at, known := drained[route{c.Sender, c.Endpoint}]; !known || binds < at {
 			drained[route{c.Sender, c.Endpoint}] = binds
 		}
@@ -30,7 +30,7 @@
 	var found []Violation
 	for _, a := range h.attempts {
 		at, known := drained[route{a.Sender, a.Endpoint}]
-		if known && a.sentAt()-f.Tolerance-f.Rules.DrainGrace-f.Rules.Slack > at {
+		if known && a.sentAt()-f.Tolerance-f.Parameters.DrainGrace-f.Parameters.Slack > at {
 			found = append(found, violationf(ruleDrain, a.At,
 				"%s: sender %d calls %s %.3fs after it had to know the drain",
 				a.ID, a.Sender, a.Endpoint, (a.sentAt()-at).Seconds()))
@@ -74,8 +74,8 @@
 func checkSlowStart(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for _, o := range f.Outages {
-		arrivals, aware := h.callsAround(o, f.Rules.WarmUpTime)
-		if v, overloaded := f.firstOverload(o, arrivals, aware); overloaded {
+		arrivals, sawFailure := h.callsAfter(o, f.Parameters.WarmUpTime)
+		if v, overloaded := f.firstOverload(o, arrivals, sawFailure); overloaded {
 			found = append(found, v)
 		}
 	}
@@ -84,8 +84,8 @@
 
 // callsAround returns the calls that reach a destination while it warms up after an outage, in order of time, and the
 // senders that had seen a call fail in the outage.
-func (h *History) callsAround(o Outage, warmUp time.Duration) (arrivals []arrival, aware map[int]bool) {
-	aware = map[int]bool{}
+func (h *History) callsAfter(o Outage, warmUp time.Duration) (arrivals []arrival, sawFailure map[int]bool) {
+	sawFailure = map[int]bool{}
 	seen := map[string]bool{}
 	for _, a := range h.attempts {
 		call := fmt.Sprint(a.Endpoint, a.Call)
@@ -94,35 +94,35 @@
 		}
 		seen[call] = true
 		if a.At >= o.From && a.At < o.Until && !a.isDelivered() {
-			aware[a.Sender] = true
+			sawFailure[a.Sender] = true
 		}
 		if a.At >= o.Until && a.At < o.Until+warmUp {
 			arrivals = append(arrivals, arrival{at: a.At, sender: a.Sender})
 		}
 	}
 	slices.SortFunc(arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
-	return arrivals, aware
+	return arrivals, sawFailure
 }
 
 // firstOverload is the first window of calls that is more than a destination can take.
-func (f RunFacts) firstOverload(o Outage, arrivals []arrival, aware map[int]bool) (v Violation, overloaded bool) {
+func (f RunFacts) firstOverload(o Outage, arrivals []arrival, sawFailure map[int]bool) (v Violation, overloaded bool) {
 	for first := range arrivals {
-		calls, fromAware := 0, 0
-		end := arrivals[first].at + f.Rules.OverloadWindow
+		calls, informedCalls := 0, 0
+		end := arrivals[first].at + f.Parameters.OverloadWindow
 		for _, a := range arrivals[first:] {
 			if a.at > end {
 				break
 			}
 			calls++
-			if aware[a.sender] {
-				fromAware++
+			if sawFailure[a.sender] {
+				informedCalls++
 			}
 		}
-		if allowed := f.allowedCalls(o, end); float64(calls) > allowed && 3*fromAware > 2*calls {
+		if allowed := f.allowedCalls(o, end); float64(calls) > allowed && 3*informedCalls > 2*calls {
 			return violationf(ruleSlowStart, arrivals[first].at,
 				"destination %d gets %d calls in %v from %.3fs after its return, %d of them from senders that knew; "+
-					"it can take %.1f", o.Destination, calls, f.Rules.OverloadWindow,
-				(arrivals[first].at - o.Until).Seconds(), fromAware, allowed), true
+					"it can take %.1f", o.Destination, calls, f.Parameters.OverloadWindow,
+				(arrivals[first].at - o.Until).Seconds(), informedCalls, allowed), true
 		}
 	}
 	return Violation{}, false
@@ -131,9 +131,9 @@
 // allowedCalls is how many calls a destination can take in the window that ends at a time after its outage, with room
 // for chance: senders that keep to it on average may exceed it by some standard deviations.
 func (f RunFacts) allowedCalls(o Outage, end time.Duration) float64 {
-	warm := min(1, (end-o.Until).Seconds()/f.Rules.WarmUpTime.Seconds())
-	share := f.Rules.InitialCapacityShare + (1-f.Rules.InitialCapacityShare)*warm
-	calls := f.Rules.OverloadMultiple * share * f.Capacity[o.Destination] * f.Rules.OverloadWindow.Seconds()
+	warm := min(1, (end-o.Until).Seconds()/f.Parameters.WarmUpTime.Seconds())
+	share := f.Parameters.InitialCapacityShare + (1-f.Parameters.InitialCapacityShare)*warm
+	calls := f.Parameters.OverloadMultiple * share * f.Capacity[o.Destination] * f.Parameters.OverloadWindow.Seconds()
 	if calls < 30 {
 		return calls + 3*math.Sqrt(calls) + 3
 	}
--- a/internal/emulator/invariants_message.go
+++ b/internal/emulator/invariants_message.go
@@ -33,17 +33,17 @@
 // endTimes is when each message had its end first, by a notice or a delivery.
 func (h *History) endTimes() map[string]time.Duration {
 	ended := map[string]time.Duration{}
-	note := func(id string, at time.Duration) {
+	recordEnd := func(id string, at time.Duration) {
 		if before, known := ended[id]; !known || at < before {
 			ended[id] = at
 		}
 	}
 	for _, n := range h.notices {
-		note(n.ID, n.At)
+		recordEnd(n.ID, n.At)
 	}
 	for _, a := range h.attempts {
 		if a.isDelivered() {
-			note(a.ID, a.EndedAt)
+			recordEnd(a.ID, a.EndedAt)
 		}
 	}
 	return ended
@@ -68,7 +68,7 @@
 		if !s.isAccepted() {
 			continue
 		}
-		due := h.dueTime(s, f.Rules.Slack)
+		due := h.dueTime(s, f.Parameters.Slack)
 		if due > f.End-f.Tolerance { // the run is over, or the sender never came back, which counts by itself
 			continue
 		}
@@ -99,10 +99,10 @@
 			case first != nil && s.Class == NonIdempotent:
 				found = append(found, violationf(ruleDuplicate, a.At, "%s may not be repeated: at %s %.3fs after %s",
 					key, a.Endpoint, (a.At-first.At).Seconds(), first.Endpoint))
-			case first != nil && a.sentAt()-first.sentAt() > f.Rules.IdempotencyWindow+f.Rules.Slack:
+			case first != nil && a.sentAt()-first.sentAt() > f.Parameters.IdempotencyWindow+f.Parameters.Slack:
 				found = append(found, violationf(ruleDuplicate, a.At,
 					"%s repeated %.3fs after its first call, window %v",
-					key, (a.At-first.At).Seconds(), f.Rules.IdempotencyWindow))
+					key, (a.At-first.At).Seconds(), f.Parameters.IdempotencyWindow))
 			}
 			if first == nil && a.mayTakeEffect() {
 				first = a
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -208,7 +208,7 @@
 		for name, c := range cases {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				c.facts.Rules, c.facts.End = DefaultRules(), 30*second
+				c.facts.Parameters, c.facts.End = DefaultParameters(), 30*second
 				found := Check(recordedHistory(c.class, c.edit), c.facts)
 				if c.want == "" && len(found) > 0 {
 					t.Errorf("found %v, want none", found)
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -33,7 +33,7 @@
 	readyTimeout      = time.Second             // of one request
 	killAfter         = 3700 * time.Millisecond // from SIGTERM to SIGKILL
 	restartPause      = 600 * time.Millisecond  // from SIGKILL to the next start
-	reloadHoldOff     = time.Second             // a process gets no SIGHUP for so long from its start
+	minReloadAge      = time.Second             // a process gets no SIGHUP for so long from its start
 
 	// firstUpgradePort is the first of the admin ports that processes started by upgrades have.
 	firstUpgradePort = 9100
@@ -41,16 +41,16 @@
 
 // ProcessSpec is what stays the same for all processes of a sender.
 type ProcessSpec struct {
-	Number    int
-	Addr      string // where clients connect
-	AdminAddr string
-	Directory string // holds the state, the configuration and the log
-	Command   Command
-	Rules     Rules
-	Senders   int // of the deployment
-	Agent     *Agent
-	Known     List // the list that the configuration holds
-	History   *History
+	Number     int
+	Addr       string // where clients connect
+	AdminAddr  string
+	Directory  string // holds the state, the configuration and the log
+	Command    Command
+	Parameters Parameters
+	Senders    int // of the deployment
+	Agent      *Agent
+	Known      List // the list that the configuration holds
+	History    *History
 }
 
 // Process is one sender: its directory and addresses, and the process that runs at a time.
@@ -67,7 +67,7 @@
 
 // instance is one process of a sender. A goroutine waits for its end and then closes exited.
 type instance struct {
-	running      *exec.Cmd
+	command      *exec.Cmd
 	exited       chan struct{}
 	exitExpected *atomic.Bool // it was asked to exit or killed
 	adminAddr    string
@@ -117,7 +117,7 @@
 	p.instance = *started
 	p.mu.Unlock()
 	p.History.RecordIncarnationEvent(p.Number, Started, "")
-	if err := p.await(started, p.isReady); err != nil {
+	if err := p.awaitReady(started, p.isReady); err != nil {
 		return err
 	}
 	p.History.RecordIncarnationEvent(p.Number, Ready, "")
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.await(next, next.isHealthy); err != nil {
+	if err := p.awaitReady(next, next.isHealthy); err != nil {
 		return err
 	}
 	p.mu.Lock()
@@ -179,7 +179,7 @@
 		return nil, err
 	}
 	i := &instance{
-		running:      cmd,
+		command:      cmd,
 		exited:       make(chan struct{}),
 		exitExpected: new(atomic.Bool),
 		adminAddr:    adminAddr,
@@ -218,12 +218,12 @@
 
 // awaitExit waits for the end of a process and records it, unless it was to end after an upgrade.
 func (p *Process) awaitExit(i *instance) {
-	err := i.running.Wait()
+	err := i.command.Wait()
 	detail := ""
 	if !i.exitExpected.Load() {
 		detail = fmt.Sprintf("unexpected exit: %v", err)
 	}
-	isCurrent := p.current().running == i.running
+	isCurrent := p.current().command == i.command
 	if isCurrent || detail != "" {
 		p.History.RecordIncarnationEvent(p.Number, Exited, detail)
 	}
@@ -231,7 +231,7 @@
 }
 
 // await polls a process until it is ready. The error is for one that ends before, or takes too long.
-func (p *Process) await(i *instance, isReady func() bool) error {
+func (p *Process) awaitReady(i *instance, isReady func() bool) error {
 	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		if isReady() {
 			return nil
@@ -266,13 +266,13 @@
 func (p *Process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.running != nil {
+	if p.command != nil {
 		p.instance.signal(s)
 	}
 }
 
 // signal sends a signal to a process. An error means that the process has just exited, which awaitExit records.
-func (i *instance) signal(s syscall.Signal) { _ = i.running.Process.Signal(s) }
+func (i *instance) signal(s syscall.Signal) { _ = i.command.Process.Signal(s) }
 
 // expectExit records that the process is about to be signalled, and returns what is closed when it has exited.
 func (p *Process) expectExit(phase IncarnationPhase) (exited <-chan struct{}) {
@@ -311,7 +311,7 @@
 // upgrade has made another one the current meanwhile.
 func (p *Process) Pause(lasting time.Duration) {
 	paused := p.current()
-	if paused.running == nil {
+	if paused.command == nil {
 		return
 	}
 	paused.signal(syscall.SIGSTOP)
@@ -322,7 +322,7 @@
 // mayReload reports whether the platform may send SIGHUP: not in a process's first second, nor before it is ready.
 func (p *Process) mayReload() bool {
 	i := p.current()
-	return i.running != nil && !i.readyAt.IsZero() && time.Since(i.startedAt) > reloadHoldOff
+	return i.command != nil && !i.readyAt.IsZero() && time.Since(i.startedAt) > minReloadAge
 }
 
 // Reload writes a configuration with an address of discovery, which may be unchanged, and sends SIGHUP.
@@ -339,7 +339,7 @@
 
 // LimitDescriptors leaves the process no further descriptors for a time. A process that has just ended is no error.
 func (p *Process) LimitDescriptors(lasting time.Duration) error {
-	pid := p.current().running.Process.Pid
+	pid := p.current().command.Process.Pid
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return nil // it has just ended
@@ -363,7 +363,7 @@
 // stop kills the process if it still runs, and waits for its end.
 func (p *Process) stop() {
 	i := p.current()
-	if i.running != nil {
+	if i.command != nil {
 		i.exitExpected.Store(true)
 		i.signal(syscall.SIGKILL)
 		<-i.exited
--- a/internal/emulator/process_test.go
+++ b/internal/emulator/process_test.go
@@ -13,21 +13,21 @@
 // idleInstance is a process that does nothing until the end of the test.
 func idleInstance(t *testing.T) instance {
 	t.Helper()
-	running := exec.Command("sleep", "60")
-	if err := running.Start(); err != nil {
+	command := exec.Command("sleep", "60")
+	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = running.Process.Kill()
-		_ = running.Wait()
+		_ = command.Process.Kill()
+		_ = command.Wait()
 	})
-	return instance{running: running, exited: make(chan struct{}), exitExpected: new(atomic.Bool)}
+	return instance{command: command, exited: make(chan struct{}), exitExpected: new(atomic.Bool)}
 }
 
 // isStopped reports whether a process is stopped by a signal (proc(5)).
 func (i *instance) isStopped(t *testing.T) bool {
 	t.Helper()
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", i.running.Process.Pid))
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", i.command.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	t.Helper()
 	for until := time.Now().Add(5 * time.Second); i.isStopped(t) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("process %d: stopped %v, want %v", i.running.Process.Pid, !want, want)
+			t.Fatalf("process %d: stopped %v, want %v", i.command.Process.Pid, !want, want)
 		}
 	}
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -115,58 +115,58 @@
 }
 
 // relay joins a connection with one to the target. The end of either side passes to the other, a reset as a reset.
-func (p *Proxy) relay(near net.Conn) {
-	defer near.Close()
-	if !p.track(near) {
+func (p *Proxy) relay(inbound net.Conn) {
+	defer inbound.Close()
+	if !p.track(inbound) {
 		return
 	}
-	defer p.untrack(near)
-	early, delay, connected := p.setUp(near)
+	defer p.untrack(inbound)
+	received, delay, connected := p.setUp(inbound)
 	if !connected {
-		reset(near)
+		reset(inbound)
 		return
 	}
 	dialled := time.Now()
-	far, err := net.DialTimeout("tcp", p.spec.Target(), dialTimeout)
+	outbound, err := net.DialTimeout("tcp", p.spec.Target(), dialTimeout)
 	if err != nil {
 		if p.spec.OnRefused != nil {
 			p.spec.OnRefused(dialled)
 		}
-		reset(near)
+		reset(inbound)
 		return
 	}
-	defer far.Close()
-	if !p.track(far) {
+	defer outbound.Close()
+	if !p.track(outbound) {
 		return
 	}
-	defer p.untrack(far)
+	defer p.untrack(outbound)
 	if p.spec.Preface != "" {
-		if _, err := fmt.Fprintf(far, "%s %d\n", p.spec.Preface, delay.Microseconds()); err != nil {
+		if _, err := fmt.Fprintf(outbound, "%s %d\n", p.spec.Preface, delay.Microseconds()); err != nil {
 			return
 		}
 	}
-	if _, err := far.Write(early); err != nil {
+	if _, err := outbound.Write(received); err != nil {
 		return
 	}
 	var directions sync.WaitGroup
 	directions.Add(2)
 	go func() {
 		defer directions.Done()
-		p.forward(far, near, true)
+		p.forward(outbound, inbound, true)
 	}()
 	go func() {
 		defer directions.Done()
-		p.forward(near, far, false)
+		p.forward(inbound, outbound, false)
 	}()
 	directions.Wait()
 }
 
 // setUp applies the link's fault to a new connection. It returns what was received on a connection that is set up
 // late and how long ago that began; connected is false for a connection that is never set up.
-func (p *Proxy) setUp(near net.Conn) (early []byte, delay time.Duration, connected bool) {
+func (p *Proxy) setUp(inbound net.Conn) (received []byte, delay time.Duration, connected bool) {
 	switch p.spec.Fault() {
 	case LinkConnectsLate:
-		return delayConnect(near, connectDelay)
+		return delayConnect(inbound, connectDelay)
 	case LinkCut:
 		p.awaitCutEnd()
 		return nil, 0, false
@@ -177,7 +177,7 @@
 // delayConnect receives on a connection for a time without passing anything on, and returns what it received and the
 // time since the first byte. If the other side ends the connection meanwhile, it was never set up, and nothing has been
 // sent.
-func delayConnect(conn net.Conn, lasting time.Duration) (early []byte, delay time.Duration, connected bool) {
+func delayConnect(conn net.Conn, lasting time.Duration) (received []byte, delay time.Duration, connected bool) {
 	limitRead(conn, lasting)
 	defer unlimitRead(conn)
 	buffer := make([]byte, copyBufferSize)
@@ -187,7 +187,7 @@
 		if n > 0 && first.IsZero() {
 			first = time.Now()
 		}
-		early = append(early, buffer[:n]...)
+		received = append(received, buffer[:n]...)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
@@ -198,7 +198,7 @@
 	if !first.IsZero() {
 		delay = time.Since(first)
 	}
-	return early, delay, true
+	return received, delay, true
 }
 
 // awaitCutEnd waits until the link is no longer cut.
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -56,7 +56,7 @@
 func (r *runner) collectCounters() {
 	for _, p := range r.processes {
 		metrics, err := p.Metrics()
-		r.noteError(err)
+		r.recordError(err)
 		for name, n := range metrics {
 			if counter, found := strings.CutPrefix(name, counterPrefix); found {
 				r.history.AddCounter(counter, n)
@@ -72,7 +72,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			r.noteError(p.Terminate())
+			r.recordError(p.Terminate())
 		}()
 	}
 	all.Wait()
@@ -81,7 +81,7 @@
 // facts is what the invariants need to know of the run beside its history.
 func (r *runner) facts(end time.Duration) RunFacts {
 	facts := RunFacts{
-		Rules:            r.rules,
+		Parameters:       r.parameters,
 		Tolerance:        r.Tolerance,
 		Outages:          r.outages(),
 		End:              end,
--- a/internal/emulator/runner.go
+++ b/internal/emulator/runner.go
@@ -28,19 +28,19 @@
 // runner is a run in progress. It owns all stand-ins and processes.
 type runner struct {
 	Options
-	number        uint32 // of this program's runs
+	runNumber     uint32 // of this program's runs
 	host          string // where the stand-ins listen
-	rules         Rules
+	parameters    Parameters
 	history       *History
 	plan          []Fault
 	trafficShares []float64 // by destination
 
-	agents         []*Agent
-	processes      []*Process
-	clients        []*Clients
-	restartLocks   []sync.Mutex    // held while a sender's process is ended and started
-	startLocks     []sync.Mutex    // held while one starts: there is no SIGHUP then
-	agentAddresses []*agentAddress // the present one of each sender's agent; guarded by startLocks
+	agents       []*Agent
+	processes    []*Process
+	clients      []*Clients
+	restartLocks []sync.Mutex   // held while a sender's process is ended and started
+	startLocks   []sync.Mutex   // held while one starts: there is no SIGHUP then
+	agentServers []*agentServer // the present one of each sender's agent; guarded by startLocks
 
 	mu        sync.Mutex
 	endpoints []*Endpoint
@@ -53,7 +53,7 @@
 func Run(o Options) (*Report, error) {
 	r := newRunner(o)
 	defer r.close()
-	if err := r.build(); err != nil {
+	if err := r.startStandIns(); err != nil {
 		return nil, err
 	}
 	if err := r.startSenders(); err != nil {
@@ -67,9 +67,9 @@
 	number := runCount.Add(1)
 	r := &runner{
 		Options:      o,
-		number:       number,
+		runNumber:    number,
 		host:         standInHost(number),
-		rules:        DefaultRules(),
+		parameters:   DefaultParameters(),
 		history:      NewHistory(),
 		plan:         o.Plan,
 		links:        map[string][]*Proxy{},
@@ -126,7 +126,7 @@
 }
 
 // noteError keeps an error for the report.
-func (r *runner) noteError(err error) {
+func (r *runner) recordError(err error) {
 	if err == nil {
 		return
 	}
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Rules are the figures that a run's settings state and its invariants go by.
-type Rules struct {
-	OverloadMultiple     float64       // a returning destination gets at most so many times what it can take
-	InitialCapacityShare float64       // of its capacity, that a destination has on its return
-	OverloadWindow       time.Duration // over which calls to a destination that warms up are counted
-	WarmUpTime           time.Duration
-	IdempotencyWindow    time.Duration // over which an endpoint remembers an idempotency key
-	DrainGrace           time.Duration // after a sender has to know that an endpoint drains
-	AnswerTimeout        time.Duration // a client waits so long
-	Slack                time.Duration // that the protocol allows on every limit
+// Parameters are the values that the senders' settings state and that the invariants check.
+type Parameters struct {
+	OverloadMultiple     float64       // limit on calls to a destination after an outage, as a multiple of its capacity
+	InitialCapacityShare float64       // share of its capacity that a destination has when it returns from an outage
+	OverloadWindow       time.Duration // span over which calls to a destination that is warming up are counted
+	WarmUpTime           time.Duration // from the end of an outage until a destination has its full capacity
+	IdempotencyWindow    time.Duration // for which an endpoint remembers an idempotency key
+	DrainGrace           time.Duration // for calls to an endpoint, from when a sender has to know that it drains
+	AnswerTimeout        time.Duration // how long a client waits for an answer
+	Slack                time.Duration // tolerance that the protocol allows on every limit
 }
 
-// DefaultRules are those of a run, shorter than in service so that windows and ramps end within it.
-func DefaultRules() Rules {
-	return Rules{
+// DefaultParameters returns the parameters of a run. Their times are shorter than in production, so that idempotency
+// windows and the capacity's ramps after outages end within a run.
+func DefaultParameters() Parameters {
+	return Parameters{
 		OverloadMultiple:     2.5,
 		InitialCapacityShare: 0.16,
 		OverloadWindow:       2 * time.Second,
@@ -31,21 +32,21 @@
 	}
 }
 
-// deliveryTimeouts is how long messages of each class may take to be delivered.
+// deliveryTimeouts holds how long the delivery of a message may take, by class.
 var deliveryTimeouts = map[Class]time.Duration{
 	Idempotent:      2500 * time.Millisecond,
 	IdempotentByKey: 6 * time.Second,
 	NonIdempotent:   4 * time.Second,
 }
 
-// effects are the classes' effects in the settings.
+// effects holds the value of each class's setting "effect".
 var effects = map[Class]string{
 	Idempotent:      "read_like",
 	IdempotentByKey: "idempotency_key",
 	NonIdempotent:   "non_idempotent",
 }
 
-// The limits of a sender. The soak relies on that of its sockets: a connection flood exceeds it.
+// The limits in a sender's configuration. Connection floods rely on senderSockets: floodSize exceeds it.
 const (
 	senderCores    = 1.0
 	senderMemoryMB = 192
@@ -55,22 +56,22 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// classSettings are the settings of one class.
-func classSettings(r Rules, class Class) map[string]any {
+// classSettings returns the settings of one class.
+func classSettings(p Parameters, class Class) map[string]any {
 	return map[string]any{
 		"name":        class.String(),
 		"slo":         milliseconds(deliveryTimeouts[class] / 4),
 		"giveUp":      milliseconds(deliveryTimeouts[class]),
 		"effect":      effects[class],
-		"dedupWindow": milliseconds(r.IdempotencyWindow),
+		"dedupWindow": milliseconds(p.IdempotencyWindow),
 		"dedupScope":  "all",
 		"worth":       1.0,
 		"lateValue":   0.5,
 	}
 }
 
-// senderSettings are the settings of one sender of a deployment.
-func senderSettings(r Rules, senders, number int, pollsEndpointList bool) map[string]any {
+// senderSettings returns the settings of one sender of a deployment.
+func senderSettings(p Parameters, senders, number int, pollsEndpointList bool) map[string]any {
 	discovery := "pushed"
 	if pollsEndpointList {
 		discovery = "on_request"
@@ -99,22 +100,22 @@
 			"maxRetryAfter":  500.0,
 		},
 		"rules": map[string]any{
-			"fallMultiple":  r.OverloadMultiple,
-			"startCapacity": r.InitialCapacityShare,
-			"overloadFor":   milliseconds(r.OverloadWindow),
-			"cold":          milliseconds(r.WarmUpTime),
-			"askWithin":     milliseconds(polledListBinds),
+			"fallMultiple":  p.OverloadMultiple,
+			"startCapacity": p.InitialCapacityShare,
+			"overloadFor":   milliseconds(p.OverloadWindow),
+			"cold":          milliseconds(p.WarmUpTime),
+			"askWithin":     milliseconds(polledChangeTimeout),
 		},
 		"services": []any{
-			classSettings(r, Idempotent),
-			classSettings(r, IdempotentByKey),
-			classSettings(r, NonIdempotent),
+			classSettings(p, Idempotent),
+			classSettings(p, IdempotentByKey),
+			classSettings(p, NonIdempotent),
 		},
 		"orgs": []any{},
 	}
 }
 
-// senderConfig is the configuration file of one sender.
+// senderConfig returns the content of one sender's configuration file.
 func senderConfig(spec ProcessSpec, discoveryAddr, statePath string) map[string]any {
 	return map[string]any{
 		"name":      fmt.Sprintf("n%d", spec.Number),
@@ -129,6 +130,6 @@
 			"disk_mb":   senderDiskMB,
 		},
 		"known":    spec.Known,
-		"settings": senderSettings(spec.Rules, spec.Senders, spec.Number, spec.Agent.pollsEndpointList),
+		"settings": senderSettings(spec.Parameters, spec.Senders, spec.Number, spec.Agent.pollsEndpointList),
 	}
 }
--- a/internal/emulator/shim.go
+++ b/internal/emulator/shim.go
@@ -160,13 +160,13 @@
 // shimListener is the listener for clients with faults.
 type shimListener struct {
 	net.Listener
-	shims   shimSchedule
-	accepts *atomic.Uint32 // begun so far
+	shims       shimSchedule
+	acceptCalls *atomic.Uint32 // begun so far
 }
 
 // Accept fails every second time while it has a fault, by each error in turn.
 func (l shimListener) Accept() (net.Conn, error) {
-	if number := int(l.accepts.Add(1)); number%2 == 1 && l.shims.active(ShimAccept) {
+	if number := int(l.acceptCalls.Add(1)); number%2 == 1 && l.shims.active(ShimAccept) {
 		errno := acceptErrors[number/2%len(acceptErrors)]
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", errno)}
 	}
@@ -199,12 +199,12 @@
 		return os.ReadFile(path)
 	}
 	env.WrapListener = func(l net.Listener) net.Listener {
-		return shimListener{Listener: l, shims: s, accepts: new(atomic.Uint32)}
+		return shimListener{Listener: l, shims: s, acceptCalls: new(atomic.Uint32)}
 	}
-	var connects atomic.Uint32
+	var connectCalls atomic.Uint32
 	env.Control = func(string, string, syscall.RawConn) error {
 		if s.active(ShimConnect) {
-			return os.NewSyscallError("connect", connectErrors[int(connects.Add(1))%len(connectErrors)])
+			return os.NewSyscallError("connect", connectErrors[int(connectCalls.Add(1))%len(connectErrors)])
 		}
 		return nil
 	}
