--- a/internal/emulator/fault_plan.go
+++ b/internal/emulator/fault_plan.go
@@ -6,22 +6,26 @@
 	"time"
 )
 
-// Every figure here and the order of the draws are part of what a seed means; TestPlansOfASeedAreAsRecorded pins them.
+// All values in this file and the order of the draws determine the plan of a seed; TestPlansOfASeedAreAsRecorded checks
+// that the plans stay the same.
+//
+// Faults begin in waves, that is groups of two or three faults that begin at about the same time, so that they overlap.
 const (
-	planStream    = 0x736f616b              // the random stream of plans, apart from those of clients
-	firstWave     = 1500 * time.Millisecond // faults begin then,
-	waveInterval  = 3 * time.Second         // and again after each such span, two or three that overlap
-	waveJitter    = 800 * time.Millisecond
-	faultFreeTail = 2 * time.Second // no wave begins so shortly before the end of the load
+	planStream    = 0x736f616b              // selects the random stream of plans; clients draw from other streams
+	firstWave     = 1500 * time.Millisecond // the first wave begins at this time of the run
+	waveInterval  = 3 * time.Second         // from one wave to the next
+	waveJitter    = 800 * time.Millisecond  // upper bound of the delay of a fault within its wave
+	faultFreeTail = 2 * time.Second         // before the end of the load, in which no wave begins
 
-	// maxFloodedSenders is how many senders one fault floods: a flood takes descriptors of this process, too.
+	// maxFloodedSenders is the highest number of senders that one fault floods. A flood uses descriptors of the
+	// emulator's own process, too.
 	maxFloodedSenders = 3
 )
 
-// durationRange is the shortest and the longest time for which a kind of fault lasts.
+// durationRange holds the shortest and the longest duration of a kind of fault.
 type durationRange struct{ shortest, longest time.Duration }
 
-// durationRanges are those of the kinds that differ from the default.
+// durationRanges holds the durations of the kinds that differ from defaultDurationRange.
 var durationRanges = map[FaultKind]durationRange{
 	DiscoverySilent:      {2 * time.Second, 5 * time.Second},
 	EndpointsHang:        {time.Second, 5 * time.Second},
@@ -51,7 +55,7 @@
 	return plan
 }
 
-// drawFault draws the times of a fault and whom it affects.
+// drawFault draws the times of a fault and the destination or the senders that it affects.
 func drawFault(random *rand.Rand, o Options, kind FaultKind, wave time.Duration) Fault {
 	durations, known := durationRanges[kind]
 	if !known {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// FaultKind is something that goes wrong in a run. Its text is what soak's options and reports call it.
+// FaultKind is a kind of fault. Its text is the name of the kind in soak's options and reports.
 type FaultKind string
 
 // The kinds of faults. Those named Endpoints affect one destination, the others some of the senders.
@@ -43,8 +43,8 @@
 	ConnectionFlood       FaultKind = "connection floods"
 )
 
-// AllFaultKinds are the kinds that a plan is drawn from by default. The order is part of what a seed means: plans are
-// drawn by shuffling this list.
+// AllFaultKinds are the kinds from which a plan is drawn by default. Plans are drawn by shuffling this list, so its
+// order determines the plan of a seed.
 var AllFaultKinds = []FaultKind{
 	EndpointsHang, EndpointsFail, EndpointsUnavailable, EndpointsRateLimit, EndpointsReset, EndpointsMalformed,
 	EndpointsReplaced, LinksConnectLate, LinksCut, LinksReset, LinksFragmented, ClientsFragmented, DiscoverySilent,
@@ -53,8 +53,8 @@
 	AcceptFails, ConnectFails, OpenFails, ConnectionFlood,
 }
 
-// formerKindNames are the names that kinds had in soak's options before; they are still accepted, as write-ups of
-// earlier runs quote them.
+// formerKindNames maps the former names of kinds in soak's options to the kinds. They are still accepted, because
+// write-ups of earlier runs quote them.
 var formerKindNames = map[string]FaultKind{
 	"endpoints are shut":            EndpointsUnavailable,
 	"endpoints tell waits":          EndpointsRateLimit,
@@ -70,7 +70,7 @@
 	"clients crowd":                 ConnectionFlood,
 }
 
-// ParseFaultKind is the kind with a name, present or former.
+// ParseFaultKind returns the kind with a name, which may be a former one.
 func ParseFaultKind(name string) (FaultKind, error) {
 	for _, kind := range AllFaultKinds {
 		if string(kind) == name {
@@ -80,10 +80,10 @@
 	if kind, found := formerKindNames[name]; found {
 		return kind, nil
 	}
-	return "", fmt.Errorf("no fault is called %q; there are: %v", name, AllFaultKinds)
+	return "", fmt.Errorf("unknown kind of fault %q; the kinds are %v", name, AllFaultKinds)
 }
 
-// shimKindOf is the shim that injects a kind of fault into a sender's own process.
+// shimKindOf holds the shim that injects a kind of fault into a sender's own process.
 var shimKindOf = map[FaultKind]ShimKind{
 	ClockForward:   ShimWallStep,
 	ClockBackward:  ShimWallStep,
@@ -95,7 +95,7 @@
 	OpenFails:      ShimRead,
 }
 
-// behaviourOf is how the endpoints of an affected destination behave.
+// behaviourOf holds the behaviour of the affected destination's endpoints during a kind of fault.
 var behaviourOf = map[FaultKind]Behaviour{
 	EndpointsHang:        Hanging,
 	EndpointsFail:        Failing,
@@ -105,7 +105,7 @@
 	EndpointsMalformed:   Malformed,
 }
 
-// linkFaultOf is what the links between affected senders and all endpoints do.
+// linkFaultOf holds the fault of the links between the affected senders and all endpoints during a kind of fault.
 var linkFaultOf = map[FaultKind]LinkFault{
 	LinksConnectLate: LinkConnectsLate,
 	LinksCut:         LinkCut,
@@ -113,13 +113,13 @@
 	LinksFragmented:  LinkFragments,
 }
 
-// Fault is one event of a plan. Times count from the run's start.
+// Fault is one fault of a plan. Its times count from the run's start.
 type Fault struct {
 	Kind        FaultKind
 	From, Until time.Duration
-	Destination int           // for kinds that affect one
-	Senders     []int         // for kinds that affect senders
-	Step        time.Duration // of the clock, for kinds that set it
+	Destination int           // the affected destination, for kinds that affect one
+	Senders     []int         // the affected senders, for kinds that affect senders
+	Step        time.Duration // the step of the clock, for kinds that set it
 }
 
 func (f Fault) String() string {
@@ -133,10 +133,11 @@
 	return fmt.Sprintf("%s, destination %d", text, f.Destination)
 }
 
-// activeAt reports whether a fault lasts at a time.
+// activeAt reports whether the fault is active at a time.
 func (f Fault) activeAt(at time.Duration) bool { return f.From <= at && at < f.Until }
 
-// signalRandom draws what the plan leaves open in a fault that sends signals to a sender.
+// signalRandom returns the random numbers for what the plan does not fix in a fault that signals a sender: the number,
+// the kinds and the times of the signals. They depend only on the seed, the sender and the fault's start.
 func (f Fault) signalRandom(seed uint64, sender int) *rand.Rand {
 	return rand.New(rand.NewPCG(seed+uint64(sender)<<32, uint64(f.From)))
 }
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// History is everything that the stand-ins saw in a run. It is safe for concurrent use.
+// History holds everything that the stand-ins observed in a run. It is safe for concurrent use.
 type History struct {
 	start atomic.Pointer[time.Time]
 
@@ -19,27 +19,27 @@
 	badPeers          []BadPeer
 	refusals          []Refusal
 	silences          []Silence
-	counters          map[string]int // of the senders' own figures, summed over all processes at their end
+	counters          map[string]int // sums of the senders' own metrics, read at the end of the run
 }
 
-// NewHistory begins a run.
+// NewHistory returns an empty history whose times count from now.
 func NewHistory() *History {
 	h := &History{submissions: map[string]*Submission{}, counters: map[string]int{}}
 	h.begin(time.Now())
 	return h
 }
 
-// begin sets the time from which all others are counted.
+// begin sets the start of the run, from which all times are counted.
 func (h *History) begin(start time.Time) { h.start.Store(&start) }
 
-// Now is the time since the run's start.
+// Now returns the time since the run's start.
 func (h *History) Now() time.Duration { return time.Since(*h.start.Load()) }
 
 // RecordSubmission records a request that has been written completely.
 func (h *History) RecordSubmission(s Submission) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if known := h.submissions[s.ID]; known != nil { // written again on a new connection, as the first one had ended
+	if known := h.submissions[s.ID]; known != nil { // written again on a new connection, as the first one was closed
 		known.FreshConnection = s.FreshConnection
 		return
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-// RecordClose records that a fresh connection ended without an answer to its first request.
+// RecordClose records that a fresh connection was closed without an answer to its first request.
 func (h *History) RecordClose(id string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// RecordTimeout records that a request had no answer in the time for which its client waits.
+// RecordTimeout records that a request got no answer before its client's timeout.
 func (h *History) RecordTimeout(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// BeginAttempt records a call's arrival.
+// BeginAttempt records the arrival of an attempt, and returns it for EndAttempt.
 func (h *History) BeginAttempt(a Attempt) *Attempt {
 	a.At = h.Now()
 	h.mu.Lock()
@@ -82,14 +82,14 @@
 	return &a
 }
 
-// AttemptEnd is how a call ended.
+// AttemptEnd describes how an attempt ended.
 type AttemptEnd struct {
-	Status     int  // 0 if its connection ended
+	Status     int  // of the answer; 0 if there was none
 	MayHaveRun bool // the endpoint did the work, or may have done it
 	RetryAfter time.Duration
 }
 
-// EndAttempt records how a call ended. Only the first end counts.
+// EndAttempt records how an attempt ended. Only the first end of an attempt is kept.
 func (h *History) EndAttempt(a *Attempt, end AttemptEnd) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -106,7 +106,7 @@
 	h.notices = append(h.notices, n)
 }
 
-// RecordIncarnationEvent records a phase of a sender's process.
+// RecordIncarnationEvent records that a sender's process has reached a phase.
 func (h *History) RecordIncarnationEvent(sender int, phase IncarnationPhase, detail string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,21 +114,21 @@
 	h.incarnationEvents = append(h.incarnationEvents, event)
 }
 
-// RecordListChange records that an endpoint drains or is gone, as a sender learns it.
+// RecordListChange records from when on a sender has to honour that an endpoint drains or is deleted.
 func (h *History) RecordListChange(c ListChange) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.listChanges = append(h.listChanges, c)
 }
 
-// RecordBadPeer records how a bad peer fared.
+// RecordBadPeer records when a bad peer connected and when it was released.
 func (h *History) RecordBadPeer(p BadPeer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.badPeers = append(h.badPeers, p)
 }
 
-// SetSilent records that a sender's agent falls silent, or that it answers again.
+// SetSilent records that a sender's agent becomes silent, or that it answers again.
 func (h *History) SetSilent(sender int, silent bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,14 +143,14 @@
 	}
 }
 
-// RecordRefusal records a connection that a sender did not accept, at the time at which it was tried.
+// RecordRefusal records a connection that a sender did not accept, with the time at which it was dialled.
 func (h *History) RecordRefusal(sender int, dialled time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.refusals = append(h.refusals, Refusal{Sender: sender, At: dialled.Sub(*h.start.Load())})
 }
 
-// AddCounter adds to the sum of a figure that the senders report.
+// AddCounter adds to the sum of a metric that the senders report.
 func (h *History) AddCounter(name string, n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/emulator/incarnations.go
+++ b/internal/emulator/incarnations.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// The queries of this file answer what a sender's processes were doing at a time. Callers hold the history's mutex.
+// The functions of this file report what a sender's processes were doing at a time. Callers hold the history's mutex.
 
 const (
-	// clockSkew is how late an event may be recorded: the end of an abandoned call's connection, or a process's phase.
+	// clockSkew is the longest delay with which an event is recorded, such as the close of an abandoned call's
+	// connection or a process's phase.
 	clockSkew = 50 * time.Millisecond
-	// restartGrace is how long after it is ready again a sender's notices are not overdue.
+	// restartGrace is the time after a restarted sender is ready in which its notices are not overdue yet.
 	restartGrace = 1500 * time.Millisecond
-	// listPropagationTime is what a process needs to learn what its agent knows.
+	// listPropagationTime is the time that a process needs to learn what its agent knows.
 	listPropagationTime = 300 * time.Millisecond
 
-	// never stands for an end that has not come.
+	// never is the time of an event that did not happen.
 	never = time.Duration(math.MaxInt64)
 )
 
-// downtime is a span in which a sender was restarting, up to restartGrace after it was ready again.
+// downtime is a span in which a sender was restarting. It lasts until restartGrace after the sender was ready again.
 type downtime struct{ from, until time.Duration }
 
-// downtimes are all of a sender's.
+// downtimes returns all downtimes of a sender, in order of time.
 func (h *History) downtimes(sender int) []downtime {
 	var spans []downtime
 	for _, event := range h.incarnationEvents {
@@ -45,25 +46,26 @@
 	return spans
 }
 
-// acceptsConnections reports whether a sender was ready at a time and had not been sent SIGTERM.
+// acceptsConnections reports whether a sender was ready at a time, and its process had not been sent SIGTERM.
 func (h *History) acceptsConnections(sender int, at time.Duration) bool {
 	return h.inPhase(sender, at, Ready, Terminated, Killed, Exited)
 }
 
-// isServing reports whether a sender had a process at a time that had been ready, terminating or not.
+// isServing reports whether a sender had a process at a time that had become ready. The process may be terminating.
 func (h *History) isServing(sender int, at time.Duration) bool {
 	return h.inPhase(sender, at, Ready, Killed, Exited)
 }
 
-// hasProcess reports whether a sender has a process from a time on for as long as it takes to learn what its agent
-// knows.
+// hasProcess reports whether a sender has a process at a time, and still has one listPropagationTime later, when the
+// process has learned what its agent knows.
 func (h *History) hasProcess(sender int, at time.Duration) bool {
 	return h.inPhase(sender, at, Started, Killed, Exited) &&
 		h.inPhase(sender, at+listPropagationTime, Started, Killed, Exited)
 }
 
-// inPhase reports whether, of a phase that begins a state and those that end it, a sender reached the beginning last.
-// An end counts although it was recorded up to clockSkew later.
+// inPhase reports whether a sender is in a state at a time, given the phase that begins the state and the phases that
+// end it: it is if the last of these phases that it reached is the beginning one. An end counts even if it was recorded
+// up to clockSkew after the time.
 func (h *History) inPhase(sender int, at time.Duration, begins IncarnationPhase, ends ...IncarnationPhase) bool {
 	in := false
 	for _, event := range h.incarnationEvents {
@@ -80,7 +82,8 @@
 	return in
 }
 
-// silenceEnd is when the silence of a sender's agent at a time ends; false if the agent is not silent then.
+// silenceEnd reports whether a sender's agent is silent at a time or becomes silent within listPropagationTime, and
+// returns when that silence ends.
 func (h *History) silenceEnd(sender int, at time.Duration) (until time.Duration, silent bool) {
 	for _, s := range h.silences {
 		if s.Sender == sender && s.From < at+listPropagationTime && (s.Until == 0 || s.Until > at) {
@@ -93,9 +96,10 @@
 	return 0, false
 }
 
-// bindingTime is from when on a change binds a sender whose agent knows it from a time on. That is at once if a process
-// runs then, whether or not the agent goes on to answer or a watch is open. Otherwise it is with the next process or,
-// where the agent is silent when that begins, with the end of the silence, as no process could know before.
+// effectiveTime returns the time from which on a sender has to honour a change that its agent knows from a time on. If
+// the sender has a process then, that is the same time, whether or not the agent still answers and a watch is open.
+// Otherwise it is when the next process starts or, if the agent is silent then, when the silence ends, as no process
+// can learn the change earlier.
 func (h *History) effectiveTime(sender int, known time.Duration) time.Duration {
 	if h.hasProcess(sender, known) {
 		return known
--- a/internal/emulator/injection.go
+++ b/internal/emulator/injection.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	drainDuration        = 1500 * time.Millisecond // of a replaced endpoint, until it is gone
-	maxReloads           = 4                       // in a row,
-	minReloadInterval    = 200 * time.Millisecond  // so far apart
-	reloadIntervalJitter = 400 * time.Millisecond  // and up to so much further
-	maxSignalOffset      = 120 * time.Millisecond  // between a SIGTERM and the signals beside it
+	drainDuration        = 1500 * time.Millisecond // from the drain of a replaced endpoint to its deletion
+	maxReloads           = 4                       // in one series
+	minReloadInterval    = 200 * time.Millisecond  // between two reloads of a series
+	reloadIntervalJitter = 400 * time.Millisecond  // upper bound of what is added to minReloadInterval
+	maxSignalOffset      = 120 * time.Millisecond  // between a SIGTERM and the signals that accompany it
 )
 
-// behaviour is how the endpoints of a destination behave now.
+// behaviour returns the current behaviour of a destination's endpoints.
 func (r *runner) behaviour(destination int) Behaviour {
 	now := r.history.Now()
 	for _, f := range r.plan {
@@ -29,7 +29,7 @@
 	return Healthy
 }
 
-// linkFault is what the links of a sender to endpoints do now.
+// linkFault returns the current fault of a sender's links to endpoints.
 func (r *runner) linkFault(sender int) LinkFault {
 	now := r.history.Now()
 	for _, f := range r.plan {
@@ -40,7 +40,7 @@
 	return LinkHealthy
 }
 
-// clientFault is what the link of clients to a sender does now.
+// clientFault returns the current fault of the link between clients and a sender.
 func (r *runner) clientFault(sender int) LinkFault {
 	if r.isAffected(sender, r.history.Now(), ClientsFragmented) {
 		return LinkFragments
@@ -48,7 +48,8 @@
 	return LinkHealthy
 }
 
-// inject carries out a fault that is not simply a state of the stand-ins or a shim.
+// inject waits for the start of a fault and carries it out. It does nothing for faults that stand-ins look up in the
+// plan themselves, or that shims inject.
 func (r *runner) inject(f Fault) {
 	r.sleepUntil(f.From)
 	switch f.Kind {
@@ -81,20 +82,20 @@
 	}
 }
 
-// restart ends a sender's process and starts the next one, unless that is under way.
-func (r *runner) restart(sender int, end func() error) {
+// restart stops a sender's process and starts the next one, unless a restart or an upgrade is in progress already.
+func (r *runner) restart(sender int, stop func() error) {
 	if !r.restartLocks[sender].TryLock() {
 		return
 	}
 	defer r.restartLocks[sender].Unlock()
-	r.recordError(end())
+	r.recordError(stop())
 	time.Sleep(restartPause)
 	r.startLocks[sender].Lock()
 	defer r.startLocks[sender].Unlock()
 	r.recordError(r.processes[sender].Start())
 }
 
-// kill restarts a sender by SIGKILL.
+// kill kills a sender's process by SIGKILL and starts the next one.
 func (r *runner) kill(sender int) {
 	r.restart(sender, func() error {
 		r.processes[sender].Kill()
@@ -102,7 +103,8 @@
 	})
 }
 
-// killAtAnswer kills a sender right after its next answer that accepts a message.
+// killAtAnswer kills a sender's process right after its next answer that accepts a message, and starts the next
+// process. It does nothing if there is no such answer before a time.
 func (r *runner) killAtAnswer(sender int, until time.Duration) {
 	select {
 	case <-r.clients[sender].nextAccepted():
@@ -111,8 +113,8 @@
 	}
 }
 
-// terminate restarts a sender by SIGTERM, which may come amid other signals. Clients use every connection that stays
-// open until the process is gone.
+// terminate stops a sender's process by SIGTERM and starts the next one. Other signals may be sent shortly before and
+// after the SIGTERM. Clients use every connection that stays open until the process has exited.
 func (r *runner) terminate(sender int, random *rand.Rand) {
 	reloadsBefore, reloadsAfter, terminatesAgain := random.IntN(3) == 0, random.IntN(2) == 0, random.IntN(3) == 0
 	r.restart(sender, func() error {
@@ -144,7 +146,8 @@
 	})
 }
 
-// upgrade starts a sender's next process beside the one that runs, where it has a socket to pass, and ends that.
+// upgrade starts a sender's next process while the current one still runs, and then stops the latter. It does nothing
+// if the sender's processes are not passed a socket, or if a restart or an upgrade is in progress already.
 func (r *runner) upgrade(sender int) {
 	if !r.processes[sender].passesSocket() || !r.restartLocks[sender].TryLock() {
 		return
@@ -164,7 +167,8 @@
 	clientLoop.Wait()
 }
 
-// reloadInSeries reloads a sender's configuration one to four times in a row; most reloads move discovery.
+// reloadInSeries reloads a sender's configuration one to four times, one after another. Most of the reloads move the
+// agent to a new address.
 func (r *runner) reloadInSeries(sender int, random *rand.Rand) {
 	for range 1 + random.IntN(maxReloads) {
 		r.recordError(r.reload(sender, random.IntN(4) > 0))
@@ -172,8 +176,9 @@
 	}
 }
 
-// reload reloads a sender's configuration, unless it is just starting. Where that moves discovery, the old address
-// accepts no new connections any more and ends a moment later.
+// reload reloads a sender's configuration, unless the sender is being started or its process is too young for a SIGHUP.
+// If it moves the agent to a new address, the old address stops accepting connections, and the open ones are closed
+// after oldAddressLinger.
 func (r *runner) reload(sender int, movesDiscovery bool) error {
 	if !r.startLocks[sender].TryLock() {
 		return nil
@@ -198,7 +203,8 @@
 	return err
 }
 
-// replaceEndpoints drains the endpoints of a destination one after another and puts new ones in their place.
+// replaceEndpoints adds a new endpoint for each endpoint of a destination and drains the old ones. It deletes them from
+// the lists after drainDuration.
 func (r *runner) replaceEndpoints(f Fault) error {
 	old := r.endpointsOf(f.Destination)
 	for n, e := range old {
@@ -221,7 +227,7 @@
 	return nil
 }
 
-// endpointsOf is all endpoints that a destination has had.
+// endpointsOf returns all endpoints that a destination has had in the run so far, including deleted ones.
 func (r *runner) endpointsOf(destination int) []*Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -234,7 +240,7 @@
 	return endpoints
 }
 
-// linkAddr is where a sender reaches an endpoint.
+// linkAddr returns the address at which a sender reaches an endpoint.
 func (r *runner) linkAddr(e *Endpoint, sender int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
