--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The invariants, by the names with which violations are reported.
+// The names of the invariants, with which violations are reported.
 const (
 	ruleLost        = "lost"
 	ruleUnanswered  = "unanswered"
@@ -26,13 +26,13 @@
 	ruleBody        = "body"
 	ruleResent      = "resent"
 
-	// ruleProcess is for what the runner could not do.
+	// ruleProcess is the name for operations of the runner that failed, such as the start of a process.
 	ruleProcess = "process"
-	// senderRulePrefix is put before the rules that senders log as violated themselves.
+	// senderRulePrefix is the prefix of the names of invariants that the senders check and log as violated themselves.
 	senderRulePrefix = "sender invariant "
 )
 
-// Violation is one breach of an invariant.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Rule   string
 	At     time.Duration
@@ -43,35 +43,37 @@
 	return fmt.Sprintf("%8.3fs %-10s %s", v.At.Seconds(), v.Rule, v.Detail)
 }
 
-// violationf is a violation with a formatted detail.
+// violationf returns a violation with a formatted detail.
 func violationf(rule string, at time.Duration, format string, args ...any) Violation {
 	return Violation{Rule: rule, At: at, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Outage is a span in which all endpoints of a destination hung, failed, were unavailable or reset connections.
+// Outage is a span in which all endpoints of a destination hang, fail, are unavailable or reset connections.
 type Outage struct {
 	Destination int
 	From, Until time.Duration
 }
 
-// RunFacts is what a run's plan adds to its history. A function that is nil reports false.
+// RunFacts holds what Check needs to know about a run in addition to its history. A function that is nil stands for one
+// that always reports false.
 type RunFacts struct {
 	Parameters Parameters
 	Tolerance  time.Duration // for delays of the machine itself
 	Outages    []Outage
-	Capacity   []float64 // calls per second that each destination can take when warm
+	Capacity   []float64 // calls per second that each destination can take when it is warmed up
 	End        time.Duration
 
-	// OutcomeUncertain reports whether answers may not reach a sender at a time, or its disk takes no writes.
+	// OutcomeUncertain reports whether, at a time, answers may not reach a sender or its disk rejects writes.
 	OutcomeUncertain func(sender int, at time.Duration) bool
-	// Impaired reports whether a sender's machine keeps it from accepting or answering clients at a time.
+	// Impaired reports whether, at a time, faults of its machine prevent a sender from accepting or answering clients.
 	Impaired func(sender int, at time.Duration) bool
-	// Flooded reports whether idle connections take the places of others at a time. New connections may be closed
-	// unread then.
+	// Flooded reports whether, at a time, the idle connections of a connection flood use up a sender's descriptors. The
+	// sender may close new connections then without reading from them.
 	Flooded func(sender int, at time.Duration) bool
 }
 
-// impairedBetween reports whether a sender is impaired at some time from one to another, as sampled.
+// impairedBetween reports whether a sender is impaired at some time of a span, by samples every
+// impairmentSampleInterval.
 func (f RunFacts) impairedBetween(sender int, from, until time.Duration) bool {
 	if f.Impaired == nil {
 		return false
@@ -84,12 +86,12 @@
 	return false
 }
 
-// arrivedInFlood reports whether a submission came on a new connection amid a connection flood.
+// arrivedInFlood reports whether a submission was made on a new connection and a connection flood is active at a time.
 func (f RunFacts) arrivedInFlood(s *Submission, at time.Duration) bool {
 	return s.FreshConnection && f.Flooded != nil && f.Flooded(s.Sender, at)
 }
 
-// invariants are all that a run is checked by. They run with the history's mutex held.
+// invariants are the checks of all invariants. They are called with the history's mutex held.
 var invariants = []func(*History, RunFacts) []Violation{
 	checkLost,
 	checkUnanswered,
@@ -108,7 +110,7 @@
 	checkResent,
 }
 
-// Check judges a run by all invariants. Violations come in order of time.
+// Check checks a run by all invariants and returns the violations in order of time.
 func Check(h *History, f RunFacts) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/emulator/invariants_client.go
+++ b/internal/emulator/invariants_client.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// The invariants of this file are about a sender as its clients see it.
+// The invariants of this file concern a sender's behaviour towards its clients.
 
 const (
-	// impairmentGrace is how long after an impairment what has waited meanwhile is answered.
+	// impairmentGrace is the time after an impairment in which a sender answers the requests that have waited during
+	// it.
 	impairmentGrace = 500 * time.Millisecond
-	// impairmentSampleInterval is the interval at which a span is looked at for impairments.
+	// impairmentSampleInterval is the interval at which a span is sampled for impairments.
 	impairmentSampleInterval = 50 * time.Millisecond
-	// floodDrainTime is how long after a connection flood the queue of new connections is worked off.
+	// floodDrainTime is the time after a connection flood in which a sender works off its queue of new connections.
 	floodDrainTime = 500 * time.Millisecond
 )
 
-// checkUnanswered: a request that has been written on a fresh connection is answered while the sender runs.
+// checkUnanswered checks that a sender answers each request that was written completely on a fresh connection, while
+// the sender accepts connections and there is no connection flood.
 func checkUnanswered(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for id, s := range h.submissions {
@@ -21,16 +23,17 @@
 			h.acceptsConnections(s.Sender, s.SentAt) && h.acceptsConnections(s.Sender, s.ClosedAt) &&
 			!f.arrivedInFlood(s, s.SentAt) && !f.arrivedInFlood(s, s.ClosedAt) {
 			found = append(found, violationf(ruleUnanswered, s.ClosedAt,
-				"%s: sender %d closed a fresh connection: %s, written at %.3fs",
+				"%s: sender %d closed a fresh connection without an answer: %s; the request was written at %.3fs",
 				id, s.Sender, s.CloseError, s.SentAt.Seconds()))
 		}
 	}
 	return found
 }
 
-// checkAnswerTime: a request has its answer, or the end of its connection, while its client waits, if the sender has a
-// ready process, also one that is terminating, and its machine is not impaired. Nobody need accept a new connection
-// once the process is terminating.
+// checkAnswerTime checks that a sender answers each request, or closes its connection, before the client's timeout. It
+// applies if the sender has a process that is ready, even one that is terminating, and is not impaired by its machine.
+// For requests on fresh connections the process must not be terminating, as it need not accept new connections then,
+// and there must be no connection flood.
 func checkAnswerTime(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for id, s := range h.submissions {
@@ -44,13 +47,14 @@
 		}
 		if !f.arrivedInFlood(s, s.SentAt) && !f.impairedBetween(s.Sender, s.SentAt-impairmentGrace, until) {
 			found = append(found, violationf(ruleSlow, s.SentAt,
-				"%s: sender %d does not answer within %v", id, s.Sender, f.Parameters.AnswerTimeout))
+				"%s: sender %d did not answer within %v", id, s.Sender, f.Parameters.AnswerTimeout))
 		}
 	}
 	return found
 }
 
-// checkBadPeers: a peer that sends no request gets an error or a close in time while the sender runs.
+// checkBadPeers checks that a sender answers a peer that sends no complete request with an error, or closes its
+// connection, within badPeerReleaseTime, while the sender accepts connections.
 func checkBadPeers(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for _, p := range h.badPeers {
@@ -58,13 +62,13 @@
 		if late && h.acceptsConnections(p.Sender, p.OpenedAt) &&
 			h.acceptsConnections(p.Sender, p.OpenedAt+badPeerReleaseTime) {
 			found = append(found, violationf(ruleBadPeer, p.OpenedAt,
-				"sender %d does not release a peer (%s) for %v", p.Sender, p.Kind, p.ReleasedAt-p.OpenedAt))
+				"sender %d did not release a bad peer (%s) in time: %v", p.Sender, p.Kind, p.ReleasedAt-p.OpenedAt))
 		}
 	}
 	return found
 }
 
-// checkIncarnations: no process exits unexpectedly, and each is ready in time.
+// checkIncarnations checks that no process exits unexpectedly, and that each is ready within readyWithin.
 func checkIncarnations(h *History, _ RunFacts) []Violation {
 	var found []Violation
 	started := map[int]time.Duration{}
@@ -82,12 +86,12 @@
 	return found
 }
 
-// checkListening: a sender that runs accepts connections.
+// checkListening checks that a sender accepts connections while it is ready and has not been sent SIGTERM.
 func checkListening(h *History, _ RunFacts) []Violation {
 	var found []Violation
 	for _, r := range h.refusals {
 		if h.acceptsConnections(r.Sender, r.At) {
-			found = append(found, violationf(ruleListening, r.At, "sender %d runs and accepts no connection", r.Sender))
+			found = append(found, violationf(ruleListening, r.At, "ready sender %d refused a connection", r.Sender))
 		}
 	}
 	return found
--- a/internal/emulator/invariants_endpoint.go
+++ b/internal/emulator/invariants_endpoint.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// The invariants of this file are about how senders treat endpoints: drains, Retry-After, slow start.
+// The invariants of this file concern the senders' behaviour towards endpoints: drains, Retry-After and slow start.
 
-// retryAfterGrace is how soon after a received wait calls may still arrive.
+// retryAfterGrace is the time after an answer with a wait in which calls may still arrive.
 const retryAfterGrace = 100 * time.Millisecond
 
-// checkDrains: no call goes to an endpoint later than its grace period after the sender has to know that it drains,
-// which it has from when its agent knows.
+// checkDrains checks that a sender calls no endpoint later than the grace period after it has to know that the endpoint
+// drains. By effectiveTime, that is as soon as its agent knows, if the sender has a process.
 func checkDrains(h *History, f RunFacts) []Violation {
 	type route struct {
 		sender   int
@@ -22,9 +22,9 @@
 	}
 	drained := map[route]time.Duration{}
 	for _, c := range h.listChanges {
-		binds := h.effectiveTime(c.Sender, c.EffectiveAt)
-		if at, known := drained[route{c.Sender, c.Endpoint}]; !known || binds < at {
-			drained[route{c.Sender, c.Endpoint}] = binds
+		effectiveAt := h.effectiveTime(c.Sender, c.EffectiveAt)
+		if at, known := drained[route{c.Sender, c.Endpoint}]; !known || effectiveAt < at {
+			drained[route{c.Sender, c.Endpoint}] = effectiveAt
 		}
 	}
 	var found []Violation
@@ -32,15 +32,15 @@
 		at, known := drained[route{a.Sender, a.Endpoint}]
 		if known && a.sentAt()-f.Tolerance-f.Parameters.DrainGrace-f.Parameters.Slack > at {
 			found = append(found, violationf(ruleDrain, a.At,
-				"%s: sender %d calls %s %.3fs after it had to know the drain",
+				"%s: sender %d called %s %.3fs after it had to know of the drain",
 				a.ID, a.Sender, a.Endpoint, (a.sentAt()-at).Seconds()))
 		}
 	}
 	return found
 }
 
-// checkRetryAfter: no call goes to a destination while a wait that the sender received from it lasts. A restart ends
-// the wait.
+// checkRetryAfter checks that a sender calls no destination during a wait that it received from that destination. A
+// restart of the sender ends the wait.
 func checkRetryAfter(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for _, limited := range h.attempts {
@@ -55,7 +55,7 @@
 			}
 			if !h.startedBetween(a.Sender, limited.EndedAt, a.At) {
 				found = append(found, violationf(ruleRetryAfter, a.At,
-					"%s: sender %d calls destination %d %.3fs into a wait of %v",
+					"%s: sender %d called destination %d %.3fs into a wait of %v",
 					a.ID, a.Sender, a.Destination, after.Seconds(), limited.RetryAfter))
 			}
 		}
@@ -63,14 +63,15 @@
 	return found
 }
 
-// arrival is a call at a destination that has returned from an outage.
+// arrival is a call that reached a destination after an outage.
 type arrival struct {
 	at     time.Duration
 	sender int
 }
 
-// checkSlowStart: a destination that returns from an outage does not get more calls than it can take, if over two
-// thirds of them are from senders that had seen a call fail.
+// checkSlowStart checks that a destination does not get more calls after an outage than it can take. It counts a window
+// only if over two thirds of its calls are from senders that had a call fail in the outage, as the others cannot know
+// of the outage.
 func checkSlowStart(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for _, o := range f.Outages {
@@ -82,8 +83,8 @@
 	return found
 }
 
-// callsAround returns the calls that reach a destination while it warms up after an outage, in order of time, and the
-// senders that had seen a call fail in the outage.
+// callsAfter returns the calls that reached a destination while it warmed up after an outage, in order of time, and the
+// senders that had a call fail in the outage.
 func (h *History) callsAfter(o Outage, warmUp time.Duration) (arrivals []arrival, sawFailure map[int]bool) {
 	sawFailure = map[int]bool{}
 	seen := map[string]bool{}
@@ -104,7 +105,7 @@
 	return arrivals, sawFailure
 }
 
-// firstOverload is the first window of calls that is more than a destination can take.
+// firstOverload returns a violation for the first window with more calls than a destination can take after an outage.
 func (f RunFacts) firstOverload(o Outage, arrivals []arrival, sawFailure map[int]bool) (v Violation, overloaded bool) {
 	for first := range arrivals {
 		calls, informedCalls := 0, 0
@@ -120,16 +121,17 @@
 		}
 		if allowed := f.allowedCalls(o, end); float64(calls) > allowed && 3*informedCalls > 2*calls {
 			return violationf(ruleSlowStart, arrivals[first].at,
-				"destination %d gets %d calls in %v from %.3fs after its return, %d of them from senders that knew; "+
-					"it can take %.1f", o.Destination, calls, f.Parameters.OverloadWindow,
+				"destination %d got %d calls within %v, from %.3fs after its outage, %d of them from senders that "+
+					"had a call fail in it; it can take %.1f", o.Destination, calls, f.Parameters.OverloadWindow,
 				(arrivals[first].at - o.Until).Seconds(), informedCalls, allowed), true
 		}
 	}
 	return Violation{}, false
 }
 
-// allowedCalls is how many calls a destination can take in the window that ends at a time after its outage, with room
-// for chance: senders that keep to it on average may exceed it by some standard deviations.
+// allowedCalls returns how many calls a destination may get in the window that ends at a time after its outage. It adds
+// a margin for random variation: senders that keep to the limit on average may exceed it by 2 or 3 standard deviations
+// in a window.
 func (f RunFacts) allowedCalls(o Outage, end time.Duration) float64 {
 	warm := min(1, (end-o.Until).Seconds()/f.Parameters.WarmUpTime.Seconds())
 	share := f.Parameters.InitialCapacityShare + (1-f.Parameters.InitialCapacityShare)*warm
--- a/internal/emulator/invariants_message.go
+++ b/internal/emulator/invariants_message.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// The invariants of this file are about a message's way: it is delivered or ended by a notice, and not run too often.
+// The invariants of this file concern messages: each is delivered or ended by a notice, and takes effect no more often
+// than its class allows.
 
 const (
-	// noticeGrace is how long after its time is up a message has to have its end.
+	// noticeGrace is the time after its deadline within which a message has to end.
 	noticeGrace = 300 * time.Millisecond
-	// resendGrace covers an answer that is lost on its way, so that its call is repeated.
+	// resendGrace is the time after a message's end in which it may still be sent, as the sender repeats a call whose
+	// answer was lost.
 	resendGrace = 500 * time.Millisecond
-	// persistGrace is the time within which a sender writes down what it learns, if its disk works.
+	// persistGrace is the time within which a sender journals what it learns, if its disk works.
 	persistGrace = 400 * time.Millisecond
 )
 
-// attemptsBy groups the attempts by a key, in order of arrival.
+// attemptsBy groups the attempts by a key. Each group is in order of arrival.
 func (h *History) attemptsBy(key func(*Attempt) string) map[string][]*Attempt {
 	groups := map[string][]*Attempt{}
 	for _, a := range h.attempts {
@@ -22,7 +24,7 @@
 	return groups
 }
 
-// messageKey is the key of the message that an attempt is for. It stays when the message is submitted again.
+// messageKey returns the key of an attempt's message, which stays the same when the message is submitted again.
 func (h *History) messageKey(a *Attempt) string {
 	if s := h.submissions[a.ID]; s != nil {
 		return s.Key
@@ -30,7 +32,7 @@
 	return a.ID
 }
 
-// endTimes is when each message had its end first, by a notice or a delivery.
+// endTimes returns when each message ended, by its first notice or delivery.
 func (h *History) endTimes() map[string]time.Duration {
 	ended := map[string]time.Duration{}
 	recordEnd := func(id string, at time.Duration) {
@@ -49,7 +51,8 @@
 	return ended
 }
 
-// dueTime is when an accepted message has to have its end.
+// dueTime returns the latest time at which an accepted message has to end. If the sender is down then, it is the end of
+// the downtime.
 func (h *History) dueTime(s *Submission, slack time.Duration) time.Duration {
 	due := s.SentAt + s.DeliveryTimeout + noticeGrace + slack
 	for _, d := range h.downtimes(s.Sender) {
@@ -60,7 +63,7 @@
 	return due
 }
 
-// checkLost: an accepted message is delivered, or ended by a notice in time.
+// checkLost checks that each accepted message is delivered or ended by a notice in time.
 func checkLost(h *History, f RunFacts) []Violation {
 	ended := h.endTimes()
 	var found []Violation
@@ -69,23 +72,24 @@
 			continue
 		}
 		due := h.dueTime(s, f.Parameters.Slack)
-		if due > f.End-f.Tolerance { // the run is over, or the sender never came back, which counts by itself
+		if due > f.End-f.Tolerance { // the run ended first, or the sender never restarted, which is its own violation
 			continue
 		}
 		at, known := ended[id]
 		switch {
 		case !known:
 			found = append(found, violationf(ruleLost, due,
-				"%s (%s, sender %d) was accepted and never ended", id, s.Class, s.Sender))
+				"%s (%s, sender %d) was accepted, but neither delivered nor ended by a notice", id, s.Class, s.Sender))
 		case at > due+f.Tolerance:
 			found = append(found, violationf(ruleLost, due,
-				"%s (%s, sender %d) was ended %v late", id, s.Class, s.Sender, at-due))
+				"%s (%s, sender %d) ended %v late", id, s.Class, s.Sender, at-due))
 		}
 	}
 	return found
 }
 
-// checkDuplicates: no message runs again where its class, or the window of its idempotency key, forbids it.
+// checkDuplicates checks that a message is not sent again after a call that may have taken effect, if the message is
+// non-idempotent or the window of its idempotency key is over.
 func checkDuplicates(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for key, attempts := range h.attemptsBy(h.messageKey) {
@@ -101,7 +105,7 @@
 					key, a.Endpoint, (a.At-first.At).Seconds(), first.Endpoint))
 			case first != nil && a.sentAt()-first.sentAt() > f.Parameters.IdempotencyWindow+f.Parameters.Slack:
 				found = append(found, violationf(ruleDuplicate, a.At,
-					"%s repeated %.3fs after its first call, window %v",
+					"%s was repeated %.3fs after its first call, the idempotency window is %v",
 					key, (a.At-first.At).Seconds(), f.Parameters.IdempotencyWindow))
 			}
 			if first == nil && a.mayTakeEffect() {
@@ -112,7 +116,7 @@
 	return found
 }
 
-// checkConcurrent: no two calls for one message are in flight on open connections.
+// checkConcurrent checks that no two calls for one message are in flight on open connections at the same time.
 func checkConcurrent(h *History, f RunFacts) []Violation {
 	var found []Violation
 	for id, attempts := range h.attemptsBy(func(a *Attempt) string { return a.ID }) {
@@ -120,7 +124,7 @@
 			for _, earlier := range attempts[:i] {
 				if earlier.EndedAt == 0 || earlier.EndedAt > a.At+clockSkew+f.Tolerance {
 					found = append(found, violationf(ruleConcurrent, a.At,
-						"%s at %s while a call of %.3fs at %s was in flight",
+						"%s was sent to %s while the call that arrived at %.3fs at %s was in flight",
 						id, a.Endpoint, earlier.At.Seconds(), earlier.Endpoint))
 				}
 			}
@@ -129,7 +133,7 @@
 	return found
 }
 
-// checkRejected: a message that was rejected, or handed back, has not run and does not run.
+// checkRejected checks that a message that a sender rejected or handed back takes effect neither before nor after.
 func checkRejected(h *History, _ RunFacts) []Violation {
 	handedBack := map[string]bool{}
 	for _, n := range h.notices {
@@ -142,39 +146,40 @@
 		s := h.submissions[a.ID]
 		if s != nil && a.mayTakeEffect() && (s.isRejected() || handedBack[a.ID]) {
 			found = append(found, violationf(ruleRejected, a.At,
-				"%s (%s) was rejected by sender %d (status %d, handed back: %v) and is sent",
+				"%s (%s) was rejected, but sender %d sent it (status %d, handed back: %v)",
 				a.ID, s.Class, a.Sender, s.Status, handedBack[a.ID]))
 		}
 	}
 	return found
 }
 
-// checkDestinations: a message goes to its destination only, and nothing is sent that nobody submitted.
+// checkDestinations checks that a message is sent to its own destination only, and that no message is sent that was not
+// submitted.
 func checkDestinations(h *History, _ RunFacts) []Violation {
 	var found []Violation
 	for _, a := range h.attempts {
 		s := h.submissions[a.ID]
 		if s == nil || s.Destination != a.Destination {
-			found = append(found, violationf(ruleDestination, a.At, "%s came to destination %d", a.ID, a.Destination))
+			found = append(found, violationf(ruleDestination, a.At, "%s reached destination %d", a.ID, a.Destination))
 		}
 	}
 	return found
 }
 
-// checkBodies: a message arrives as it was submitted.
+// checkBodies checks that a message's body arrives as it was submitted.
 func checkBodies(h *History, _ RunFacts) []Violation {
 	var found []Violation
 	for _, a := range h.attempts {
 		if s := h.submissions[a.ID]; s != nil && a.Body != messageBody(*s) {
 			found = append(found, violationf(ruleBody, a.At,
-				"%s arrives with %q from sender %d", a.ID, a.Body, a.Sender))
+				"%s arrived with body %q from sender %d", a.ID, a.Body, a.Sender))
 		}
 	}
 	return found
 }
 
-// mayNotHavePersisted reports whether a sender may not have learnt what happened at a time, or not have written it
-// down: its answer was lost, its disk failed, or it was killed.
+// mayNotHavePersisted reports whether a sender may not have learned of an event at a time, or may not have journaled
+// it, because the answer was lost, the disk failed or the process was killed.
 func (h *History) mayNotHavePersisted(f RunFacts, sender int, at time.Duration) bool {
 	for offset := -persistGrace; offset <= persistGrace; offset += persistGrace / 4 {
 		if f.OutcomeUncertain != nil && f.OutcomeUncertain(sender, at+offset) {
@@ -184,8 +189,8 @@
 	return h.killedNear(sender, at, persistGrace)
 }
 
-// checkResent: a message that was delivered, or ended by a notice, is not sent again once the sender has written that
-// down.
+// checkResent checks that a message that was delivered, or ended by a notice, is not sent again once the sender has
+// journaled that.
 func checkResent(h *History, f RunFacts) []Violation {
 	ended := h.endTimes()
 	var found []Violation
@@ -193,7 +198,7 @@
 		at, known := ended[a.ID]
 		if known && a.sentAt() > at+resendGrace+f.Tolerance && !h.mayNotHavePersisted(f, a.Sender, at) {
 			found = append(found, violationf(ruleResent, a.At,
-				"%s ended at %.3fs, and sender %d sends it again", a.ID, at.Seconds(), a.Sender))
+				"%s ended at %.3fs, but sender %d sent it again", a.ID, at.Seconds(), a.Sender))
 		}
 	}
 	return found
