--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -19,8 +19,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Command is how a sender's process is started. Its environment has the EDGE_ variables added, and shimVariable with
-// the faults that it has to inject into itself.
+// Command describes how a sender's process is started. The EDGE_ variables are added to its environment, and
+// shimVariable with the faults that the process has to inject into itself.
 type Command struct {
 	Path string
 	Args []string
@@ -30,52 +30,53 @@
 const (
 	readyWithin       = 10 * time.Second
 	readyPollInterval = 10 * time.Millisecond
-	readyTimeout      = time.Second             // of one request
+	readyTimeout      = time.Second             // for the answer to one readiness request
 	killAfter         = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	restartPause      = 600 * time.Millisecond  // from SIGKILL to the next start
-	minReloadAge      = time.Second             // a process gets no SIGHUP for so long from its start
+	restartPause      = 600 * time.Millisecond  // from the end of a process by SIGTERM or SIGKILL to the next start
+	minReloadAge      = time.Second             // age of a process before which it gets no SIGHUP
 
-	// firstUpgradePort is the first of the admin ports that processes started by upgrades have.
+	// firstUpgradePort plus the number of an upgrade, from 1, is the admin port of the process that the upgrade starts.
 	firstUpgradePort = 9100
 )
 
-// ProcessSpec is what stays the same for all processes of a sender.
+// ProcessSpec holds what is the same for all processes of a sender.
 type ProcessSpec struct {
 	Number     int
-	Addr       string // where clients connect
+	Addr       string // address at which clients connect
 	AdminAddr  string
-	Directory  string // holds the state, the configuration and the log
+	Directory  string // directory for the state, the configuration and the log
 	Command    Command
 	Parameters Parameters
-	Senders    int // of the deployment
+	Senders    int // number of senders in the deployment
 	Agent      *Agent
-	Known      List // the list that the configuration holds
+	Known      List // endpoint list in the configuration
 	History    *History
 }
 
-// Process is one sender: its directory and addresses, and the process that runs at a time.
+// Process manages the processes of one sender, which have the same directory and addresses. One of them is the current
+// one.
 type Process struct {
 	ProcessSpec
 	shims        []Shim
-	passedSocket *os.File // where clients connect, passed to each process; nil if each listens by itself
-	upgrades     int      // begun so far; upgrades come one at a time
+	passedSocket *os.File // the clients' socket, passed to each process; nil if each process listens by itself
+	upgrades     int      // number of upgrades begun; there is one at a time
 
 	mu            sync.Mutex
 	discoveryAddr string
-	instance      // the one that clients are to reach
+	instance      // the current process, which clients are to reach
 }
 
-// instance is one process of a sender. A goroutine waits for its end and then closes exited.
+// instance is one process of a sender. A goroutine waits until it has exited and then closes exited.
 type instance struct {
 	command      *exec.Cmd
 	exited       chan struct{}
-	exitExpected *atomic.Bool // it was asked to exit or killed
+	exitExpected *atomic.Bool // set before the process is sent SIGTERM or SIGKILL
 	adminAddr    string
 	startedAt    time.Time
-	readyAt      time.Time // zero before it is ready
+	readyAt      time.Time // zero until the process is ready
 }
 
-// current is the instance that clients are to reach.
+// current returns the current process, which clients are to reach.
 func (p *Process) current() instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +89,7 @@
 
 func (p *Process) logPath() string { return filepath.Join(p.Directory, "log") }
 
-// writeConfig replaces the configuration atomically.
+// writeConfig replaces the configuration file atomically.
 func (p *Process) writeConfig() error {
 	p.mu.Lock()
 	discoveryAddr := p.discoveryAddr
@@ -104,10 +105,10 @@
 	return os.Rename(next, p.configPath())
 }
 
-// passesSocket reports whether the sender's processes get the socket for clients passed.
+// passesSocket reports whether the sender's processes are passed the clients' socket.
 func (p *Process) passesSocket() bool { return p.passedSocket != nil }
 
-// Start runs the sender and waits until it is ready.
+// Start starts a process of the sender and waits until it is ready.
 func (p *Process) Start() error {
 	started, err := p.launch(p.AdminAddr)
 	if err != nil {
@@ -125,14 +126,15 @@
 	return nil
 }
 
-// setReady notes that the current instance is ready.
+// setReady records that the current process is ready.
 func (p *Process) setReady() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readyAt = time.Now()
 }
 
-// Upgrade starts the next process beside the one that runs, waits until it is healthy, and ends the other.
+// Upgrade starts the next process while the current one still runs, waits until the next one is healthy, and then makes
+// it the current one and stops its predecessor. The error reports a process that failed to start or to exit.
 func (p *Process) Upgrade() error {
 	old := p.current()
 	host, _, err := net.SplitHostPort(p.AdminAddr)
@@ -159,11 +161,11 @@
 	case <-time.After(killAfter):
 		old.signal(syscall.SIGKILL)
 		<-old.exited
-		return fmt.Errorf("sender %d: the old process had to be killed after an upgrade", p.Number)
+		return fmt.Errorf("sender %d: the old process did not exit after an upgrade, and was killed", p.Number)
 	}
 }
 
-// launch starts a process of the sender, and a goroutine that waits for its end.
+// launch starts a process of the sender, and a goroutine that waits until it has exited.
 func (p *Process) launch(adminAddr string) (*instance, error) {
 	cmd, err := p.prepare(adminAddr)
 	if err != nil {
@@ -189,7 +191,7 @@
 	return i, nil
 }
 
-// prepare makes the command for a process, and the files that it needs.
+// prepare creates the files that a process needs and returns the command that starts it.
 func (p *Process) prepare(adminAddr string) (*exec.Cmd, error) {
 	if err := os.MkdirAll(p.statePath(), 0o700); err != nil {
 		return nil, err
@@ -216,7 +218,8 @@
 	return cmd, nil
 }
 
-// awaitExit waits for the end of a process and records it, unless it was to end after an upgrade.
+// awaitExit waits until a process has exited and records that, unless the process is the predecessor in an upgrade and
+// its exit was expected.
 func (p *Process) awaitExit(i *instance) {
 	err := i.command.Wait()
 	detail := ""
@@ -230,7 +233,8 @@
 	close(i.exited)
 }
 
-// await polls a process until it is ready. The error is for one that ends before, or takes too long.
+// awaitReady polls a process until it is ready. It returns an error if the process exits first, or is not ready within
+// readyWithin.
 func (p *Process) awaitReady(i *instance, isReady func() bool) error {
 	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		if isReady() {
@@ -238,14 +242,14 @@
 		}
 		select {
 		case <-i.exited:
-			return fmt.Errorf("sender %d ended before it was ready", p.Number)
+			return fmt.Errorf("sender %d exited before it was ready", p.Number)
 		default:
 		}
 	}
 	return fmt.Errorf("sender %d was not ready within %v", p.Number, readyWithin)
 }
 
-// isReady reports whether the sender accepts clients.
+// isReady reports whether the sender answers a readiness request with 200.
 func (p *Process) isReady() bool {
 	conn, err := net.DialTimeout("tcp", p.Addr, dialTimeout)
 	if err != nil {
@@ -271,10 +275,12 @@
 	}
 }
 
-// signal sends a signal to a process. An error means that the process has just exited, which awaitExit records.
+// signal sends a signal to a process. It ignores the error, which means that the process has just exited, as awaitExit
+// records that.
 func (i *instance) signal(s syscall.Signal) { _ = i.command.Process.Signal(s) }
 
-// expectExit records that the process is about to be signalled, and returns what is closed when it has exited.
+// expectExit records that the current process is about to be sent SIGTERM or SIGKILL, and returns a channel that is
+// closed when it has exited.
 func (p *Process) expectExit(phase IncarnationPhase) (exited <-chan struct{}) {
 	p.mu.Lock()
 	p.exitExpected.Store(true)
@@ -284,15 +290,15 @@
 	return exited
 }
 
-// Kill ends the process at once.
+// Kill kills the current process by SIGKILL and waits until it has exited.
 func (p *Process) Kill() {
 	exited := p.expectExit(Killed)
 	p.signal(syscall.SIGKILL)
 	<-exited
 }
 
-// Terminate ends the process by SIGTERM, and by SIGKILL if it is still there at the earliest time for that. It returns
-// at that time in any case. The error reports that the process did not exit by itself.
+// Terminate stops the current process by SIGTERM, and by SIGKILL if it has not exited after killAfter. It never returns
+// before killAfter. The error reports that the process had to be killed.
 func (p *Process) Terminate() error {
 	kill := time.After(killAfter)
 	exited := p.expectExit(Terminated)
@@ -304,11 +310,11 @@
 	default:
 	}
 	p.Kill()
-	return fmt.Errorf("sender %d had to be killed after SIGTERM", p.Number)
+	return fmt.Errorf("sender %d did not exit after SIGTERM, and was killed", p.Number)
 }
 
-// Pause stops the process for a time, as a busy machine does. It is the stopped process that goes on, also where an
-// upgrade has made another one the current meanwhile.
+// Pause stops the current process by SIGSTOP for a time, which emulates a busy machine. It continues the process that
+// it has stopped, even if an upgrade has made another process the current one meanwhile.
 func (p *Process) Pause(lasting time.Duration) {
 	paused := p.current()
 	if paused.command == nil {
@@ -319,13 +325,14 @@
 	paused.signal(syscall.SIGCONT)
 }
 
-// mayReload reports whether the platform may send SIGHUP: not in a process's first second, nor before it is ready.
+// mayReload reports whether the current process may be sent SIGHUP. The platform sends none in a process's first second
+// and none before it is ready.
 func (p *Process) mayReload() bool {
 	i := p.current()
 	return i.command != nil && !i.readyAt.IsZero() && time.Since(i.startedAt) > minReloadAge
 }
 
-// Reload writes a configuration with an address of discovery, which may be unchanged, and sends SIGHUP.
+// Reload writes a configuration with an address of the agent, which may be unchanged, and sends SIGHUP.
 func (p *Process) Reload(discoveryAddr string) error {
 	p.mu.Lock()
 	p.discoveryAddr = discoveryAddr
@@ -337,12 +344,13 @@
 	return nil
 }
 
-// LimitDescriptors leaves the process no further descriptors for a time. A process that has just ended is no error.
+// LimitDescriptors lowers the limit of the current process for a time to the number of descriptors that it has open, so
+// that it can open no further ones. It is no error if the process exits meanwhile.
 func (p *Process) LimitDescriptors(lasting time.Duration) error {
 	pid := p.current().command.Process.Pid
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
-		return nil // it has just ended
+		return nil // the process has just exited
 	}
 	var usual unix.Rlimit
 	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &usual) != nil {
@@ -355,12 +363,12 @@
 	}
 	time.Sleep(lasting)
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &usual, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
-		return fmt.Errorf("descriptors of sender %d: %w", p.Number, err)
+		return fmt.Errorf("restore the descriptor limit of sender %d: %w", p.Number, err)
 	}
 	return nil
 }
 
-// stop kills the process if it still runs, and waits for its end.
+// stop kills the current process if it still runs, and waits until it has exited.
 func (p *Process) stop() {
 	i := p.current()
 	if i.command != nil {
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -10,34 +10,35 @@
 	"time"
 )
 
-// LinkFault is what a proxy does to the connections that pass it.
+// LinkFault is a fault that a proxy applies to the connections that it relays.
 type LinkFault int
 
 // The faults of a link.
 const (
 	LinkHealthy      LinkFault = iota
-	LinkConnectsLate           // a new connection relays nothing for connectDelay
-	LinkCut                    // nothing passes; what is open is reset when the cut ends
-	LinkResets                 // connections are reset some time after bytes have passed towards the target
-	LinkFragments              // requests and answers pass a few bytes at a time
+	LinkConnectsLate           // nothing is relayed on a new connection for connectDelay
+	LinkCut                    // nothing is relayed; open connections are reset when the cut ends
+	LinkResets                 // connections are reset resetDelay after bytes were relayed towards the target
+	LinkFragments              // requests and answers are relayed a few bytes at a time
 )
 
 const (
 	connectDelay     = 700 * time.Millisecond
-	resetDelay       = 30 * time.Millisecond // from bytes that pass to the reset
+	resetDelay       = 30 * time.Millisecond // from relaying bytes to the reset
 	fragmentSize     = 24                    // bytes
 	fragmentInterval = time.Millisecond
 	cutPollInterval  = 10 * time.Millisecond
 	copyBufferSize   = 32 << 10 // bytes
 )
 
-// ProxySpec says what a proxy relays.
+// ProxySpec describes what a proxy relays, and with which faults.
 type ProxySpec struct {
-	Target func() string // the address to connect to, asked for each connection
-	// Preface is written to the target first, with how long the first call has been delayed (µs); "" for nothing.
+	Target func() string // returns the address to connect to; called for each connection
+	// Preface is written to the target first, followed by how long the proxy has delayed the first call, in µs. Nothing
+	// is written if it is empty.
 	Preface string
-	Fault   func() LinkFault // asked for each connection and each chunk of bytes
-	// OnRefused is called when the target refused a connection that was dialled at a time; nil if nobody asks.
+	Fault   func() LinkFault // returns the current fault; called for each connection and each chunk of bytes
+	// OnRefused is called when the target cannot be connected to, with the time at which it was dialled. It may be nil.
 	OnRefused func(dialled time.Time)
 }
 
@@ -47,7 +48,7 @@
 
 	spec     ProxySpec
 	listener net.Listener
-	relaying sync.WaitGroup // the goroutines that accept and relay
+	relaying sync.WaitGroup // counts the goroutines that accept and relay connections
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
@@ -69,7 +70,7 @@
 	return p, nil
 }
 
-// Close ends the listener and all connections, and waits for the proxy's goroutines.
+// Close closes the listener and all connections, and waits for the proxy's goroutines.
 func (p *Proxy) Close() {
 	closeQuietly(p.listener)
 	p.mu.Lock()
@@ -81,7 +82,8 @@
 	p.relaying.Wait()
 }
 
-// track registers a connection for Close; it reports false if the proxy is closed already.
+// track registers a connection, so that Close closes it. It reports false and closes the connection if the proxy is
+// closed already.
 func (p *Proxy) track(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,6 +95,7 @@
 	return true
 }
 
+// untrack removes a connection from those that Close closes.
 func (p *Proxy) untrack(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +117,8 @@
 	}
 }
 
-// relay joins a connection with one to the target. The end of either side passes to the other, a reset as a reset.
+// relay connects to the target and forwards bytes between the two connections in both directions. When one of them is
+// closed or reset, so is the other.
 func (p *Proxy) relay(inbound net.Conn) {
 	defer inbound.Close()
 	if !p.track(inbound) {
@@ -161,8 +165,8 @@
 	directions.Wait()
 }
 
-// setUp applies the link's fault to a new connection. It returns what was received on a connection that is set up
-// late and how long ago that began; connected is false for a connection that is never set up.
+// setUp applies the link's fault to a new connection. If the fault delays the connection, it returns the bytes received
+// meanwhile and the time since the first of them. connected is false if the connection is never set up.
 func (p *Proxy) setUp(inbound net.Conn) (received []byte, delay time.Duration, connected bool) {
 	switch p.spec.Fault() {
 	case LinkConnectsLate:
@@ -174,9 +178,9 @@
 	return nil, 0, true
 }
 
-// delayConnect receives on a connection for a time without passing anything on, and returns what it received and the
-// time since the first byte. If the other side ends the connection meanwhile, it was never set up, and nothing has been
-// sent.
+// delayConnect reads from a connection for a time without relaying anything, and returns the bytes received and the
+// time since the first byte. If the peer closes the connection meanwhile, connected is false: the connection counts as
+// never set up, and nothing has been sent to the target.
 func delayConnect(conn net.Conn, lasting time.Duration) (received []byte, delay time.Duration, connected bool) {
 	limitRead(conn, lasting)
 	defer unlimitRead(conn)
@@ -208,7 +212,8 @@
 	}
 }
 
-// forward passes bytes in one direction until an end. towardsTarget says which.
+// forward relays bytes in one direction until one of the connections is closed or the link's fault ends them.
+// towardsTarget is set for the direction from the accepted connection to the target.
 func (p *Proxy) forward(to, from net.Conn, towardsTarget bool) {
 	buffer := make([]byte, copyBufferSize)
 	for {
@@ -232,7 +237,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if tcp, ok := to.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // fails only if the other direction has ended the connection
+				_ = tcp.CloseWrite() // fails only if the other direction has closed the connection
 			}
 			return
 		}
@@ -243,7 +248,7 @@
 	}
 }
 
-// writeFragments passes bytes on, a few at a time if that is the link's fault.
+// writeFragments writes bytes to a connection, a few at a time if the link's fault is LinkFragments.
 func writeFragments(to net.Conn, data []byte, fault LinkFault) error {
 	size := max(1, len(data))
 	if fault == LinkFragments {
@@ -261,10 +266,11 @@
 	return nil
 }
 
-// senderPreface says in a proxy's preface which sender its connections are from.
+// senderPreface returns the preface that names the sender whose connections a proxy relays.
 func senderPreface(sender int) string { return fmt.Sprintf("sender %d", sender) }
 
-// parsePreface reads the line that a proxy with a sender's preface writes first.
+// parsePreface parses the first line that a proxy with a senderPreface writes. It returns the sender's number and how
+// long the proxy has delayed the first call.
 func parsePreface(line string) (sender int, delay time.Duration, err error) {
 	var microseconds int64
 	if _, err := fmt.Sscanf(line, "sender %d %d", &sender, &microseconds); err != nil {
