--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -315,13 +315,13 @@
 
 // Pause stops the current process by SIGSTOP for a time, which emulates a busy machine. It continues the process that
 // it has stopped, even if an upgrade has made another process the current one meanwhile.
-func (p *Process) Pause(lasting time.Duration) {
+func (p *Process) Pause(duration time.Duration) {
 	paused := p.current()
 	if paused.command == nil {
 		return
 	}
 	paused.signal(syscall.SIGSTOP)
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	paused.signal(syscall.SIGCONT)
 }
 
@@ -346,23 +346,23 @@
 
 // LimitDescriptors lowers the limit of the current process for a time to the number of descriptors that it has open, so
 // that it can open no further ones. It is no error if the process exits meanwhile.
-func (p *Process) LimitDescriptors(lasting time.Duration) error {
+func (p *Process) LimitDescriptors(duration time.Duration) error {
 	pid := p.current().command.Process.Pid
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return nil // the process has just exited
 	}
-	var usual unix.Rlimit
-	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &usual) != nil {
+	var normal unix.Rlimit
+	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &normal) != nil {
 		return nil
 	}
-	limited := usual
+	limited := normal
 	limited.Cur = uint64(len(open))
 	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limited, nil) != nil {
 		return nil
 	}
-	time.Sleep(lasting)
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &usual, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
+	time.Sleep(duration)
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &normal, nil); err != nil && !errors.Is(err, syscall.ESRCH) {
 		return fmt.Errorf("restore the descriptor limit of sender %d: %w", p.Number, err)
 	}
 	return nil
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -181,8 +181,8 @@
 // delayConnect reads from a connection for a time without relaying anything, and returns the bytes received and the
 // time since the first byte. If the peer closes the connection meanwhile, connected is false: the connection counts as
 // never set up, and nothing has been sent to the target.
-func delayConnect(conn net.Conn, lasting time.Duration) (received []byte, delay time.Duration, connected bool) {
-	limitRead(conn, lasting)
+func delayConnect(conn net.Conn, duration time.Duration) (received []byte, delay time.Duration, connected bool) {
+	limitRead(conn, duration)
 	defer unlimitRead(conn)
 	buffer := make([]byte, copyBufferSize)
 	var first time.Time
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -15,26 +15,26 @@
 
 const (
 	maxLatencyMS     = 60_000
-	latencyDigits    = 3       // significant figures of a latency
+	latencyDigits    = 3       // significant digits of a latency in the histogram
 	maxLogLine       = 1 << 20 // bytes
 	counterPrefix    = "edge_edge."
-	violationCounter = "violations." // the prefix of the senders' counters of violations
+	violationCounter = "violations." // prefix of the senders' counters of violations
 )
 
-// Report is the outcome of a run.
+// Report holds the outcome of a run.
 type Report struct {
 	Plan       []Fault
 	Violations []Violation
 	Counts     map[string]int
-	Latency    *hdrhistogram.Histogram // ms from submission to delivery
+	Latency    *hdrhistogram.Histogram // in ms, from submission to delivery
 }
 
-// Quantile is a latency that a share of the deliveries did not exceed, in milliseconds.
+// Quantile returns the latency, in milliseconds, that a share of the deliveries did not exceed.
 func (report *Report) Quantile(share float64) int64 {
 	return report.Latency.ValueAtQuantile(math.Min(100, share*100))
 }
 
-// report ends the senders and judges the run.
+// report stops the senders, checks the run by the invariants and returns the report.
 func (r *runner) report() *Report {
 	end := r.history.Now()
 	r.collectCounters()
@@ -52,7 +52,7 @@
 	return report
 }
 
-// collectCounters reads the senders' own figures before they end.
+// collectCounters adds the senders' own metrics to the history. It has to be called before the senders are stopped.
 func (r *runner) collectCounters() {
 	for _, p := range r.processes {
 		metrics, err := p.Metrics()
@@ -65,7 +65,7 @@
 	}
 }
 
-// terminateAll ends the senders, side by side.
+// terminateAll stops all senders at the same time.
 func (r *runner) terminateAll() {
 	var all sync.WaitGroup
 	for _, p := range r.processes {
@@ -78,7 +78,7 @@
 	all.Wait()
 }
 
-// facts is what the invariants need to know of the run beside its history.
+// facts returns what the invariants need to know about the run in addition to its history.
 func (r *runner) facts(end time.Duration) RunFacts {
 	facts := RunFacts{
 		Parameters:       r.parameters,
@@ -96,7 +96,7 @@
 	return facts
 }
 
-// outages are the spans after which destinations return cold.
+// outages returns the spans of the faults after which a destination has to warm up.
 func (r *runner) outages() []Outage {
 	var list []Outage
 	for _, f := range r.plan {
@@ -108,7 +108,7 @@
 	return list
 }
 
-// isAffected reports whether a fault of one of some kinds affects a sender at a time.
+// isAffected reports whether a fault of one of the kinds affects a sender at a time.
 func (r *runner) isAffected(sender int, at time.Duration, kinds ...FaultKind) bool {
 	for _, f := range r.plan {
 		if slices.Contains(kinds, f.Kind) && f.activeAt(at) && slices.Contains(f.Senders, sender) {
@@ -118,33 +118,35 @@
 	return false
 }
 
-// outcomeUncertain reports whether answers may not reach a sender at a time, or its disk takes no writes.
+// outcomeUncertain reports whether, at a time, answers may not reach a sender or its disk rejects writes.
 func (r *runner) outcomeUncertain(sender int, at time.Duration) bool {
 	return r.isAffected(sender, at, DiskFull, DiskErrors, DiskTornWrites, LinksCut, LinksReset)
 }
 
-// impaired reports whether a sender's machine keeps it from accepting or answering clients at a time.
+// impaired reports whether, at a time, faults of its machine prevent a sender from accepting or answering clients.
 func (r *runner) impaired(sender int, at time.Duration) bool {
 	return r.isAffected(sender, at, AcceptFails, DescriptorsExhausted, SendersPaused, ClientsFragmented)
 }
 
-// flooded reports whether a connection flood keeps a sender from accepting new connections at a time, or has just done
-// so.
+// flooded reports whether, at a time, a connection flood prevents a sender from accepting new connections, or ended no
+// longer than floodDrainTime before.
 func (r *runner) flooded(sender int, at time.Duration) bool {
 	return r.isAffected(sender, at, ConnectionFlood) || r.isAffected(sender, at-floodDrainTime, ConnectionFlood)
 }
 
-// violationLogLine is how a sender's invariant checker logs a violation. A change of that log line has to change this,
-// too: the senders' counters of violations are reported, but only these lines fail a run.
+// violationLogLine matches the log line with which a sender's own invariant checker reports a violation. It has to be
+// changed together with that log line: the senders' counters of violations are reported, but only these lines fail a
+// run.
 var violationLogLine = regexp.MustCompile(`msg="rule violated" rule=(\S+)`)
 
-// loggedViolations is what the senders' own invariant checkers have logged, which no stand-in may have seen.
+// loggedViolations returns the violations that the senders' own invariant checkers have logged. The stand-ins may not
+// have observed them.
 func (r *runner) loggedViolations(end time.Duration) []Violation {
 	var found []Violation
 	for _, p := range r.processes {
 		lines, err := violationLines(p.logPath())
 		if err != nil {
-			continue // a sender that never started has no log, which counts by itself
+			continue // a sender that never started has no log; its failed start is a violation by itself
 		}
 		for _, line := range lines {
 			rule := violationLogLine.FindStringSubmatch(line)[1]
@@ -154,7 +156,7 @@
 	return found
 }
 
-// violationLines are the lines of a log that report a violation.
+// violationLines returns the lines of a log that report a violation.
 func violationLines(path string) ([]string, error) {
 	log, err := os.Open(path)
 	if err != nil {
@@ -172,7 +174,7 @@
 	return lines, nil
 }
 
-// summarize counts what happened.
+// summarize fills in the report's counts and latencies from the history.
 func (report *Report) summarize(h *History) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -200,7 +202,7 @@
 	report.Counts = counts
 }
 
-// outcome is what became of a request, as counted.
+// outcome returns the name under which the report counts a request.
 func (s *Submission) outcome() string {
 	switch {
 	case s.isAccepted():
@@ -216,7 +218,7 @@
 	}
 }
 
-// recordLatencies records the latency of each message's first delivery and returns the number of messages.
+// recordLatencies records the latency of each message's first delivery and returns the number of messages delivered.
 func (report *Report) recordLatencies(h *History) int {
 	delivered := map[string]bool{}
 	for _, a := range h.attempts {
@@ -226,7 +228,7 @@
 		}
 		delivered[a.ID] = true
 		latency := min(maxLatencyMS, max(1, (a.EndedAt-s.SentAt).Milliseconds()))
-		_ = report.Latency.RecordValue(latency) // it is in the histogram's range
+		_ = report.Latency.RecordValue(latency) // cannot fail, as the value is in the histogram's range
 	}
 	return len(delivered)
 }
--- a/internal/emulator/runner.go
+++ b/internal/emulator/runner.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// settleTime is how long a run goes on after the load, so that every message has its end.
+// settleTime is the time from the end of the load to the end of a run, in which every message has to end.
 const settleTime = 8 * time.Second
 
-// Options is what a run is made of.
+// Options configures a run.
 type Options struct {
 	Seed              uint64
 	Senders           int
 	Destinations      int
-	Rate              float64       // messages per second that a sender gets on average
-	LoadDuration      time.Duration // for which messages are submitted
+	Rate              float64       // mean number of messages per second that a sender gets
+	LoadDuration      time.Duration // time for which messages are submitted
 	PollsEndpointList bool          // senders poll endpoint lists, which are not pushed
-	FaultKinds        []FaultKind   // to draw a plan from
-	Plan              []Fault       // in place of a drawn one
-	Directory         string        // for states, configurations and logs
-	Command           Command       // starts a sender that calls RunSender
-	Tolerance         time.Duration // for delays of the machine itself
+	FaultKinds        []FaultKind   // kinds from which a plan is drawn
+	Plan              []Fault       // used instead of a drawn plan, unless it is nil
+	Directory         string        // for the senders' states, configurations and logs
+	Command           Command       // starts a sender; its program has to call RunSender
+	Tolerance         time.Duration // added to the invariants' limits, for delays of the machine itself
 }
 
 // runner is a run in progress. It owns all stand-ins and processes.
 type runner struct {
 	Options
-	runNumber     uint32 // of this program's runs
-	host          string // where the stand-ins listen
+	runNumber     uint32 // among the runs of this program
+	host          string // address at which the stand-ins listen
 	parameters    Parameters
 	history       *History
 	plan          []Fault
@@ -38,18 +38,19 @@
 	agents       []*Agent
 	processes    []*Process
 	clients      []*Clients
-	restartLocks []sync.Mutex   // held while a sender's process is ended and started
-	startLocks   []sync.Mutex   // held while one starts: there is no SIGHUP then
-	agentServers []*agentServer // the present one of each sender's agent; guarded by startLocks
+	restartLocks []sync.Mutex   // by sender; held during a restart or an upgrade
+	startLocks   []sync.Mutex   // by sender; held while a process starts, so that no SIGHUP is sent meanwhile
+	agentServers []*agentServer // the current server of each sender's agent; guarded by startLocks
 
 	mu        sync.Mutex
 	endpoints []*Endpoint
-	links     map[string][]*Proxy // by endpoint, one for each sender
+	links     map[string][]*Proxy // by the endpoint's ID, one link for each sender
 	errors    []string
 	closers   []func()
 }
 
-// Run plays a run and judges it. The error is for what kept it from being played.
+// Run performs a run, checks it by the invariants and returns the report. The error reports that the run could not be
+// performed.
 func Run(o Options) (*Report, error) {
 	r := newRunner(o)
 	defer r.close()
@@ -59,10 +60,11 @@
 	if err := r.startSenders(); err != nil {
 		return nil, err
 	}
-	r.play()
+	r.execute()
 	return r.report(), nil
 }
 
+// newRunner returns a runner with the plan from the options or, if they hold none, a plan drawn from the seed.
 func newRunner(o Options) *runner {
 	number := runCount.Add(1)
 	r := &runner{
@@ -82,8 +84,8 @@
 	return r
 }
 
-// play runs the load and the faults, and waits until their effects have settled.
-func (r *runner) play() {
+// execute applies the load and the faults, and waits until settleTime after the end of the load.
+func (r *runner) execute() {
 	r.sleepUntil(0)
 	load, endLoad := context.WithCancel(context.Background())
 	defer endLoad()
@@ -109,10 +111,10 @@
 	r.sleepUntil(r.LoadDuration + settleTime)
 }
 
-// sleepUntil sleeps until a time of the run.
+// sleepUntil sleeps until the run's clock has reached a time.
 func (r *runner) sleepUntil(at time.Duration) { time.Sleep(at - r.history.Now()) }
 
-// forEachSender does something for all senders that a fault affects, side by side.
+// forEachSender calls do for all senders that a fault affects, concurrently, and waits for the calls.
 func (r *runner) forEachSender(f Fault, do func(sender int)) {
 	var senders sync.WaitGroup
 	for _, i := range f.Senders {
@@ -125,7 +127,7 @@
 	senders.Wait()
 }
 
-// noteError keeps an error for the report.
+// recordError keeps an error, unless it is nil, for the report.
 func (r *runner) recordError(err error) {
 	if err == nil {
 		return
@@ -135,14 +137,14 @@
 	r.errors = append(r.errors, err.Error())
 }
 
-// addCloser adds what ends something that the run has started.
+// addCloser adds a function that closes something that the run has started.
 func (r *runner) addCloser(closer func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closers = append(r.closers, closer)
 }
 
-// close ends everything that the run has started, the processes first, and waits for it.
+// close stops everything that the run has started, the processes first, and waits for it to stop.
 func (r *runner) close() {
 	for _, p := range r.processes {
 		p.stop()
--- a/internal/emulator/shim.go
+++ b/internal/emulator/shim.go
@@ -14,44 +14,45 @@
 	"onyxdyke.example/onyxdyke/internal/sender"
 )
 
-// shimVariable names the environment variable with the shims of a process, as JSON.
+// shimVariable is the name of the environment variable that holds the shims of a process as JSON.
 const shimVariable = "SOAK_SHIMS"
 
-// ShimKind is a fault that is injected into the system calls of a sender's process, by that process itself.
+// ShimKind is a kind of fault that a sender's process injects into its own system calls.
 type ShimKind string
 
 // The kinds of shims.
 const (
-	ShimWallStep  ShimKind = "wall_step"  // the wall clock is off by Step from then on
+	ShimWallStep  ShimKind = "wall_step"  // the wall clock is off by Step, without an end
 	ShimDiskFull  ShimKind = "disk_full"  // writes to the state directory fail with ENOSPC
 	ShimDiskError ShimKind = "disk_error" // writes to the state directory fail with EIO
-	ShimTornWrite ShimKind = "torn_write" // writes to it are cut in the middle, and fail with ENOSPC
-	ShimAccept    ShimKind = "accept"     // accept fails now and then
+	ShimTornWrite ShimKind = "torn_write" // writes to the state directory write the first half and fail with ENOSPC
+	ShimAccept    ShimKind = "accept"     // every second accept fails
 	ShimConnect   ShimKind = "connect"    // sockets cannot be connected
 	ShimRead      ShimKind = "read"       // the configuration and the journal cannot be opened (ENFILE)
 )
 
-// Shim is such a fault in a span of the machine's monotonic clock (ns), so that it means the same to every process.
+// Shim is a fault of some kind in a span of time. The span is given by the machine's monotonic clock (ns), which is the
+// same for every process.
 type Shim struct {
 	Kind  ShimKind
 	From  int64
 	Until int64         // not used by ShimWallStep
-	Step  time.Duration // of ShimWallStep
+	Step  time.Duration // used by ShimWallStep only
 }
 
-// monotonicNow is the machine's monotonic clock.
+// monotonicNow returns the time of the machine's monotonic clock, in ns.
 func monotonicNow() int64 {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // cannot happen: every Linux has this clock
 	}
 	return now.Nano()
 }
 
-// shimSchedule is the faults of one process.
+// shimSchedule holds the shims of one process.
 type shimSchedule []Shim
 
-// active reports whether a kind of fault lasts now.
+// active reports whether a shim of a kind is active now. It does not apply to ShimWallStep, which has no end.
 func (s shimSchedule) active(kind ShimKind) bool {
 	now := monotonicNow()
 	for _, shim := range s {
@@ -62,7 +63,7 @@
 	return false
 }
 
-// wall is the wall clock with its steps.
+// wall returns the time of the wall clock with the steps that have happened.
 func (s shimSchedule) wall() time.Time {
 	now, monotonic := time.Now(), monotonicNow()
 	for _, shim := range s {
@@ -73,7 +74,7 @@
 	return now.Round(0) // without Go's monotonic reading
 }
 
-// openError is the error of opening a file for reading, nil if it succeeds.
+// openError returns the error to inject into opening a file for reading, or nil.
 func (s shimSchedule) openError(path string) error {
 	if s.active(ShimRead) {
 		return &os.PathError{Op: "open", Path: path, Err: syscall.ENFILE}
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// writeError is the error of changes to the state directory, nil if they succeed.
+// writeError returns the error to inject into a change of the state directory, or nil.
 func (s shimSchedule) writeError(op, path string) error {
 	var errno error
 	switch {
@@ -95,13 +96,14 @@
 	return &os.PathError{Op: op, Path: path, Err: errno}
 }
 
-// shimFiles is the state directory with faults.
+// shimFiles is a file system that injects faults into the use of the state directory.
 type shimFiles struct {
 	sender.FileSystem
 	shims shimSchedule
 }
 
-// OpenFile fails while files cannot be opened or, for one to be written, while the disk has a fault.
+// OpenFile opens a file. Opening for reading fails while files cannot be opened, and opening for writing fails while
+// the disk has a fault.
 func (f shimFiles) OpenFile(path string, flag int, mode os.FileMode) (sender.File, error) {
 	err := f.shims.openError(path)
 	if flag&(os.O_WRONLY|os.O_RDWR) != 0 {
@@ -117,7 +119,7 @@
 	return shimFile{File: file, path: path, shims: f.shims}, nil
 }
 
-// Rename fails while the disk has a fault.
+// Rename renames a file. It fails while the disk has a fault.
 func (f shimFiles) Rename(from, to string) error {
 	if err := f.shims.writeError("rename", to); err != nil {
 		return err
@@ -125,46 +127,46 @@
 	return f.FileSystem.Rename(from, to)
 }
 
-// shimFile is a file of the state directory with faults.
+// shimFile is a file of the state directory whose writes may fail.
 type shimFile struct {
 	sender.File
 	path  string
 	shims shimSchedule
 }
 
-// Write fails while the disk has a fault; a torn write passes the first half on.
+// Write writes to the file. It fails while the disk has a fault; if that is a torn write, it writes the first half.
 func (f shimFile) Write(b []byte) (int, error) {
 	err := f.shims.writeError("write", f.path)
 	if err == nil {
 		return f.File.Write(b)
 	}
 	if f.shims.active(ShimTornWrite) {
-		n, _ := f.File.Write(b[:len(b)/2]) // the injected error is the one to report
+		n, _ := f.File.Write(b[:len(b)/2]) // the injected error is reported instead
 		return n, err
 	}
 	return 0, err
 }
 
-// acceptErrors are those that accept may fail with for a moment (accept(2)).
+// acceptErrors are the transient errors of accept (accept(2)).
 var acceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 	syscall.ENETDOWN, syscall.EHOSTUNREACH,
 }
 
-// connectErrors are those that socket and connect may fail with for a moment.
+// connectErrors are the transient errors of socket and connect.
 var connectErrors = []syscall.Errno{
 	syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 	syscall.ETIMEDOUT,
 }
 
-// shimListener is the listener for clients with faults.
+// shimListener is the listener for clients, whose Accept may fail.
 type shimListener struct {
 	net.Listener
 	shims       shimSchedule
-	acceptCalls *atomic.Uint32 // begun so far
+	acceptCalls *atomic.Uint32 // number of calls of Accept so far
 }
 
-// Accept fails every second time while it has a fault, by each error in turn.
+// Accept accepts a connection. While ShimAccept is active, every second call fails, with each of acceptErrors in turn.
 func (l shimListener) Accept() (net.Conn, error) {
 	if number := int(l.acceptCalls.Add(1)); number%2 == 1 && l.shims.active(ShimAccept) {
 		errno := acceptErrors[number/2%len(acceptErrors)]
@@ -173,7 +175,7 @@
 	return l.Listener.Accept()
 }
 
-// SetDeadline is the listener's own, which a sender needs to empty the queue of new connections.
+// SetDeadline sets the deadline of the wrapped listener. A sender needs it to empty the queue of new connections.
 func (l shimListener) SetDeadline(t time.Time) error {
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		return d.SetDeadline(t)
@@ -181,7 +183,7 @@
 	return fmt.Errorf("deadline: %w", os.ErrNoDeadline)
 }
 
-// RunSender runs a sender's process with the shims that its environment names.
+// RunSender runs a sender in this process, with the shims that the environment variable shimVariable holds.
 func RunSender() error {
 	var s shimSchedule
 	if text := os.Getenv(shimVariable); text != "" {
