--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -159,8 +159,8 @@
 	return s
 }
 
-// submit submits a message. After a rejection and the wait that it asks for, a draw decides whether the message is
-// submitted again, under a new ID and with the same key.
+// submit submits a message. If the sender rejects it, a draw decides whether it is submitted again, up to maxRetries
+// times, under a new ID and with the same key, after the wait that the answer asks for.
 func (c *Clients) submit(s Submission, retries int) {
 	a := c.exchange(s)
 	rejected := a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests
--- a/internal/emulator/fault_plan.go
+++ b/internal/emulator/fault_plan.go
@@ -67,11 +67,11 @@
 		f.Destination = random.IntN(o.Destinations)
 		return f
 	}
-	affected := 1 + random.IntN(o.Senders)
+	affectedSenders := 1 + random.IntN(o.Senders)
 	if kind == ConnectionFlood {
-		affected = min(affected, maxFloodedSenders)
+		affectedSenders = min(affectedSenders, maxFloodedSenders)
 	}
-	f.Senders = random.Perm(o.Senders)[:affected]
+	f.Senders = random.Perm(o.Senders)[:affectedSenders]
 	slices.Sort(f.Senders)
 	if kind == ClockForward || kind == ClockBackward {
 		steps := []time.Duration{2 * time.Second, 30 * time.Second, time.Hour}
--- a/internal/emulator/outages_test.go
+++ b/internal/emulator/fixed_plans_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The tests of this file play plans by hand, each for one case in which a sender cannot reach what it needs: discovery,
-// sockets or descriptors.
+// The tests of this file perform runs with fixed plans instead of drawn ones. In each, a sender cannot use something
+// that it needs for some time: its agent, sockets, files or descriptors.
 
-// allSenders is the numbers of all senders of a test.
+// allSenders returns the numbers of all senders of a test's run.
 func allSenders() []int {
 	all := make([]int, testSenders)
 	for i := range all {
@@ -17,8 +17,8 @@
 	return all
 }
 
-// drainAfterSilence is a plan in which the agents of all senders are silent for a span, and learn at its end that the
-// endpoints of a destination drain.
+// drainAfterSilence returns a plan in which the agents of all senders are silent for a span and learn at its end that
+// the endpoints of a destination drain.
 func drainAfterSilence(from, until time.Duration, destination int) []Fault {
 	return []Fault{
 		{Kind: DiscoverySilent, From: from, Until: until, Senders: allSenders()},
@@ -26,8 +26,9 @@
 	}
 }
 
-// What an agent learns at the end of a silence binds its sender at once, and a drain leaves 500 ms. No earlier request
-// is answered any more then, so only one that is made soon after can bring the change.
+// A sender honours a drain that its agent learns at the end of a silence. The drain takes effect at once, and the
+// sender may call the endpoints for 500 ms more. The agent never answers requests from before the end of the silence,
+// so a sender that makes no new request soon after it does not learn of the drain in time.
 func TestDrainsAtTheEndOfASilenceAreHonoured(t *testing.T) {
 	t.Parallel()
 	for name, length := range map[string]time.Duration{
@@ -43,14 +44,14 @@
 				plan = append(plan, drainAfterSilence(from, from+length, destination)...)
 				from += length + time.Second
 			}
-			playRun(t, Options{Seed: 28, LoadDuration: from + time.Second, Plan: plan})
+			runAndCheck(t, Options{Seed: 28, LoadDuration: from + time.Second, Plan: plan})
 		})
 	}
 }
 
-// playDrainsWhilePollingFails plays three drains, each in the middle of one fault that loses list updates and
-// another one that prevents polling.
-func playDrainsWhilePollingFails(t *testing.T, losesUpdates, preventsPolling FaultKind) {
+// runDrainsWhilePollingFails performs a run with three drains. Each happens during one fault that loses list updates
+// and another one that prevents polling.
+func runDrainsWhilePollingFails(t *testing.T, losesUpdates, preventsPolling FaultKind) {
 	t.Helper()
 	const pollingFailsFor = 1900 * time.Millisecond
 	var plan []Fault
@@ -75,11 +76,12 @@
 		})
 		drain += 3 * time.Second
 	}
-	playRun(t, Options{Seed: 28, LoadDuration: drain, Plan: plan})
+	runAndCheck(t, Options{Seed: 28, LoadDuration: drain, Plan: plan})
 }
 
-// A sender that cannot poll its agent, as its machine cannot open a socket for a moment, does not know whether the
-// list has changed: it calls nobody by a list that may be stale.
+// A sender that cannot poll its agent does not know whether the list has changed. It makes no calls by a list that may
+// be stale; otherwise it would call endpoints that drain. It cannot poll because its machine cannot open a socket or a
+// file for a moment.
 func TestDrainsAreHonouredWhileTheAgentCannotBePolled(t *testing.T) {
 	t.Parallel()
 	for name, kinds := range map[string]struct{ losesUpdates, preventsPolling FaultKind }{
@@ -89,19 +91,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playDrainsWhilePollingFails(t, kinds.losesUpdates, kinds.preventsPolling)
+			runDrainsWhilePollingFails(t, kinds.losesUpdates, kinds.preventsPolling)
 		})
 	}
 }
 
-// The same when descriptors are exhausted. It stands alone as clients cannot be accepted then, either.
+// The same holds while descriptors are exhausted. This is a test of its own because clients cannot be accepted then,
+// either.
 func TestDrainsAreHonouredWhileDescriptorsAreExhausted(t *testing.T) {
 	t.Parallel()
-	playDrainsWhilePollingFails(t, DiscoverySilent, DescriptorsExhausted)
+	runDrainsWhilePollingFails(t, DiscoverySilent, DescriptorsExhausted)
 }
 
-// A sender whose machine cannot open a socket for a moment, just as a new configuration moves discovery, still ends
-// its messages in time: connections at the old address stay open for 1.5 s.
+// A sender ends its messages in time even if its machine cannot open a socket for a moment just when a new
+// configuration moves the agent. Its connections to the agent's old address stay open for 1.5 s, so it can still send
+// notices on them.
 func TestNoticesArriveWhileTheNewAddressCannotBeReached(t *testing.T) {
 	t.Parallel()
 	var plan []Fault
@@ -118,10 +122,11 @@
 			Senders: allSenders(),
 		})
 	}
-	playRun(t, Options{Seed: 29, LoadDuration: 12 * time.Second, Plan: plan})
+	runAndCheck(t, Options{Seed: 29, LoadDuration: 12 * time.Second, Plan: plan})
 }
 
-// A process that takes over while its machine cannot open a socket for a moment still ends its messages in time.
+// A process that takes over from its predecessor ends its messages in time even if its machine cannot open a socket for
+// a moment during the upgrade, so that the process cannot connect to the agent to send notices.
 func TestNoticesArriveAfterAnUpgradeWhileNoSocketCanBeOpened(t *testing.T) {
 	t.Parallel()
 	var plan []Fault
@@ -138,16 +143,16 @@
 			Senders: allSenders(),
 		})
 	}
-	playRun(t, Options{Seed: 30, LoadDuration: 12 * time.Second, Plan: plan})
+	runAndCheck(t, Options{Seed: 30, LoadDuration: 12 * time.Second, Plan: plan})
 }
 
-// A peer that connects amid a connection flood is released in time also while the sender may open no further descriptor
-// for a moment.
+// A sender answers or disconnects the peers of a connection flood in time even if it cannot open any further descriptor
+// for a moment at the start of the flood.
 func TestPeersAreReleasedInTimeWhileDescriptorsAreExhausted(t *testing.T) {
 	t.Parallel()
-	affected := []int{0, 1, 2}
-	playRun(t, Options{Seed: 31, LoadDuration: 8 * time.Second, Plan: []Fault{
-		{Kind: DescriptorsExhausted, From: 2 * time.Second, Until: 3500 * time.Millisecond, Senders: affected},
-		{Kind: ConnectionFlood, From: 2200 * time.Millisecond, Until: 6 * time.Second, Senders: affected},
+	affectedSenders := []int{0, 1, 2}
+	runAndCheck(t, Options{Seed: 31, LoadDuration: 8 * time.Second, Plan: []Fault{
+		{Kind: DescriptorsExhausted, From: 2 * time.Second, Until: 3500 * time.Millisecond, Senders: affectedSenders},
+		{Kind: ConnectionFlood, From: 2200 * time.Millisecond, Until: 6 * time.Second, Senders: affectedSenders},
 	}})
 }
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
-// compareGolden compares a text with a file of testdata.
+// compareGolden compares a text with a file under testdata, after rewriting that file if the flag update is set.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -28,11 +28,12 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s differs from what was recorded:\n%s", name, got)
+		t.Errorf("output differs from the golden file %s:\n%s", name, got)
 	}
 }
 
-// planText is a plan in a form without names: kinds are their places in the list that plans are drawn from.
+// planText formats a plan without the names of kinds, which may change. Each kind is written as its index in the list
+// that plans are drawn from, and each affected sender with its first random numbers for signals.
 func planText(o Options, plan []Fault) string {
 	var b strings.Builder
 	for _, f := range plan {
@@ -47,7 +48,8 @@
 	return b.String()
 }
 
-// A seed plays the same day as it did at the release whose plans were recorded.
+// A seed draws the same plan as in the release whose plans were recorded, so that a run that failed can be repeated by
+// its seed. A change of the draws or of their order, or of the kinds' order, makes this test fail.
 func TestPlansOfASeedAreAsRecorded(t *testing.T) {
 	t.Parallel()
 	var b strings.Builder
@@ -63,7 +65,7 @@
 			fmt.Fprintf(&b, "seed %d senders %d\n%s", seed, senders, planText(o, drawPlan(o)))
 		}
 	}
-	for first := range AllFaultKinds { // a plan of each kind alone
+	for first := range AllFaultKinds { // one plan for each kind alone
 		o := Options{
 			Seed:         99,
 			Senders:      16,
@@ -76,7 +78,7 @@
 	compareGolden(t, "plans.txt", b.String())
 }
 
-// The clients of a seed submit the same messages in the same order.
+// The clients of a seed submit the same messages in the same order as in the release whose messages were recorded.
 func TestMessagesOfASeedAreAsRecorded(t *testing.T) {
 	t.Parallel()
 	var b strings.Builder
@@ -92,7 +94,8 @@
 	compareGolden(t, "messages.txt", b.String())
 }
 
-// The configuration that senders get is as recorded.
+// The configuration of a sender, with a pushed and with a polled endpoint list, is the same as in the release whose
+// configurations were recorded.
 func TestConfigurationIsAsRecorded(t *testing.T) {
 	t.Parallel()
 	servers := []Server{{ID: "e0-0", Addr: "127.0.0.1:1", Zone: "a", Kind: "shared", State: Serving, Weight: 1}}
@@ -114,10 +117,11 @@
 	compareGolden(t, "config.json", b.String())
 }
 
-// The names that kinds of faults had in soak's options before stand for the kinds that have new names.
+// ParseFaultKind accepts the former name and the current name of each kind, because write-ups of earlier runs quote the
+// former ones. It rejects unknown names.
 func TestFormerNamesOfFaultKindsAreAccepted(t *testing.T) {
 	t.Parallel()
-	former := []string{
+	formerNames := []string{
 		"endpoints hang", "endpoints fail", "endpoints are shut", "endpoints tell waits", "endpoints break connections",
 		"endpoints babble", "endpoints are replaced", "links come up late", "links are cut", "links reset",
 		"links pass little at a time", "clients send little at a time", "discovery is silent", "watches are lost",
@@ -126,17 +130,17 @@
 		"clocks go back", "disks are full", "disks have errors", "disks tear writes", "accept fails",
 		"connect fails", "files cannot be opened", "clients crowd",
 	}
-	if len(former) != len(AllFaultKinds) {
-		t.Fatalf("%d former names for %d kinds", len(former), len(AllFaultKinds))
+	if len(formerNames) != len(AllFaultKinds) {
+		t.Fatalf("%d former names for %d kinds", len(formerNames), len(AllFaultKinds))
 	}
 	for i, want := range AllFaultKinds {
-		for _, name := range []string{former[i], string(want)} {
+		for _, name := range []string{formerNames[i], string(want)} {
 			if got, err := ParseFaultKind(name); err != nil || got != want {
-				t.Errorf("%q is read as %q, %v; want %q", name, got, err, want)
+				t.Errorf("ParseFaultKind(%q) = %q, %v; want %q", name, got, err, want)
 			}
 		}
 	}
 	if kind, err := ParseFaultKind("no such kind"); err == nil {
-		t.Errorf("an unknown name is read as %q", kind)
+		t.Errorf("ParseFaultKind returns %q for an unknown name, want an error", kind)
 	}
 }
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -8,7 +8,8 @@
 
 const second = time.Second
 
-// recordedHistory is a history with one message that was accepted at 1 s and may take 4 s.
+// recordedHistory returns a history with one message that was accepted at 1 s and has to be delivered within 4 s. edit
+// adds what else happened.
 func recordedHistory(class Class, edit func(h *History)) *History {
 	h := NewHistory()
 	h.incarnationEvents = []IncarnationEvent{{Phase: Started}, {Phase: Ready}}
@@ -24,7 +25,7 @@
 	return h
 }
 
-// completedCall is a call for the message that has ended.
+// completedCall returns an attempt to deliver the message that has ended.
 func completedCall(from, until time.Duration, status int, mayHaveRun bool) *Attempt {
 	return &Attempt{
 		ID:         "m",
@@ -37,32 +38,33 @@
 	}
 }
 
+// recordDelivery records that the message was delivered in time, by a call at 1 s.
 func recordDelivery(h *History) {
 	h.attempts = append(h.attempts, completedCall(second, second+second/10, 200, true))
 }
 
-// always is a fact that is true at any time.
-func always(int, time.Duration) bool { return true }
+// alwaysTrue is a function for RunFacts that reports true for every sender and time.
+func alwaysTrue(int, time.Duration) bool { return true }
 
-// invariantCase is a history and what the invariants have to find in it.
+// invariantCase holds a history and the violation that the invariants have to find in it.
 type invariantCase struct {
 	class Class
 	edit  func(h *History)
 	facts RunFacts
-	want  string // the rule that is violated, "" for none
+	want  string // name of the violated invariant; "" for none
 }
 
-// endCases are about the ends of messages, and what clients see of them.
-var endCases = map[string]invariantCase{
+// clientAndMessageEndCases concern how messages end, and how a sender behaves towards its clients.
+var clientAndMessageEndCases = map[string]invariantCase{
 	"delivered":         {edit: recordDelivery},
 	"ended by a notice": {edit: func(h *History) { recordNotice(h, "given_up", 5*second) }},
 	"never ended":       {edit: func(*History) {}, want: ruleLost},
 	"ended late":        {edit: func(h *History) { recordNotice(h, "given_up", 6*second) }, want: ruleLost},
-	"late after a restart": {edit: func(h *History) {
+	"ended late after a restart": {edit: func(h *History) {
 		recordRestart(h, 5*second, 6*second)
 		recordNotice(h, "given_up", 7*second)
 	}},
-	"closed without answer": {edit: func(h *History) {
+	"connection closed without an answer": {edit: func(h *History) {
 		recordDelivery(h)
 		recordClose(h, 2*second)
 	}, want: ruleUnanswered},
@@ -70,64 +72,64 @@
 		recordDelivery(h)
 		h.submissions["m"].ClientTimedOut = true
 	}, want: ruleSlow},
-	"impaired by its machine": {edit: func(h *History) {
+	"no answer in time, but impaired by its machine": {edit: func(h *History) {
 		recordDelivery(h)
 		h.submissions["m"].ClientTimedOut = true
-	}, facts: RunFacts{Impaired: always}},
-	"closed by a kill": {edit: func(h *History) {
+	}, facts: RunFacts{Impaired: alwaysTrue}},
+	"connection closed by a kill": {edit: func(h *History) {
 		recordDelivery(h)
 		recordClose(h, 2*second)
 		recordRestart(h, 2*second, 3*second)
 	}},
-	"terminating, and no answer": {edit: func(h *History) {
+	"no answer in time while terminating": {edit: func(h *History) {
 		recordDelivery(h)
 		h.submissions["m"].ClientTimedOut = true
 		h.incarnationEvents = append(h.incarnationEvents, IncarnationEvent{Phase: Terminated, At: second / 2})
 	}, want: ruleSlow},
-	"closed amid a flood": {edit: func(h *History) {
+	"connection closed during a flood": {edit: func(h *History) {
 		recordDelivery(h)
 		recordClose(h, 2*second)
 		h.submissions["m"].FreshConnection = true
-	}, facts: RunFacts{Flooded: always}},
-	"a persistent connection amid a flood": {edit: func(h *History) {
+	}, facts: RunFacts{Flooded: alwaysTrue}},
+	"no answer in time on a persistent connection during a flood": {edit: func(h *History) {
 		recordDelivery(h)
 		h.submissions["m"].ClientTimedOut = true
-	}, facts: RunFacts{Flooded: always}, want: ruleSlow},
-	"a peer that stays": {edit: func(h *History) {
+	}, facts: RunFacts{Flooded: alwaysTrue}, want: ruleSlow},
+	"bad peer not released": {edit: func(h *History) {
 		recordDelivery(h)
 		h.badPeers = []BadPeer{{Kind: "silent", OpenedAt: second}}
 	}, want: ruleBadPeer},
-	"an unexpected exit": {edit: func(h *History) {
+	"unexpected exit": {edit: func(h *History) {
 		recordDelivery(h)
 		exit := IncarnationEvent{Phase: Exited, At: 9 * second, Detail: "unexpected exit"}
 		h.incarnationEvents = append(h.incarnationEvents, exit)
 	}, want: ruleCrash},
-	"no listener": {edit: func(h *History) {
+	"connection refused": {edit: func(h *History) {
 		recordDelivery(h)
 		h.refusals = []Refusal{{At: 2 * second}}
 	}, want: ruleListening},
 }
 
-// repeatCases are about calls that may not be made again.
+// repeatCases concern calls that must not be made, or must not be repeated.
 var repeatCases = map[string]invariantCase{
-	"non-idempotent twice": {class: NonIdempotent, edit: func(h *History) {
+	"non-idempotent message sent twice": {class: NonIdempotent, edit: func(h *History) {
 		recordFailure(h, second, true)
 		recordFailure(h, 2*second, true)
 		recordDelivery(h)
 	}, want: ruleDuplicate},
-	"non-idempotent, never ran": {class: NonIdempotent, edit: func(h *History) {
+	"non-idempotent message sent again after a call that never ran": {class: NonIdempotent, edit: func(h *History) {
 		recordFailure(h, second/2, false)
 		recordDelivery(h)
 	}},
-	"by key in its window": {class: IdempotentByKey, edit: func(h *History) {
+	"repeated within the window of its key": {class: IdempotentByKey, edit: func(h *History) {
 		recordFailure(h, second/2, true)
 		recordDelivery(h)
 	}},
-	"by key past its window": {class: IdempotentByKey, edit: func(h *History) {
+	"repeated after the window of its key": {class: IdempotentByKey, edit: func(h *History) {
 		recordFailure(h, second, true)
 		recordResend(h, 4*second)
 	}, want: ruleDuplicate},
-	"two at a time": {edit: func(h *History) {
+	"two calls at the same time": {edit: func(h *History) {
 		recordDelivery(h)
 		h.attempts = append(h.attempts, completedCall(second+second/100, 2*second, 200, true))
 	}, want: ruleConcurrent},
@@ -139,72 +141,72 @@
 		recordNotice(h, "handed_back", second/2)
 		recordDelivery(h)
 	}, want: ruleRejected},
-	"sent after its end": {edit: func(h *History) {
+	"sent again after its end": {edit: func(h *History) {
 		recordDelivery(h)
 		recordResend(h, 4*second)
 	}, want: ruleResent},
-	"sent after a full disk": {edit: func(h *History) {
+	"sent again after its end, which could not be journaled": {edit: func(h *History) {
 		recordDelivery(h)
 		recordResend(h, 4*second)
-	}, facts: RunFacts{OutcomeUncertain: always}},
-	"another body": {edit: func(h *History) {
+	}, facts: RunFacts{OutcomeUncertain: alwaysTrue}},
+	"changed body": {edit: func(h *History) {
 		recordDelivery(h)
 		h.attempts[0].Body = ""
 	}, want: ruleBody},
-	"another destination": {edit: func(h *History) {
+	"wrong destination": {edit: func(h *History) {
 		recordDelivery(h)
 		h.attempts[0].Destination = 1
 	}, want: ruleDestination},
 }
 
-// recovery is a destination that can take 2 calls per second and returns from an outage at 11 s.
-var recovery = RunFacts{Capacity: []float64{2}, Outages: []Outage{{From: 10 * second, Until: 11 * second}}}
+// warmUpFacts describes a run in which a destination that can take 2 calls per second has an outage until 11 s.
+var warmUpFacts = RunFacts{Capacity: []float64{2}, Outages: []Outage{{From: 10 * second, Until: 11 * second}}}
 
-// endpointCases are about drains, waits and slow start.
+// endpointCases concern drains, waits and slow start.
 var endpointCases = map[string]invariantCase{
-	"past a drain": {edit: func(h *History) {
+	"call after the grace period of a drain": {edit: func(h *History) {
 		recordDelivery(h)
 		recordDrain(h, second/10)
 	}, want: ruleDrain},
-	"in a drain's grace": {edit: func(h *History) {
+	"call within the grace period of a drain": {edit: func(h *History) {
 		recordDelivery(h)
 		recordDrain(h, second-second/4)
 	}},
-	"past a drain and a silence": {edit: func(h *History) {
+	"call after the grace period of a drain that precedes a silence": {edit: func(h *History) {
 		recordDelivery(h)
 		recordDrain(h, second/10)
 		h.silences = []Silence{{From: second / 5, Until: 2 * second}}
 	}, want: ruleDrain},
-	"a drain that no process could learn": {edit: func(h *History) {
+	"call after a drain that no process could learn of": {edit: func(h *History) {
 		recordDelivery(h)
 		h.incarnationEvents = nil
 		recordRestart(h, 0, second/2)
 		recordDrain(h, -second/10)
 		h.silences = []Silence{{From: -second / 20, Until: 2 * second}}
 	}},
-	"in a wait": {edit: func(h *History) {
+	"call during a wait": {edit: func(h *History) {
 		recordRetryAfter(h, second/2)
 		recordDelivery(h)
 	}, want: ruleRetryAfter},
-	"a wait and a restart": {edit: func(h *History) {
+	"call during a wait after a restart": {edit: func(h *History) {
 		recordRetryAfter(h, second/2)
 		recordRestart(h, second-second/4, second-second/5)
 		recordDelivery(h)
 	}},
-	"a burst at a cold one": {edit: func(h *History) {
+	"burst at a destination that is warming up": {edit: func(h *History) {
 		recordDelivery(h)
 		recordBurst(h, 12*second)
-	}, facts: recovery, want: ruleSlowStart},
-	"a burst at a warm one": {edit: func(h *History) {
+	}, facts: warmUpFacts, want: ruleSlowStart},
+	"burst at a destination that has warmed up": {edit: func(h *History) {
 		recordDelivery(h)
 		recordBurst(h, 18*second)
-	}, facts: recovery},
+	}, facts: warmUpFacts},
 }
 
-// Each invariant sees what it is there for, and passes what the protocol allows.
+// Each invariant finds the violations that it is meant to find, and accepts what the protocol allows.
 func TestInvariants(t *testing.T) {
 	t.Parallel()
-	for _, cases := range []map[string]invariantCase{endCases, repeatCases, endpointCases} {
+	for _, cases := range []map[string]invariantCase{clientAndMessageEndCases, repeatCases, endpointCases} {
 		for name, c := range cases {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
@@ -222,10 +224,12 @@
 	}
 }
 
+// recordNotice records that the message was ended by a notice.
 func recordNotice(h *History, outcome string, at time.Duration) {
 	h.notices = []Notice{{ID: "m", Outcome: outcome, At: at}}
 }
 
+// recordRestart records that the sender was killed, and was ready again later.
 func recordRestart(h *History, from, ready time.Duration) {
 	h.incarnationEvents = append(h.incarnationEvents,
 		IncarnationEvent{Phase: Killed, At: from},
@@ -234,29 +238,34 @@
 		IncarnationEvent{Phase: Ready, At: ready})
 }
 
+// recordClose records that the connection of the submission was closed without an answer.
 func recordClose(h *History, at time.Duration) {
 	h.submissions["m"].ConnectionClosed, h.submissions["m"].ClosedAt = true, at
 }
 
+// recordFailure records a call for the message that was answered with 500.
 func recordFailure(h *History, at time.Duration, mayHaveRun bool) {
 	h.attempts = append(h.attempts, completedCall(at, at+second/100, 500, mayHaveRun))
 }
 
+// recordResend records a call for the message that was answered with 200.
 func recordResend(h *History, at time.Duration) {
 	h.attempts = append(h.attempts, completedCall(at, at+second/100, 200, true))
 }
 
+// recordDrain records that the sender has to honour a drain of the endpoint from a time on.
 func recordDrain(h *History, at time.Duration) {
 	h.listChanges = append(h.listChanges, ListChange{Endpoint: "e", EffectiveAt: at})
 }
 
+// recordRetryAfter records a call for the message that was answered with 429 and a wait of 1 s.
 func recordRetryAfter(h *History, at time.Duration) {
 	a := completedCall(at, at, 429, false)
 	a.RetryAfter = second
 	h.attempts = append(h.attempts, a)
 }
 
-// recordBurst records that a sender that has seen an outage sends forty messages at once.
+// recordBurst records that a sender, which had a call fail in an outage, sends forty messages at once.
 func recordBurst(h *History, at time.Duration) {
 	for n := range 41 {
 		id := "h" + string(rune('A'+n))
--- a/internal/emulator/process_test.go
+++ b/internal/emulator/process_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// idleInstance is a process that does nothing until the end of the test.
+// idleInstance starts a process that does nothing until the test ends.
 func idleInstance(t *testing.T) instance {
 	t.Helper()
 	command := exec.Command("sleep", "60")
@@ -35,7 +35,8 @@
 	return strings.HasPrefix(state, "T")
 }
 
-// awaitStopped waits until a process is stopped, or goes on.
+// awaitStopped waits until a process is stopped, if want is true, or until it is not stopped. It fails the test if that
+// takes longer than 5 s.
 func (i *instance) awaitStopped(t *testing.T, want bool) {
 	t.Helper()
 	for until := time.Now().Add(5 * time.Second); i.isStopped(t) != want; time.Sleep(time.Millisecond) {
@@ -45,11 +46,11 @@
 	}
 }
 
-// A process that is paused while it hands over to the next one goes on afterwards. The end of the pause used to go to
-// the process that was current by then, so the old one stayed stopped for good: it obeyed no SIGTERM, kept its peers,
-// and the run said that it had to be killed after an upgrade. Shown by its state in /proc, T, at the time of the
-// SIGKILL (soak seed 53008).
-func TestAPausedProcessGoesOnAfterAnUpgrade(t *testing.T) {
+// A process that is paused while it hands over to its successor continues after the pause. The failure: SIGCONT was
+// sent to the process that was current at the end of the pause, so the predecessor stayed stopped (state T in /proc),
+// did not react to SIGTERM, kept its connections, and had to be killed after the upgrade. It happened in the soak of
+// seed 53008.
+func TestPausedProcessContinuesAfterAnUpgrade(t *testing.T) {
 	t.Parallel()
 	old, next := idleInstance(t), idleInstance(t)
 	p := &Process{instance: old}
@@ -65,6 +66,6 @@
 	<-done
 	old.awaitStopped(t, false)
 	if next.isStopped(t) {
-		t.Error("the next process is stopped")
+		t.Error("the pause stopped the successor")
 	}
 }
--- a/internal/emulator/shim.go
+++ b/internal/emulator/shim.go
@@ -22,7 +22,7 @@
 
 // The kinds of shims.
 const (
-	ShimWallStep  ShimKind = "wall_step"  // the wall clock is off by Step, without an end
+	ShimWallStep  ShimKind = "wall_step"  // from From on, the wall clock is off by Step
 	ShimDiskFull  ShimKind = "disk_full"  // writes to the state directory fail with ENOSPC
 	ShimDiskError ShimKind = "disk_error" // writes to the state directory fail with EIO
 	ShimTornWrite ShimKind = "torn_write" // writes to the state directory write the first half and fail with ENOSPC
@@ -102,8 +102,8 @@
 	shims shimSchedule
 }
 
-// OpenFile opens a file. Opening for reading fails while files cannot be opened, and opening for writing fails while
-// the disk has a fault.
+// OpenFile opens a file. Opening for reading fails while ShimRead is active, and opening for writing fails while the
+// disk has a fault.
 func (f shimFiles) OpenFile(path string, flag int, mode os.FileMode) (sender.File, error) {
 	err := f.shims.openError(path)
 	if flag&(os.O_WRONLY|os.O_RDWR) != 0 {
--- a/internal/emulator/soak_test.go
+++ b/internal/emulator/soak_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// senderVariable makes the test's own program one of the senders.
+// senderVariable is the environment variable that makes the test binary run as a sender.
 const senderVariable = "EMULATOR_TEST_SENDER"
 
 func TestMain(m *testing.M) {
@@ -23,12 +23,13 @@
 
 const testSenders = 8
 
-// playRun plays a run of few senders and fails for each violation.
-func playRun(t *testing.T, o Options) *Report {
+// runAndCheck performs a run with few senders. It fails the test for each violation, and if less than a quarter of the
+// messages is delivered, as such a run shows little.
+func runAndCheck(t *testing.T, o Options) *Report {
 	t.Helper()
 	o.Senders, o.Destinations, o.Rate, o.Directory = testSenders, 5, 8, t.TempDir()
 	o.Command = Command{Path: os.Args[0], Env: []string{senderVariable + "=1", "GORACE=atexit_sleep_ms=0"}}
-	o.Tolerance = 250 * time.Millisecond // beside other tests, and with the race detector
+	o.Tolerance = 250 * time.Millisecond // for other tests that run at the same time, and for the race detector
 	report, err := Run(o)
 	if err != nil {
 		t.Fatal(err)
@@ -42,13 +43,13 @@
 		}
 	}
 	if report.Counts["delivered"] < report.Counts["submissions"]/4 {
-		t.Errorf("hardly anything is delivered: %v", report.Counts)
+		t.Errorf("less than a quarter of the messages was delivered: %v", report.Counts)
 	}
 	return report
 }
 
-// A short soak by plans in which faults of all kinds overlap; the last three have connection floods beside upgrades.
-// Longer ones are played by the command soak.
+// Short runs violate no invariant under plans in which faults of all kinds overlap. The plans of the last three seeds
+// combine connection floods with upgrades. The command soak performs longer runs.
 func TestShortSoak(t *testing.T) {
 	t.Parallel()
 	for seed, load := range map[uint64]time.Duration{
@@ -60,7 +61,7 @@
 	} {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			playRun(t, Options{Seed: seed, LoadDuration: load, FaultKinds: AllFaultKinds})
+			runAndCheck(t, Options{Seed: seed, LoadDuration: load, FaultKinds: AllFaultKinds})
 		})
 	}
 }
