--- a/internal/emulator/fault_plan.go
+++ b/internal/emulator/fault_plan.go
@@ -67,11 +67,11 @@
 		f.Destination = random.IntN(o.Destinations)
 		return f
 	}
-	affectedSenders := 1 + random.IntN(o.Senders)
+	affectedCount := 1 + random.IntN(o.Senders)
 	if kind == ConnectionFlood {
-		affectedSenders = min(affectedSenders, maxFloodedSenders)
+		affectedCount = min(affectedCount, maxFloodedSenders)
 	}
-	f.Senders = random.Perm(o.Senders)[:affectedSenders]
+	f.Senders = random.Perm(o.Senders)[:affectedCount]
 	slices.Sort(f.Senders)
 	if kind == ClockForward || kind == ClockBackward {
 		steps := []time.Duration{2 * time.Second, 30 * time.Second, time.Hour}
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -35,8 +35,8 @@
 	restartPause      = 600 * time.Millisecond  // from the end of a process by SIGTERM or SIGKILL to the next start
 	minReloadAge      = time.Second             // age of a process before which it gets no SIGHUP
 
-	// firstUpgradePort plus the number of an upgrade, from 1, is the admin port of the process that the upgrade starts.
-	firstUpgradePort = 9100
+	// upgradePortBase plus the number of an upgrade, from 1, is the admin port of the process that the upgrade starts.
+	upgradePortBase = 9100
 )
 
 // ProcessSpec holds what is the same for all processes of a sender.
@@ -142,7 +142,7 @@
 		return err
 	}
 	p.upgrades++
-	next, err := p.launch(net.JoinHostPort(host, strconv.Itoa(firstUpgradePort+p.upgrades)))
+	next, err := p.launch(net.JoinHostPort(host, strconv.Itoa(upgradePortBase+p.upgrades)))
 	if err != nil {
 		return err
 	}
