--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -55,6 +55,7 @@
 	options   emulator.Options
 }
 
+// parse returns the values of the flags in args.
 func parse(args []string) (*commandLine, error) {
 	c := &commandLine{}
 	var faults []string
--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -32,7 +32,7 @@
 type Agent struct {
 	history *History
 	sender  int
-	// pollsEndpointList is set if the sender polls the list, which is not pushed to it. A change takes effect then when
+	// pollsEndpointList is set if the sender polls the list, which is not pushed to it. A change then takes effect when
 	// a poll is answered with it, and at the latest polledChangeTimeout after the agent knows it.
 	pollsEndpointList bool
 
@@ -40,7 +40,7 @@
 	servers             []Server // in the order in which they were added
 	changedVersions     []int    // of each server: the list's version at its last change
 	version             int
-	addressMoveGraceEnd time.Duration // changes before this time take effect at it, as the agent's address has moved
+	addressMoveGraceEnd time.Duration // changes take effect no earlier, as the agent's address has moved
 	wake                chan struct{} // closed and replaced when the list or the agent's behaviour changes
 	silent              bool
 	missedChanges       []Server // changes that happened while the agent was silent
@@ -185,8 +185,8 @@
 	a.wakeWatches()
 }
 
-// LoseWatches makes the agent never answer the watches that are open now. Changes still take effect at once while the
-// sender waits for such a watch, as the agent knows them.
+// LoseWatches makes the agent never answer the watches that are open now. While the sender waits for such a watch, the
+// agent still learns of changes, so they take effect as usual.
 func (a *Agent) LoseWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/emulator/bad_peer.go
+++ b/internal/emulator/bad_peer.go
@@ -13,7 +13,7 @@
 	badPeerTimeout     = 4 * time.Second // a bad peer waits this long to be released, then it disconnects
 )
 
-// badPeerKinds are the kinds of bad peers. A draw picks a kind by its index, so the order is part of what a seed means.
+// badPeerKinds are the kinds of bad peers. They are drawn by index, so their order determines the bad peers of a seed.
 var badPeerKinds = [...]string{"silent", "half head", "half body", "garbage"}
 
 // badPeerPayloads holds what a bad peer of each kind sends.
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -18,10 +18,10 @@
 
 const (
 	fragmentPause     = 20 * time.Millisecond // between the two parts of a request that is written in parts
-	fragmentOneIn     = 8                     // one in so many requests is written in two parts
-	retryOneIn        = 2                     // one in so many rejected messages is submitted again
+	fragmentOneIn     = 8                     // one request in this many is written in two parts
+	retryOneIn        = 2                     // one rejected message in this many is submitted again
 	maxRetries        = 2                     // of one rejected message
-	shortTimeoutOneIn = 12                    // one in so many messages has to be delivered within shortTimeout
+	shortTimeoutOneIn = 12                    // one message in this many has to be delivered within shortTimeout
 	shortTimeout      = 120 * time.Millisecond
 	idleReuseInterval = 150 * time.Millisecond // between two rounds of messages on the idle connections
 	dialTimeout       = time.Second
@@ -182,8 +182,8 @@
 
 var errNotWritten = errors.New("the request could not be written completely")
 
-// exchange submits a message once. If an idle connection turns out to be closed, the request is written once more, on a
-// new connection.
+// exchange submits a message once. The sender may close an idle connection just as the request is written to it. The
+// request is then written once more, on a new connection.
 func (c *Clients) exchange(s Submission) answer {
 	for try := 0; ; try++ {
 		conn, err := c.acquire(try > 0)
@@ -250,7 +250,8 @@
 	return text + "\r\n" + body
 }
 
-// roundTrip writes a request and reads the answer. It writes one in fragmentOneIn requests in two parts.
+// roundTrip writes a request, records the submission, and reads the answer. One request in fragmentOneIn is written in
+// two parts.
 func (c *Clients) roundTrip(conn *clientConn, s Submission) (answer, error) {
 	text := requestText(s, messageBody(s))
 	if c.chance(fragmentOneIn) {
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -9,7 +9,7 @@
 // The helpers of this file ignore errors. Their operations fail only if the peer has closed the connection, and the
 // next read reports that.
 
-// closeQuietly closes c and ignores the error.
+// closeQuietly closes something that is no longer used, and ignores the error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
 // writeQuietly writes a text that the peer need not receive.
--- a/internal/emulator/connection_flood.go
+++ b/internal/emulator/connection_flood.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// In a connection flood, clients open connections and then stay idle or stop in the middle of a request. They are more
-// than the sender has descriptors.
+// In a connection flood, clients open more connections than the sender has descriptors. They then stay idle or stop in
+// the middle of a request.
 const (
 	floodSize             = 640                    // connections; a sender has 512 descriptors
-	floodConnectInterval  = time.Millisecond       // between the first attempts of two connections
+	floodConnectInterval  = time.Millisecond       // between the first attempts of successive connections
 	floodReconnectPause   = 200 * time.Millisecond // before a connection that was closed is opened again
-	floodCheckedOneIn     = 8                      // one in so many connections is recorded as a bad peer
-	floodHalfRequestOneIn = 4                      // one in so many connections stops in the middle of a request
+	floodCheckedOneIn     = 8                      // one connection in this many is recorded as a bad peer
+	floodHalfRequestOneIn = 4                      // one connection in this many stops in the middle of a request
 )
 
-// flood keeps floodSize connections to the sender's own address open until a time. It opens those again that the sender
-// closes.
+// flood keeps floodSize connections to the sender's own address open until a time. It reopens each connection that ends
+// before then.
 func (c *Clients) flood(addr string, until time.Duration) {
 	var connections sync.WaitGroup
 	for n := range floodSize {
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -38,8 +38,8 @@
 // meanwhile.
 func senderHost(run uint32, sender int) string { return loopbackAddress(run, 1+sender%253) }
 
-// standInHost returns the address at which the stand-ins of a run listen. No other run uses it, so none of their
-// connections to a port that they used before can reach these stand-ins.
+// standInHost returns the address at which the stand-ins of a run listen. No other run uses it. Otherwise a connection
+// of another run, to a port that its own stand-ins had before, could reach a stand-in of this run.
 func standInHost(run uint32) string { return loopbackAddress(run, 254) }
 
 // zipfShares returns the share of the traffic that each of n destinations gets, by Zipf's law.
@@ -158,7 +158,7 @@
 }
 
 // newProcess prepares the process of a sender without starting it. Every second sender is passed its clients' socket,
-// as by the platform, and can therefore be upgraded while its predecessor still runs.
+// as the platform does, so that an upgrade can start its next process while the current one still runs.
 func (r *runner) newProcess(number int, discoveryAddr string, agent *Agent) (*Process, error) {
 	host := senderHost(r.runNumber, number)
 	p := &Process{
@@ -191,10 +191,10 @@
 	return p, nil
 }
 
-// startSenders starts all senders with their shims, and waits until they are ready. The run's clock, from which the
-// plan's times count, is at 0 startLeadTime after the call.
+// startSenders starts all senders with their shims, and waits until they are ready. It sets the run's clock, to which
+// the plan's times refer, so that it reaches 0 startLeadTime after the call.
 func (r *runner) startSenders() error {
-	r.history.begin(time.Now().Add(startLeadTime)) // the load begins at 0, when all senders are to be ready
+	r.history.begin(time.Now().Add(startLeadTime)) // the load begins at 0, by when all senders should be ready
 	start := monotonicNow() + int64(startLeadTime)
 	for _, f := range r.plan {
 		kind, isShim := shimKindOf[f.Kind]
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -239,7 +239,7 @@
 		awaitClose(conn, r)
 		return false
 	}
-	if closesWithin(conn, r, serviceTime) { // the sender has closed it; the endpoint still does the work
+	if closesWithin(conn, r, serviceTime) { // the sender has closed the connection; the endpoint still does the work
 		e.endAttempts(call, noAnswer)
 		return false
 	}
--- a/internal/emulator/fixed_plans_test.go
+++ b/internal/emulator/fixed_plans_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The tests of this file perform runs with fixed plans instead of drawn ones. In each, a sender cannot use something
-// that it needs for some time: its agent, sockets, files or descriptors.
+// The tests of this file perform runs with fixed plans instead of drawn ones. In each, something that senders need is
+// unavailable for some time: the agent, sockets, files or descriptors.
 
 // allSenders returns the numbers of all senders of a test's run.
 func allSenders() []int {
@@ -96,8 +96,8 @@
 	}
 }
 
-// The same holds while descriptors are exhausted. This is a test of its own because clients cannot be accepted then,
-// either.
+// A sender that cannot poll its agent because its descriptors are exhausted makes no calls by a list that may be stale,
+// either. This is a test of its own because clients cannot be accepted while descriptors are exhausted.
 func TestDrainsAreHonouredWhileDescriptorsAreExhausted(t *testing.T) {
 	t.Parallel()
 	runDrainsWhilePollingFails(t, DiscoverySilent, DescriptorsExhausted)
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -35,7 +35,7 @@
 // Now returns the time since the run's start.
 func (h *History) Now() time.Duration { return time.Since(*h.start.Load()) }
 
-// RecordSubmission records a request that has been written completely.
+// RecordSubmission records a request whose last part is about to be written.
 func (h *History) RecordSubmission(s Submission) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/emulator/incarnations.go
+++ b/internal/emulator/incarnations.go
@@ -9,9 +9,9 @@
 // The functions of this file report what a sender's processes were doing at a time. Callers hold the history's mutex.
 
 const (
-	// clockSkew is the longest delay with which an event is recorded, such as the close of an abandoned call's
+	// maxRecordingDelay is the longest delay with which an event is recorded, such as the close of an abandoned call's
 	// connection or a process's phase.
-	clockSkew = 50 * time.Millisecond
+	maxRecordingDelay = 50 * time.Millisecond
 	// restartGrace is the time after a restarted sender is ready in which its notices are not overdue yet.
 	restartGrace = 1500 * time.Millisecond
 	// listPropagationTime is the time that a process needs to learn what its agent knows.
@@ -63,13 +63,13 @@
 		h.inPhase(sender, at+listPropagationTime, Started, Killed, Exited)
 }
 
-// inPhase reports whether a sender is in a state at a time, given the phase that begins the state and the phases that
-// end it: it is if the last of these phases that it reached is the beginning one. An end counts even if it was recorded
-// up to clockSkew after the time.
+// inPhase reports whether a sender is in a state at a time, that is whether it has reached the phase that begins the
+// state, and since then none of the phases that end it. A phase that ends the state counts even if it was recorded up
+// to maxRecordingDelay after the time.
 func (h *History) inPhase(sender int, at time.Duration, begins IncarnationPhase, ends ...IncarnationPhase) bool {
 	in := false
 	for _, event := range h.incarnationEvents {
-		if event.Sender != sender || event.At > at+clockSkew {
+		if event.Sender != sender || event.At > at+maxRecordingDelay {
 			continue
 		}
 		switch {
@@ -96,17 +96,17 @@
 	return 0, false
 }
 
-// effectiveTime returns the time from which on a sender has to honour a change that its agent knows from a time on. If
-// the sender has a process then, that is the same time, whether or not the agent still answers and a watch is open.
-// Otherwise it is when the next process starts or, if the agent is silent then, when the silence ends, as no process
-// can learn the change earlier.
-func (h *History) effectiveTime(sender int, known time.Duration) time.Duration {
-	if h.hasProcess(sender, known) {
-		return known
+// effectiveTime returns the time from which a sender has to honour a change that its agent knows and that takes effect
+// at effectiveAt. If the sender has a process then, that is effectiveAt itself, whether or not the agent still answers
+// and a watch is open. Otherwise it is when the next process starts or, if the agent is silent then, when the silence
+// ends, as no process can learn of the change earlier.
+func (h *History) effectiveTime(sender int, effectiveAt time.Duration) time.Duration {
+	if h.hasProcess(sender, effectiveAt) {
+		return effectiveAt
 	}
 	var starts []time.Duration
 	for _, event := range h.incarnationEvents {
-		if event.Sender == sender && event.Phase == Started && event.At > known {
+		if event.Sender == sender && event.Phase == Started && event.At > effectiveAt {
 			starts = append(starts, event.At)
 		}
 	}
--- a/internal/emulator/injection.go
+++ b/internal/emulator/injection.go
@@ -114,7 +114,7 @@
 }
 
 // terminate stops a sender's process by SIGTERM and starts the next one. Other signals may be sent shortly before and
-// after the SIGTERM. Clients use every connection that stays open until the process has exited.
+// after the SIGTERM. Until the process has exited, the clients submit messages on every connection that is still open.
 func (r *runner) terminate(sender int, random *rand.Rand) {
 	reloadsBefore, reloadsAfter, terminatesAgain := random.IntN(3) == 0, random.IntN(2) == 0, random.IntN(3) == 0
 	r.restart(sender, func() error {
@@ -203,8 +203,8 @@
 	return err
 }
 
-// replaceEndpoints adds a new endpoint for each endpoint of a destination and drains the old ones. It deletes them from
-// the lists after drainDuration.
+// replaceEndpoints adds a new endpoint for each endpoint that a destination has had so far, and drains the old ones. It
+// marks them as deleted in the lists after drainDuration.
 func (r *runner) replaceEndpoints(f Fault) error {
 	old := r.endpointsOf(f.Destination)
 	for n, e := range old {
--- a/internal/emulator/invariants_endpoint.go
+++ b/internal/emulator/invariants_endpoint.go
@@ -14,7 +14,8 @@
 const retryAfterGrace = 100 * time.Millisecond
 
 // checkDrains checks that a sender calls no endpoint later than the grace period after it has to know that the endpoint
-// drains. By effectiveTime, that is as soon as its agent knows, if the sender has a process.
+// drains. A sender that has a process has to know that as soon as the change takes effect at its agent. For a sender
+// that has none, effectiveTime returns a later time.
 func checkDrains(h *History, f RunFacts) []Violation {
 	type route struct {
 		sender   int
--- a/internal/emulator/invariants_message.go
+++ b/internal/emulator/invariants_message.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		due := h.dueTime(s, f.Parameters.Slack)
-		if due > f.End-f.Tolerance { // the run ended first, or the sender never restarted, which is its own violation
+		if due > f.End-f.Tolerance { // the run ended first, or the sender never restarted, which is a violation itself
 			continue
 		}
 		at, known := ended[id]
@@ -122,7 +122,7 @@
 	for id, attempts := range h.attemptsBy(func(a *Attempt) string { return a.ID }) {
 		for i, a := range attempts {
 			for _, earlier := range attempts[:i] {
-				if earlier.EndedAt == 0 || earlier.EndedAt > a.At+clockSkew+f.Tolerance {
+				if earlier.EndedAt == 0 || earlier.EndedAt > a.At+maxRecordingDelay+f.Tolerance {
 					found = append(found, violationf(ruleConcurrent, a.At,
 						"%s was sent to %s while the call that arrived at %.3fs at %s was in flight",
 						id, a.Endpoint, earlier.At.Seconds(), earlier.Endpoint))
@@ -133,7 +133,7 @@
 	return found
 }
 
-// checkRejected checks that a message that a sender rejected or handed back takes effect neither before nor after.
+// checkRejected checks that a message that a sender rejected or handed back does not take effect, before or after that.
 func checkRejected(h *History, _ RunFacts) []Violation {
 	handedBack := map[string]bool{}
 	for _, n := range h.notices {
@@ -178,8 +178,8 @@
 	return found
 }
 
-// mayNotHavePersisted reports whether a sender may not have learned of an event at a time, or may not have journaled
-// it, because the answer was lost, the disk failed or the process was killed.
+// mayNotHavePersisted reports whether a sender possibly did not learn of an event at a time, or did not journal it,
+// because the answer was lost, the disk failed or the process was killed.
 func (h *History) mayNotHavePersisted(f RunFacts, sender int, at time.Duration) bool {
 	for offset := -persistGrace; offset <= persistGrace; offset += persistGrace / 4 {
 		if f.OutcomeUncertain != nil && f.OutcomeUncertain(sender, at+offset) {
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -43,7 +43,7 @@
 type ProcessSpec struct {
 	Number     int
 	Addr       string // address at which clients connect
-	AdminAddr  string
+	AdminAddr  string // of the processes that Start starts; each process of an upgrade has a port of its own
 	Directory  string // directory for the state, the configuration and the log
 	Command    Command
 	Parameters Parameters
@@ -53,8 +53,8 @@
 	History    *History
 }
 
-// Process manages the processes of one sender, which have the same directory and addresses. One of them is the current
-// one.
+// Process manages the processes of one sender, which have the same directory and the same address for clients. One of
+// them is the current one.
 type Process struct {
 	ProcessSpec
 	shims        []Shim
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -118,7 +118,7 @@
 }
 
 // relay connects to the target and forwards bytes between the two connections in both directions. When one of them is
-// closed or reset, so is the other.
+// closed, the other is closed as well, and a reset of one is passed on as a reset of the other.
 func (p *Proxy) relay(inbound net.Conn) {
 	defer inbound.Close()
 	if !p.track(inbound) {
--- a/internal/emulator/records.go
+++ b/internal/emulator/records.go
@@ -27,7 +27,7 @@
 	Class            Class
 	Destination      int
 	Sender           int
-	SentAt           time.Duration // when its last byte was written
+	SentAt           time.Duration // just before its last part was written
 	FreshConnection  bool          // no request had been answered on its connection before
 	DeliveryTimeout  time.Duration // counted from SentAt
 	Status           int           // of the answer; 0 if there was none
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares texts with files that an earlier release wrote. The tests of formats that later releases have
-// to read as well use it. Nothing rewrites the files.
+// Package golden compares texts with files that an earlier release wrote. It serves the tests of formats that outlive a
+// release. Nothing rewrites the files.
 package golden
 
 import (
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Compare compares a text with the file of a name under testdata. It reports each line that differs as a failure of the
-// test.
+// Compare compares a text with the file called name under testdata. It reports each line that differs as a failure of
+// the test.
 func Compare(t testing.TB, name, got string) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", filepath.FromSlash(name)))
