--- a/internal/emulator/incarnations.go
+++ b/internal/emulator/incarnations.go
@@ -48,25 +48,25 @@
 
 // acceptsConnections reports whether a sender was ready at a time, and its process had not been sent SIGTERM.
 func (h *History) acceptsConnections(sender int, at time.Duration) bool {
-	return h.inPhase(sender, at, Ready, Terminated, Killed, Exited)
+	return h.isInState(sender, at, Ready, Terminated, Killed, Exited)
 }
 
 // isServing reports whether a sender had a process at a time that had become ready. The process may be terminating.
 func (h *History) isServing(sender int, at time.Duration) bool {
-	return h.inPhase(sender, at, Ready, Killed, Exited)
+	return h.isInState(sender, at, Ready, Killed, Exited)
 }
 
 // hasProcess reports whether a sender has a process at a time, and still has one listPropagationTime later, when the
 // process has learned what its agent knows.
 func (h *History) hasProcess(sender int, at time.Duration) bool {
-	return h.inPhase(sender, at, Started, Killed, Exited) &&
-		h.inPhase(sender, at+listPropagationTime, Started, Killed, Exited)
+	return h.isInState(sender, at, Started, Killed, Exited) &&
+		h.isInState(sender, at+listPropagationTime, Started, Killed, Exited)
 }
 
-// inPhase reports whether a sender is in a state at a time, that is whether it has reached the phase that begins the
+// isInState reports whether a sender is in a state at a time, that is whether it has reached the phase that begins the
 // state, and since then none of the phases that end it. A phase that ends the state counts even if it was recorded up
 // to maxRecordingDelay after the time.
-func (h *History) inPhase(sender int, at time.Duration, begins IncarnationPhase, ends ...IncarnationPhase) bool {
+func (h *History) isInState(sender int, at time.Duration, begins IncarnationPhase, ends ...IncarnationPhase) bool {
 	in := false
 	for _, event := range h.incarnationEvents {
 		if event.Sender != sender || event.At > at+maxRecordingDelay {
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -54,9 +54,9 @@
 	From, Until time.Duration
 }
 
-// RunFacts holds what Check needs to know about a run in addition to its history. A function that is nil stands for one
-// that always reports false.
-type RunFacts struct {
+// RunConditions holds what Check needs to know about a run in addition to its history. A function that is nil stands
+// for one that always reports false.
+type RunConditions struct {
 	Parameters Parameters
 	Tolerance  time.Duration // for delays of the machine itself
 	Outages    []Outage
@@ -74,12 +74,12 @@
 
 // impairedBetween reports whether a sender is impaired at some time of a span, by samples every
 // impairmentSampleInterval.
-func (f RunFacts) impairedBetween(sender int, from, until time.Duration) bool {
-	if f.Impaired == nil {
+func (run RunConditions) impairedBetween(sender int, from, until time.Duration) bool {
+	if run.Impaired == nil {
 		return false
 	}
 	for at := from; at <= until; at += impairmentSampleInterval {
-		if f.Impaired(sender, at) {
+		if run.Impaired(sender, at) {
 			return true
 		}
 	}
@@ -87,12 +87,12 @@
 }
 
 // arrivedInFlood reports whether a submission was made on a new connection and a connection flood is active at a time.
-func (f RunFacts) arrivedInFlood(s *Submission, at time.Duration) bool {
-	return s.FreshConnection && f.Flooded != nil && f.Flooded(s.Sender, at)
+func (run RunConditions) arrivedInFlood(s *Submission, at time.Duration) bool {
+	return s.FreshConnection && run.Flooded != nil && run.Flooded(s.Sender, at)
 }
 
 // invariants are the checks of all invariants. They are called with the history's mutex held.
-var invariants = []func(*History, RunFacts) []Violation{
+var invariants = []func(*History, RunConditions) []Violation{
 	checkLost,
 	checkUnanswered,
 	checkAnswerTime,
@@ -111,12 +111,12 @@
 }
 
 // Check checks a run by all invariants and returns the violations in order of time.
-func Check(h *History, f RunFacts) []Violation {
+func Check(h *History, run RunConditions) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []Violation
 	for _, check := range invariants {
-		all = append(all, check(h, f)...)
+		all = append(all, check(h, run)...)
 	}
 	slices.SortStableFunc(all, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return all
--- a/internal/emulator/invariants_client.go
+++ b/internal/emulator/invariants_client.go
@@ -16,12 +16,12 @@
 
 // checkUnanswered checks that a sender answers each request that was written completely on a fresh connection, while
 // the sender accepts connections and there is no connection flood.
-func checkUnanswered(h *History, f RunFacts) []Violation {
+func checkUnanswered(h *History, run RunConditions) []Violation {
 	var found []Violation
 	for id, s := range h.submissions {
 		if s.ConnectionClosed &&
 			h.acceptsConnections(s.Sender, s.SentAt) && h.acceptsConnections(s.Sender, s.ClosedAt) &&
-			!f.arrivedInFlood(s, s.SentAt) && !f.arrivedInFlood(s, s.ClosedAt) {
+			!run.arrivedInFlood(s, s.SentAt) && !run.arrivedInFlood(s, s.ClosedAt) {
 			found = append(found, violationf(ruleUnanswered, s.ClosedAt,
 				"%s: sender %d closed a fresh connection without an answer: %s; the request was written at %.3fs",
 				id, s.Sender, s.CloseError, s.SentAt.Seconds()))
@@ -34,10 +34,10 @@
 // applies if the sender has a process that is ready, even one that is terminating, and is not impaired by its machine.
 // For requests on fresh connections the process must not be terminating, as it need not accept new connections then,
 // and there must be no connection flood.
-func checkAnswerTime(h *History, f RunFacts) []Violation {
+func checkAnswerTime(h *History, run RunConditions) []Violation {
 	var found []Violation
 	for id, s := range h.submissions {
-		until := s.SentAt + f.Parameters.AnswerTimeout
+		until := s.SentAt + run.Parameters.AnswerTimeout
 		hasToAnswer := h.isServing
 		if s.FreshConnection {
 			hasToAnswer = h.acceptsConnections
@@ -45,9 +45,9 @@
 		if !s.ClientTimedOut || !hasToAnswer(s.Sender, s.SentAt) || !hasToAnswer(s.Sender, until) {
 			continue
 		}
-		if !f.arrivedInFlood(s, s.SentAt) && !f.impairedBetween(s.Sender, s.SentAt-impairmentGrace, until) {
+		if !run.arrivedInFlood(s, s.SentAt) && !run.impairedBetween(s.Sender, s.SentAt-impairmentGrace, until) {
 			found = append(found, violationf(ruleSlow, s.SentAt,
-				"%s: sender %d did not answer within %v", id, s.Sender, f.Parameters.AnswerTimeout))
+				"%s: sender %d did not answer within %v", id, s.Sender, run.Parameters.AnswerTimeout))
 		}
 	}
 	return found
@@ -55,10 +55,10 @@
 
 // checkBadPeers checks that a sender answers a peer that sends no complete request with an error, or closes its
 // connection, within badPeerReleaseTime, while the sender accepts connections.
-func checkBadPeers(h *History, f RunFacts) []Violation {
+func checkBadPeers(h *History, run RunConditions) []Violation {
 	var found []Violation
 	for _, p := range h.badPeers {
-		late := p.ReleasedAt == 0 || p.ReleasedAt-p.OpenedAt > badPeerReleaseTime+f.Parameters.Slack+f.Tolerance
+		late := p.ReleasedAt == 0 || p.ReleasedAt-p.OpenedAt > badPeerReleaseTime+run.Parameters.Slack+run.Tolerance
 		if late && h.acceptsConnections(p.Sender, p.OpenedAt) &&
 			h.acceptsConnections(p.Sender, p.OpenedAt+badPeerReleaseTime) {
 			found = append(found, violationf(ruleBadPeer, p.OpenedAt,
@@ -69,7 +69,7 @@
 }
 
 // checkIncarnations checks that no process exits unexpectedly, and that each is ready within readyWithin.
-func checkIncarnations(h *History, _ RunFacts) []Violation {
+func checkIncarnations(h *History, _ RunConditions) []Violation {
 	var found []Violation
 	started := map[int]time.Duration{}
 	for _, event := range h.incarnationEvents {
@@ -87,7 +87,7 @@
 }
 
 // checkListening checks that a sender accepts connections while it is ready and has not been sent SIGTERM.
-func checkListening(h *History, _ RunFacts) []Violation {
+func checkListening(h *History, _ RunConditions) []Violation {
 	var found []Violation
 	for _, r := range h.refusals {
 		if h.acceptsConnections(r.Sender, r.At) {
--- a/internal/emulator/invariants_endpoint.go
+++ b/internal/emulator/invariants_endpoint.go
@@ -16,7 +16,7 @@
 // checkDrains checks that a sender calls no endpoint later than the grace period after it has to know that the endpoint
 // drains. A sender that has a process has to know that as soon as the change takes effect at its agent. For a sender
 // that has none, effectiveTime returns a later time.
-func checkDrains(h *History, f RunFacts) []Violation {
+func checkDrains(h *History, run RunConditions) []Violation {
 	type route struct {
 		sender   int
 		endpoint string
@@ -31,7 +31,7 @@
 	var found []Violation
 	for _, a := range h.attempts {
 		at, known := drained[route{a.Sender, a.Endpoint}]
-		if known && a.sentAt()-f.Tolerance-f.Parameters.DrainGrace-f.Parameters.Slack > at {
+		if known && a.sentAt()-run.Tolerance-run.Parameters.DrainGrace-run.Parameters.Slack > at {
 			found = append(found, violationf(ruleDrain, a.At,
 				"%s: sender %d called %s %.3fs after it had to know of the drain",
 				a.ID, a.Sender, a.Endpoint, (a.sentAt()-at).Seconds()))
@@ -42,7 +42,7 @@
 
 // checkRetryAfter checks that a sender calls no destination during a wait that it received from that destination. A
 // restart of the sender ends the wait.
-func checkRetryAfter(h *History, f RunFacts) []Violation {
+func checkRetryAfter(h *History, run RunConditions) []Violation {
 	var found []Violation
 	for _, limited := range h.attempts {
 		if limited.RetryAfter == 0 {
@@ -51,7 +51,7 @@
 		for _, a := range h.attempts {
 			after := a.sentAt() - limited.EndedAt
 			if a.Sender != limited.Sender || a.Destination != limited.Destination ||
-				after <= retryAfterGrace+f.Tolerance || after >= limited.RetryAfter {
+				after <= retryAfterGrace+run.Tolerance || after >= limited.RetryAfter {
 				continue
 			}
 			if !h.startedBetween(a.Sender, limited.EndedAt, a.At) {
@@ -73,11 +73,11 @@
 // checkSlowStart checks that a destination does not get more calls after an outage than it can take. It counts a window
 // only if over two thirds of its calls are from senders that had a call fail in the outage, as the others cannot know
 // of the outage.
-func checkSlowStart(h *History, f RunFacts) []Violation {
+func checkSlowStart(h *History, run RunConditions) []Violation {
 	var found []Violation
-	for _, o := range f.Outages {
-		arrivals, sawFailure := h.callsAfter(o, f.Parameters.WarmUpTime)
-		if v, overloaded := f.firstOverload(o, arrivals, sawFailure); overloaded {
+	for _, o := range run.Outages {
+		arrivals, sawFailure := h.callsAfter(o, run.Parameters.WarmUpTime)
+		if v, overloaded := run.firstOverload(o, arrivals, sawFailure); overloaded {
 			found = append(found, v)
 		}
 	}
@@ -107,10 +107,11 @@
 }
 
 // firstOverload returns a violation for the first window with more calls than a destination can take after an outage.
-func (f RunFacts) firstOverload(o Outage, arrivals []arrival, sawFailure map[int]bool) (v Violation, overloaded bool) {
+func (run RunConditions) firstOverload(o Outage, arrivals []arrival, sawFailure map[int]bool) (v Violation,
+	overloaded bool) {
 	for first := range arrivals {
 		calls, informedCalls := 0, 0
-		end := arrivals[first].at + f.Parameters.OverloadWindow
+		end := arrivals[first].at + run.Parameters.OverloadWindow
 		for _, a := range arrivals[first:] {
 			if a.at > end {
 				break
@@ -120,10 +121,10 @@
 				informedCalls++
 			}
 		}
-		if allowed := f.allowedCalls(o, end); float64(calls) > allowed && 3*informedCalls > 2*calls {
+		if allowed := run.allowedCalls(o, end); float64(calls) > allowed && 3*informedCalls > 2*calls {
 			return violationf(ruleSlowStart, arrivals[first].at,
 				"destination %d got %d calls within %v, from %.3fs after its outage, %d of them from senders that "+
-					"had a call fail in it; it can take %.1f", o.Destination, calls, f.Parameters.OverloadWindow,
+					"had a call fail in it; it can take %.1f", o.Destination, calls, run.Parameters.OverloadWindow,
 				(arrivals[first].at - o.Until).Seconds(), informedCalls, allowed), true
 		}
 	}
@@ -133,10 +134,11 @@
 // allowedCalls returns how many calls a destination may get in the window that ends at a time after its outage. It adds
 // a margin for random variation: senders that keep to the limit on average may exceed it by 2 or 3 standard deviations
 // in a window.
-func (f RunFacts) allowedCalls(o Outage, end time.Duration) float64 {
-	warm := min(1, (end-o.Until).Seconds()/f.Parameters.WarmUpTime.Seconds())
-	share := f.Parameters.InitialCapacityShare + (1-f.Parameters.InitialCapacityShare)*warm
-	calls := f.Parameters.OverloadMultiple * share * f.Capacity[o.Destination] * f.Parameters.OverloadWindow.Seconds()
+func (run RunConditions) allowedCalls(o Outage, end time.Duration) float64 {
+	warm := min(1, (end-o.Until).Seconds()/run.Parameters.WarmUpTime.Seconds())
+	share := run.Parameters.InitialCapacityShare + (1-run.Parameters.InitialCapacityShare)*warm
+	calls := run.Parameters.OverloadMultiple * share * run.Capacity[o.Destination] *
+		run.Parameters.OverloadWindow.Seconds()
 	if calls < 30 {
 		return calls + 3*math.Sqrt(calls) + 3
 	}
--- a/internal/emulator/invariants_message.go
+++ b/internal/emulator/invariants_message.go
@@ -64,15 +64,15 @@
 }
 
 // checkLost checks that each accepted message is delivered or ended by a notice in time.
-func checkLost(h *History, f RunFacts) []Violation {
+func checkLost(h *History, run RunConditions) []Violation {
 	ended := h.endTimes()
 	var found []Violation
 	for id, s := range h.submissions {
 		if !s.isAccepted() {
 			continue
 		}
-		due := h.dueTime(s, f.Parameters.Slack)
-		if due > f.End-f.Tolerance { // the run ended first, or the sender never restarted, which is a violation itself
+		due := h.dueTime(s, run.Parameters.Slack)
+		if due > run.End-run.Tolerance { // the run ended first; or the sender never restarted, a violation itself
 			continue
 		}
 		at, known := ended[id]
@@ -80,7 +80,7 @@
 		case !known:
 			found = append(found, violationf(ruleLost, due,
 				"%s (%s, sender %d) was accepted, but neither delivered nor ended by a notice", id, s.Class, s.Sender))
-		case at > due+f.Tolerance:
+		case at > due+run.Tolerance:
 			found = append(found, violationf(ruleLost, due,
 				"%s (%s, sender %d) ended %v late", id, s.Class, s.Sender, at-due))
 		}
@@ -90,7 +90,7 @@
 
 // checkDuplicates checks that a message is not sent again after a call that may have taken effect, if the message is
 // non-idempotent or the window of its idempotency key is over.
-func checkDuplicates(h *History, f RunFacts) []Violation {
+func checkDuplicates(h *History, run RunConditions) []Violation {
 	var found []Violation
 	for key, attempts := range h.attemptsBy(h.messageKey) {
 		s := h.submissions[attempts[0].ID]
@@ -103,10 +103,10 @@
 			case first != nil && s.Class == NonIdempotent:
 				found = append(found, violationf(ruleDuplicate, a.At, "%s may not be repeated: at %s %.3fs after %s",
 					key, a.Endpoint, (a.At-first.At).Seconds(), first.Endpoint))
-			case first != nil && a.sentAt()-first.sentAt() > f.Parameters.IdempotencyWindow+f.Parameters.Slack:
+			case first != nil && a.sentAt()-first.sentAt() > run.Parameters.IdempotencyWindow+run.Parameters.Slack:
 				found = append(found, violationf(ruleDuplicate, a.At,
 					"%s was repeated %.3fs after its first call, the idempotency window is %v",
-					key, (a.At-first.At).Seconds(), f.Parameters.IdempotencyWindow))
+					key, (a.At-first.At).Seconds(), run.Parameters.IdempotencyWindow))
 			}
 			if first == nil && a.mayTakeEffect() {
 				first = a
@@ -117,12 +117,12 @@
 }
 
 // checkConcurrent checks that no two calls for one message are in flight on open connections at the same time.
-func checkConcurrent(h *History, f RunFacts) []Violation {
+func checkConcurrent(h *History, run RunConditions) []Violation {
 	var found []Violation
 	for id, attempts := range h.attemptsBy(func(a *Attempt) string { return a.ID }) {
 		for i, a := range attempts {
 			for _, earlier := range attempts[:i] {
-				if earlier.EndedAt == 0 || earlier.EndedAt > a.At+maxRecordingDelay+f.Tolerance {
+				if earlier.EndedAt == 0 || earlier.EndedAt > a.At+maxRecordingDelay+run.Tolerance {
 					found = append(found, violationf(ruleConcurrent, a.At,
 						"%s was sent to %s while the call that arrived at %.3fs at %s was in flight",
 						id, a.Endpoint, earlier.At.Seconds(), earlier.Endpoint))
@@ -134,7 +134,7 @@
 }
 
 // checkRejected checks that a message that a sender rejected or handed back does not take effect, before or after that.
-func checkRejected(h *History, _ RunFacts) []Violation {
+func checkRejected(h *History, _ RunConditions) []Violation {
 	handedBack := map[string]bool{}
 	for _, n := range h.notices {
 		if n.Outcome == "handed_back" {
@@ -155,7 +155,7 @@
 
 // checkDestinations checks that a message is sent to its own destination only, and that no message is sent that was not
 // submitted.
-func checkDestinations(h *History, _ RunFacts) []Violation {
+func checkDestinations(h *History, _ RunConditions) []Violation {
 	var found []Violation
 	for _, a := range h.attempts {
 		s := h.submissions[a.ID]
@@ -167,7 +167,7 @@
 }
 
 // checkBodies checks that a message's body arrives as it was submitted.
-func checkBodies(h *History, _ RunFacts) []Violation {
+func checkBodies(h *History, _ RunConditions) []Violation {
 	var found []Violation
 	for _, a := range h.attempts {
 		if s := h.submissions[a.ID]; s != nil && a.Body != messageBody(*s) {
@@ -180,9 +180,9 @@
 
 // mayNotHavePersisted reports whether a sender possibly did not learn of an event at a time, or did not journal it,
 // because the answer was lost, the disk failed or the process was killed.
-func (h *History) mayNotHavePersisted(f RunFacts, sender int, at time.Duration) bool {
+func (h *History) mayNotHavePersisted(run RunConditions, sender int, at time.Duration) bool {
 	for offset := -persistGrace; offset <= persistGrace; offset += persistGrace / 4 {
-		if f.OutcomeUncertain != nil && f.OutcomeUncertain(sender, at+offset) {
+		if run.OutcomeUncertain != nil && run.OutcomeUncertain(sender, at+offset) {
 			return true
 		}
 	}
@@ -191,12 +191,12 @@
 
 // checkResent checks that a message that was delivered, or ended by a notice, is not sent again once the sender has
 // journaled that.
-func checkResent(h *History, f RunFacts) []Violation {
+func checkResent(h *History, run RunConditions) []Violation {
 	ended := h.endTimes()
 	var found []Violation
 	for _, a := range h.attempts {
 		at, known := ended[a.ID]
-		if known && a.sentAt() > at+resendGrace+f.Tolerance && !h.mayNotHavePersisted(f, a.Sender, at) {
+		if known && a.sentAt() > at+resendGrace+run.Tolerance && !h.mayNotHavePersisted(run, a.Sender, at) {
 			found = append(found, violationf(ruleResent, a.At,
 				"%s ended at %.3fs, but sender %d sent it again", a.ID, at.Seconds(), a.Sender))
 		}
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -43,15 +43,15 @@
 	h.attempts = append(h.attempts, completedCall(second, second+second/10, 200, true))
 }
 
-// alwaysTrue is a function for RunFacts that reports true for every sender and time.
+// alwaysTrue is a function for RunConditions that reports true for every sender and time.
 func alwaysTrue(int, time.Duration) bool { return true }
 
 // invariantCase holds a history and the violation that the invariants have to find in it.
 type invariantCase struct {
-	class Class
-	edit  func(h *History)
-	facts RunFacts
-	want  string // name of the violated invariant; "" for none
+	class      Class
+	edit       func(h *History)
+	conditions RunConditions
+	want       string // name of the violated invariant; "" for none
 }
 
 // clientAndMessageEndCases concern how messages end, and how a sender behaves towards its clients.
@@ -75,7 +75,7 @@
 	"no answer in time, but impaired by its machine": {edit: func(h *History) {
 		recordDelivery(h)
 		h.submissions["m"].ClientTimedOut = true
-	}, facts: RunFacts{Impaired: alwaysTrue}},
+	}, conditions: RunConditions{Impaired: alwaysTrue}},
 	"connection closed by a kill": {edit: func(h *History) {
 		recordDelivery(h)
 		recordClose(h, 2*second)
@@ -90,11 +90,11 @@
 		recordDelivery(h)
 		recordClose(h, 2*second)
 		h.submissions["m"].FreshConnection = true
-	}, facts: RunFacts{Flooded: alwaysTrue}},
+	}, conditions: RunConditions{Flooded: alwaysTrue}},
 	"no answer in time on a persistent connection during a flood": {edit: func(h *History) {
 		recordDelivery(h)
 		h.submissions["m"].ClientTimedOut = true
-	}, facts: RunFacts{Flooded: alwaysTrue}, want: ruleSlow},
+	}, conditions: RunConditions{Flooded: alwaysTrue}, want: ruleSlow},
 	"bad peer not released": {edit: func(h *History) {
 		recordDelivery(h)
 		h.badPeers = []BadPeer{{Kind: "silent", OpenedAt: second}}
@@ -148,7 +148,7 @@
 	"sent again after its end, which could not be journaled": {edit: func(h *History) {
 		recordDelivery(h)
 		recordResend(h, 4*second)
-	}, facts: RunFacts{OutcomeUncertain: alwaysTrue}},
+	}, conditions: RunConditions{OutcomeUncertain: alwaysTrue}},
 	"changed body": {edit: func(h *History) {
 		recordDelivery(h)
 		h.attempts[0].Body = ""
@@ -159,8 +159,8 @@
 	}, want: ruleDestination},
 }
 
-// warmUpFacts describes a run in which a destination that can take 2 calls per second has an outage until 11 s.
-var warmUpFacts = RunFacts{Capacity: []float64{2}, Outages: []Outage{{From: 10 * second, Until: 11 * second}}}
+// warmUpConditions describes a run in which a destination that can take 2 calls per second has an outage until 11 s.
+var warmUpConditions = RunConditions{Capacity: []float64{2}, Outages: []Outage{{From: 10 * second, Until: 11 * second}}}
 
 // endpointCases concern drains, waits and slow start.
 var endpointCases = map[string]invariantCase{
@@ -196,11 +196,11 @@
 	"burst at a destination that is warming up": {edit: func(h *History) {
 		recordDelivery(h)
 		recordBurst(h, 12*second)
-	}, facts: warmUpFacts, want: ruleSlowStart},
+	}, conditions: warmUpConditions, want: ruleSlowStart},
 	"burst at a destination that has warmed up": {edit: func(h *History) {
 		recordDelivery(h)
 		recordBurst(h, 18*second)
-	}, facts: warmUpFacts},
+	}, conditions: warmUpConditions},
 }
 
 // Each invariant finds the violations that it is meant to find, and accepts what the protocol allows.
@@ -210,8 +210,8 @@
 		for name, c := range cases {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				c.facts.Parameters, c.facts.End = DefaultParameters(), 30*second
-				found := Check(recordedHistory(c.class, c.edit), c.facts)
+				c.conditions.Parameters, c.conditions.End = DefaultParameters(), 30*second
+				found := Check(recordedHistory(c.class, c.edit), c.conditions)
 				if c.want == "" && len(found) > 0 {
 					t.Errorf("found %v, want none", found)
 				}
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -41,7 +41,7 @@
 	r.terminateAll()
 	report := &Report{
 		Plan:       r.plan,
-		Violations: Check(r.history, r.facts(end)),
+		Violations: Check(r.history, r.conditions(end)),
 		Latency:    hdrhistogram.New(1, maxLatencyMS, latencyDigits),
 	}
 	for _, err := range r.errors {
@@ -78,9 +78,9 @@
 	all.Wait()
 }
 
-// facts returns what the invariants need to know about the run in addition to its history.
-func (r *runner) facts(end time.Duration) RunFacts {
-	facts := RunFacts{
+// conditions returns what the invariants need to know about the run in addition to its history.
+func (r *runner) conditions(end time.Duration) RunConditions {
+	conditions := RunConditions{
 		Parameters:       r.parameters,
 		Tolerance:        r.Tolerance,
 		Outages:          r.outages(),
@@ -91,9 +91,9 @@
 	}
 	total := r.Rate * float64(r.Senders)
 	for _, share := range r.trafficShares {
-		facts.Capacity = append(facts.Capacity, capacityMultiple*share*total)
+		conditions.Capacity = append(conditions.Capacity, capacityMultiple*share*total)
 	}
-	return facts
+	return conditions
 }
 
 // outages returns the spans of the faults after which a destination has to warm up.
