--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -297,8 +297,8 @@
 	<-exited
 }
 
-// Terminate stops the current process by SIGTERM, and by SIGKILL if it has not exited after killAfter. It never returns
-// before killAfter. The error reports that the process had to be killed.
+// Terminate stops the current process by SIGTERM, and by SIGKILL if it has not exited after killAfter, which is the
+// earliest time for that. It never returns before killAfter. The error reports that the process had to be killed.
 func (p *Process) Terminate() error {
 	kill := time.After(killAfter)
 	exited := p.expectExit(Terminated)
