--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -17,7 +17,7 @@
 	address   string
 	idle      []*conn         // the most recently used one last
 	drainedAt time.Time       // since when it is draining or deleted; the zero time while it serves
-	scope     invariant.Scope // what a Retry-After from it applies to
+	route     invariant.Route // what a Retry-After from it applies to
 }
 
 // SetAddress changes the address of the endpoint. Connections to another address are not used again.
@@ -39,18 +39,18 @@
 	}
 }
 
-// SetScope stores what a Retry-After from the endpoint applies to.
-func (e *Endpoint) SetScope(scope invariant.Scope) {
+// SetRoute stores the route that a Retry-After from the endpoint applies to.
+func (e *Endpoint) SetRoute(route invariant.Route) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.scope = scope
+	e.route = route
 }
 
 // callTarget returns what the invariant checks need to know about the endpoint of a call.
 func (e *Endpoint) callTarget() invariant.Target {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return invariant.Target{ID: e.ID, DrainedAt: e.drainedAt, Scope: e.scope}
+	return invariant.Target{ID: e.ID, DrainedAt: e.drainedAt, Route: e.route}
 }
 
 func (e *Endpoint) currentAddress() string {
@@ -59,8 +59,8 @@
 	return e.address
 }
 
-func (e *Endpoint) retryAfterScope() invariant.Scope {
+func (e *Endpoint) currentRoute() invariant.Route {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.scope
+	return e.route
 }
--- a/internal/endpoint/response.go
+++ b/internal/endpoint/response.go
@@ -33,7 +33,7 @@
 	wait, ok := retryAfterOf(response)
 	if ok {
 		result.RetryAfter = wait
-		p.invariants.RetryAfterReceived(e.retryAfterScope(), wait)
+		p.invariants.RetryAfterReceived(e.currentRoute(), wait)
 		if response.ContentLength < 0 || response.ContentLength > int64(c.reader.Buffered()) {
 			retryAt = time.Now().Add(wait)
 			p.onRetryAfter(e, wait)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -69,11 +69,11 @@
 	metrics *metrics.Registry
 
 	mu    sync.Mutex
-	waits map[Scope]waitSpan // the current Retry-After of each route
+	waits map[Route]waitSpan // the current Retry-After of each route
 }
 
-// Scope is the route that a Retry-After applies to: a destination, or one endpoint where each has limits of its own.
-type Scope struct {
+// Route identifies what a Retry-After applies to: a destination, or one endpoint where each has limits of its own.
+type Route struct {
 	Destination dispatch.DestinationID
 	Endpoint    dispatch.EndpointID // set only with PerEndpoint
 	PerEndpoint bool
@@ -84,7 +84,7 @@
 
 // NewChecker returns a checker that counts violations in registry.
 func NewChecker(log *slog.Logger, registry *metrics.Registry) *Checker {
-	return &Checker{log: log, metrics: registry, waits: map[Scope]waitSpan{}}
+	return &Checker{log: log, metrics: registry, waits: map[Route]waitSpan{}}
 }
 
 // ViolationError is the error of an action that an invariant forbids.
@@ -104,27 +104,27 @@
 
 // RetryAfterReceived stores a Retry-After. It is called when the head of the response has been read; the wait starts
 // then.
-func (c *Checker) RetryAfterReceived(scope Scope, wait time.Duration) {
+func (c *Checker) RetryAfterReceived(route Route, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	span := c.waits[scope]
+	span := c.waits[route]
 	if now.After(span.until) {
 		span.from = now
 	}
 	if until := now.Add(wait); until.After(span.until) {
 		span.until = until
 	}
-	c.waits[scope] = span
+	c.waits[route] = span
 }
 
-// mustWait reports whether a Retry-After forbids calls to scope at the time now.
-func (c *Checker) mustWait(scope Scope, now time.Time) bool {
+// mustWait reports whether a Retry-After forbids calls to route at the time now.
+func (c *Checker) mustWait(route Route, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	span, ok := c.waits[scope]
+	span, ok := c.waits[route]
 	if ok && now.After(span.until) {
-		delete(c.waits, scope)
+		delete(c.waits, route)
 		return false
 	}
 	return ok && now.After(span.from.Add(retryAfterGrace))
@@ -143,7 +143,7 @@
 type Target struct {
 	ID        string
 	DrainedAt time.Time // when it began to drain or was removed, the zero time while it serves
-	Scope     Scope
+	Route     Route
 }
 
 // CheckSend returns why a call may not be written now, as a *ViolationError, or nil.
@@ -156,7 +156,7 @@
 		}
 		return &ViolationError{Rule: RuleDrain, Detail: detail} // not a defect: the call had already begun
 	}
-	if c.mustWait(to.Scope, now) {
+	if c.mustWait(to.Route, now) {
 		return c.recordViolation(RuleRetryAfter, to.ID, "the Retry-After of the endpoint or destination has not passed")
 	}
 	for _, permit := range permits {
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -31,10 +31,10 @@
 
 func TestCallsDuringDrainOrRetryAfterAreRejected(t *testing.T) {
 	t.Parallel()
-	shared := Scope{Destination: 3}
+	shared := Route{Destination: 3}
 	for name, c := range map[string]struct {
 		drainedFor time.Duration
-		scope      Scope
+		route      Route
 		waitFor    time.Duration
 		waitedFor  time.Duration
 		want       Rule
@@ -45,32 +45,32 @@
 		"draining since the call began": {drainedFor: drainGrace / 2, want: RuleDrain, isExpected: true},
 		"draining for long":             {drainedFor: 2 * drainGrace, want: RuleDrain},
 		"Retry-After is not over": {
-			scope:     shared,
+			route:     shared,
 			waitFor:   time.Minute,
 			waitedFor: time.Second,
 			want:      RuleRetryAfter,
 		},
-		"Retry-After has just been received": {scope: shared, waitFor: time.Minute},
-		"Retry-After is over":                {scope: shared, waitFor: time.Second, waitedFor: 2 * time.Second},
+		"Retry-After has just been received": {route: shared, waitFor: time.Minute},
+		"Retry-After is over":                {route: shared, waitFor: time.Second, waitedFor: 2 * time.Second},
 		"Retry-After of another destination": {
-			scope:     Scope{Destination: 4},
+			route:     Route{Destination: 4},
 			waitFor:   time.Minute,
 			waitedFor: time.Second,
 		},
 		"Retry-After of one endpoint": {
-			scope:     Scope{Endpoint: 3, PerEndpoint: true},
+			route:     Route{Endpoint: 3, PerEndpoint: true},
 			waitFor:   time.Minute,
 			waitedFor: time.Second,
 		},
 	} {
 		checker, registry := newTestChecker()
-		target := Target{ID: "e", Scope: shared}
+		target := Target{ID: "e", Route: shared}
 		if c.drainedFor > 0 {
 			target.DrainedAt = time.Now().Add(-c.drainedFor)
 		}
 		if c.waitFor > 0 {
 			from := time.Now().Add(-c.waitedFor)
-			checker.waits[c.scope] = waitSpan{from, from.Add(c.waitFor)}
+			checker.waits[c.route] = waitSpan{from, from.Add(c.waitFor)}
 		}
 		t.Run(name, func(t *testing.T) {
 			wantRule(t, checker.CheckSend(target, nil), c.want)
--- a/internal/sender/endpointlist.go
+++ b/internal/sender/endpointlist.go
@@ -103,11 +103,11 @@
 		pool.CloseIdle(e.Endpoint, 0)
 	}
 	e.SetServing(isReady)
-	scope := invariant.Scope{Destination: dispatch.DestinationID(entry.Cell)}
+	route := invariant.Route{Destination: dispatch.DestinationID(entry.Cell)}
 	if isKnownKind && cfg.Settings.Kinds[kind].PerEndpoint {
-		scope = invariant.Scope{Endpoint: e.Number, PerEndpoint: true}
+		route = invariant.Route{Endpoint: e.Number, PerEndpoint: true}
 	}
-	e.SetScope(scope)
+	e.SetRoute(route)
 	return dispatch.Endpoint{
 		ID:          e.Number,
 		Destination: dispatch.DestinationID(entry.Cell),
