--- a/internal/discovery/reserve.go
+++ b/internal/discovery/reserve.go
@@ -72,7 +72,7 @@
 	for len(*conns) > 0 {
 		conn := (*conns)[0]
 		*conns = (*conns)[1:]
-		if netconn.IsQuiet(conn) {
+		if netconn.ReadWouldBlock(conn) {
 			return conn
 		}
 		_ = conn.Close() // the platform has closed its end
@@ -122,7 +122,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns = slices.DeleteFunc(r.conns, func(conn net.Conn) bool {
-		isEnded := !netconn.IsQuiet(conn)
+		isEnded := !netconn.ReadWouldBlock(conn)
 		if isEnded {
 			_ = conn.Close() // the platform has closed its end
 		}
--- a/internal/endpoint/exchange.go
+++ b/internal/endpoint/exchange.go
@@ -90,7 +90,7 @@
 		p.put(e, c)
 		return exchange{outcome: unwrittenOutcome(ctx, start)}
 	}
-	for c.idleFor > 0 && !netconn.IsQuiet(c.Conn) { // otherwise stale bytes would be read as the response
+	for c.idleFor > 0 && !netconn.ReadWouldBlock(c.Conn) { // otherwise stale bytes would be read as the response
 		c.close()
 		if c, err = p.get(start, e); err != nil {
 			return exchange{outcome: unwrittenOutcome(ctx, start)}
--- a/internal/endpoint/pool.go
+++ b/internal/endpoint/pool.go
@@ -110,7 +110,7 @@
 		c := e.idle[n]
 		e.idle = e.idle[:n]
 		p.idle.Add(-1)
-		if c.address == e.address && time.Since(c.idleSince) < p.maxIdleTime && netconn.IsQuiet(c.Conn) {
+		if c.address == e.address && time.Since(c.idleSince) < p.maxIdleTime && netconn.ReadWouldBlock(c.Conn) {
 			c.idleFor = time.Since(c.idleSince)
 			return c
 		}
--- a/internal/endpoint/pool_test.go
+++ b/internal/endpoint/pool_test.go
@@ -33,7 +33,7 @@
 	st.Receive(t, closed)
 	for end := time.Now().Add(st.Timeout); ; time.Sleep(time.Millisecond) { // until the close has arrived
 		target.mu.Lock()
-		isClosed := len(target.idle) == 0 || !netconn.IsQuiet(target.idle[0].Conn)
+		isClosed := len(target.idle) == 0 || !netconn.ReadWouldBlock(target.idle[0].Conn)
 		target.mu.Unlock()
 		if isClosed {
 			break
@@ -103,7 +103,7 @@
 	taken := target.idle[0]
 	x := p.exchange(ctx, ctx, target, func(address string) (request, error) {
 		_, _ = io.WriteString(st.Receive(t, conns), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		for netconn.IsQuiet(taken.Conn) { // until it has arrived
+		for netconn.ReadWouldBlock(taken.Conn) { // until it has arrived
 			time.Sleep(time.Millisecond)
 		}
 		head := requestHead{path: singlePath, messageID: "second", remainingAtWriting: time.Second}
--- a/internal/ingress/clientconn.go
+++ b/internal/ingress/clientconn.go
@@ -143,7 +143,7 @@
 	if c.onClose != nil {
 		c.onClose(c)
 	}
-	if c.hasWritten.Load() && !c.skipsLinger.Load() && !netconn.IsQuiet(c.Conn) && c.CloseWrite() == nil {
+	if c.hasWritten.Load() && !c.skipsLinger.Load() && !netconn.ReadWouldBlock(c.Conn) && c.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(lingerTimeout)) // if it fails, the copy ends when the client closes
 		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 	}
@@ -159,7 +159,7 @@
 	return errors.ErrUnsupported
 }
 
-// SyscallConn returns the raw connection, through which netconn.IsQuiet checks for unread bytes.
+// SyscallConn returns the raw connection, through which netconn.ReadWouldBlock checks for unread bytes.
 func (c *clientConn) SyscallConn() (syscall.RawConn, error) {
 	if conn, ok := c.Conn.(syscall.Conn); ok {
 		return conn.SyscallConn()
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -134,7 +134,7 @@
 	defer t.mu.Unlock()
 	t.isDraining = true
 	for c := range t.idle {
-		if t.served[c] && netconn.IsQuiet(c) {
+		if t.served[c] && netconn.ReadWouldBlock(c) {
 			c.closeGracefully(ClosedShutdown)
 		}
 	}
@@ -149,7 +149,7 @@
 	defer t.mu.Unlock()
 	if isLate {
 		for c := range t.idle {
-			if netconn.IsQuiet(c) {
+			if netconn.ReadWouldBlock(c) {
 				c.closeGracefully(ClosedShutdown)
 			}
 		}
@@ -227,7 +227,7 @@
 		switch {
 		case oldest == nil:
 			return false
-		case netconn.IsQuiet(oldest): // nearly always true for the first candidate
+		case netconn.ReadWouldBlock(oldest): // nearly always true for the first candidate
 			delete(t.idle, oldest)
 			oldest.closeGracefully(ClosedEvictedIdle)
 			return true
--- a/internal/netconn/netconn.go
+++ b/internal/netconn/netconn.go
@@ -11,10 +11,11 @@
 	"syscall"
 )
 
-// IsQuiet reports whether nothing has arrived on an idle connection, neither data nor its end, so that it can still be
-// used. A call on a connection that the other side has already closed would count as one that may have run, and closing
-// a client's connection with an unread request would reset it.
-func IsQuiet(c net.Conn) bool {
+// ReadWouldBlock reports whether nothing has arrived on an idle connection, neither data nor its end, so that it can
+// still be used. It reads nothing, and returns true for a connection without a descriptor. A call on a connection that
+// the other side has already closed would count as one that may have run, and closing a client's connection with an
+// unread request would reset it.
+func ReadWouldBlock(c net.Conn) bool {
 	conn, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -23,11 +24,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	wouldBlock := false
 	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for a concurrent reader
 		var first [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		wouldBlock = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && wouldBlock
 }
--- a/internal/netconn/netconn_test.go
+++ b/internal/netconn/netconn_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against using a connection that is closed or has unread data.
-func TestIsQuiet(t *testing.T) {
+func TestReadWouldBlock(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		prepare func(t *testing.T, local, remote net.Conn)
@@ -75,23 +75,23 @@
 			t.Parallel()
 			local, remote := connect(t)
 			c.prepare(t, local, remote)
-			if got := IsQuiet(local); got != c.want {
-				t.Errorf("IsQuiet returned %v", got)
+			if got := ReadWouldBlock(local); got != c.want {
+				t.Errorf("ReadWouldBlock returned %v", got)
 			}
 		})
 	}
 }
 
 // Guards against a check that consumes a byte of the next request or response.
-func TestIsQuietReadsNothing(t *testing.T) {
+func TestReadWouldBlockReadsNothing(t *testing.T) {
 	t.Parallel()
 	local, remote := connect(t)
 	if _, err := remote.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	awaitArrival(t, local)
-	if IsQuiet(local) {
-		t.Error("IsQuiet returned true for a connection with unread data")
+	if ReadWouldBlock(local) {
+		t.Error("ReadWouldBlock returned true for a connection with unread data")
 	}
 	var first [1]byte
 	if n, err := local.Read(first[:]); n != 1 || err != nil || first[0] != 'x' {
@@ -100,11 +100,11 @@
 }
 
 // Guards against discarding connections that cannot be checked because they have no descriptor.
-func TestConnectionWithoutDescriptorIsQuiet(t *testing.T) {
+func TestReadWouldBlockWithoutDescriptor(t *testing.T) {
 	t.Parallel()
 	local, remote := net.Pipe()
 	t.Cleanup(func() { _, _ = local.Close(), remote.Close() })
-	if !IsQuiet(local) {
-		t.Error("IsQuiet returned false for a pipe")
+	if !ReadWouldBlock(local) {
+		t.Error("ReadWouldBlock returned false for a pipe")
 	}
 }
