--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -59,8 +59,8 @@
 	return &Epoch{Boot: c.bootID, Offset: time.Duration(c.offset.Load()), Uptime: c.monotonic()}
 }
 
-// Follow makes c continue the clock of an earlier process, unless the machine has been rebooted since.
-func (c *Clock) Follow(e Epoch) {
+// ContinueFrom makes c continue the clock of an earlier process, unless the machine has been rebooted since.
+func (c *Clock) ContinueFrom(e Epoch) {
 	if c.uptime > 0 && e.Uptime > 0 && e.Boot == c.bootID && e.Uptime <= c.monotonic() {
 		c.offset.Store(int64(e.Offset))
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -59,7 +59,7 @@
 			t.Parallel()
 			first := newClockOnMachine(c.firstBoot, firstUptime, firstStart)
 			second := newClockOnMachine(c.secondBoot, c.secondUptime, firstStart.Add(c.wallElapsed))
-			second.Follow(*first.Epoch())
+			second.ContinueFrom(*first.Epoch())
 			if got := second.Now() - first.Now(); got < c.want-time.Second || got > c.want+time.Second {
 				t.Errorf("the second clock is %v ahead, want %v", got, c.want)
 			}
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -81,7 +81,7 @@
 	switch r.Kind {
 	case KindClock:
 		if r.Clock != nil {
-			j.clock.Follow(*r.Clock)
+			j.clock.ContinueFrom(*r.Clock)
 		}
 	case KindEndpointListDelta:
 		j.endpointList.apply(r.Version, r.Endpoints)
