--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -31,8 +31,8 @@
 	RuleConcurrent Rule = "concurrent"
 	// RuleAnswer forbids closing a connection with a request that was read completely and has no answer.
 	RuleAnswer Rule = "answer"
-	// RulePromise forbids telling a client that its message had no effect before the message's end is in the journal.
-	RulePromise Rule = "promise"
+	// RuleEndRecorded forbids a response that the message had no effect before the message's end is in the journal.
+	RuleEndRecorded Rule = "promise"
 	// RuleOwnership forbids starting without the lock on the state directory.
 	RuleOwnership Rule = "ownership"
 )
@@ -45,7 +45,7 @@
 		string(RuleRepeat),
 		string(RuleConcurrent),
 		string(RuleAnswer),
-		string(RulePromise),
+		string(RuleEndRecorded),
 		string(RuleOwnership),
 	}
 }
@@ -188,11 +188,11 @@
 	}
 }
 
-// CheckPromise counts a violation if a client is told that its message had no effect although the message's end is not
-// in the journal: the next process would send the message.
-func (c *Checker) CheckPromise(id string, isRecorded bool) {
+// CheckEndRecorded counts a violation if a client gets the response that its message had no effect although the
+// message's end is not in the journal: the next process would send the message.
+func (c *Checker) CheckEndRecorded(id string, isRecorded bool) {
 	if !isRecorded {
-		_ = c.recordViolation(RulePromise, id, "the end of the message is not in the journal")
+		_ = c.recordViolation(RuleEndRecorded, id, "the end of the message is not in the journal")
 	}
 }
 
--- a/internal/sender/messageend.go
+++ b/internal/sender/messageend.go
@@ -61,7 +61,7 @@
 	status := http.StatusInternalServerError
 	if end.outcome == journal.OutcomeReturned {
 		status = http.StatusServiceUnavailable
-		s.invariants.CheckPromise(end.ID, written) // which counts and logs a violation
+		s.invariants.CheckEndRecorded(end.ID, written) // which counts and logs a violation
 	}
 	for _, client := range end.clients {
 		client <- ingress.Response{Status: status, RetryAfter: end.retryAfter, Text: string(end.outcome)}
