--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -27,7 +27,7 @@
 	closeOnce sync.Once
 	closed    chan struct{}
 
-	takesConnections bool // the other process accepts connections with a snapshot; set before the link is returned
+	inheritsConnections bool // the successor takes over the open connections; set before the link is returned
 }
 
 // outgoing is an entry of the write queue: a packet, or a flush marker without a packet.
@@ -121,8 +121,9 @@
 	return p, err
 }
 
-// TakesConnections reports whether the other process, a successor, accepts connections with the snapshot.
-func (l *Link) TakesConnections() bool { return l.takesConnections }
+// InheritsConnections reports whether the other process, a successor, takes over the open connections that are sent
+// with the snapshot.
+func (l *Link) InheritsConnections() bool { return l.inheritsConnections }
 
 // Listen calls receive for each packet from the other process until the link ends, and then calls lost once, after
 // peerExitDelay.
--- a/internal/handover/packet.go
+++ b/internal/handover/packet.go
@@ -18,8 +18,8 @@
 
 // Hello is the successor's request for the snapshot.
 type Hello struct {
-	Version          int
-	TakesConnections bool // the successor accepts connections with the snapshot
+	Version             int
+	InheritsConnections bool // the successor takes over the open connections that are sent with the snapshot
 }
 
 // Snapshot is the state that the lock owner passes to its successor in addition to the journal.
--- a/internal/handover/translate.go
+++ b/internal/handover/translate.go
@@ -9,7 +9,7 @@
 )
 
 func (h Hello) toWire() frozenPacket {
-	return frozenPacket{Hello: &frozenHello{Version: h.Version, Connections: h.TakesConnections}}
+	return frozenPacket{Hello: &frozenHello{Version: h.Version, Connections: h.InheritsConnections}}
 }
 
 func (s *Snapshot) toWire() frozenPacket {
@@ -41,7 +41,7 @@
 func (f frozenPacket) fromWire() Packet {
 	switch {
 	case f.Hello != nil:
-		return Hello{Version: f.Hello.Version, TakesConnections: f.Hello.Connections}
+		return Hello{Version: f.Hello.Version, InheritsConnections: f.Hello.Connections}
 	case f.Estate != nil:
 		return f.Estate.fromWire()
 	case f.Submit != nil:
--- a/internal/sender/handover.go
+++ b/internal/sender/handover.go
@@ -35,7 +35,7 @@
 	// From now on only the successor decides whether a call may start.
 	s.abortUnsent(func(*inFlightCall) bool { return true })
 	snapshot := s.snapshot()
-	if successor.TakesConnections() {
+	if successor.InheritsConnections() {
 		snapshot.Connections = s.releaseConnections()
 	}
 	s.upgrade.handedOverSnapshot, s.upgrade.handedOverBackoffUntil = snapshot.Dispatcher, snapshot.BackoffUntil
