--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -23,9 +23,9 @@
 	rendezvousRanks = 1000
 )
 
-// offer is a message of a destination that may be sent now, with its endpoint and priority. Its message is
-// nil if the destination has none to send.
-type offer struct {
+// candidate is a message of a destination that may be sent now, with its endpoint and priority. Its message
+// is nil if the destination has none to send.
+type candidate struct {
 	message  *message
 	endpoint *endpoint
 	priority float64
@@ -36,12 +36,12 @@
 	if d.storageFailing || d.endpointListStale {
 		return
 	}
-	offers := make([]offer, len(d.destinationOrder))
+	candidates := make([]candidate, len(d.destinationOrder))
 	for i, dest := range d.destinationOrder {
-		offers[i] = d.bestOffer(dest)
+		candidates[i] = d.bestCandidate(dest)
 	}
 	for {
-		best, count := highestOffer(offers)
+		best, count := highestPriority(candidates)
 		if count == 0 {
 			return
 		}
@@ -49,30 +49,30 @@
 			d.cancelOverdue(count)
 			return
 		}
-		d.sendCall(offers[best].message, offers[best].endpoint)
-		offers[best] = d.bestOffer(d.destinationOrder[best])
+		d.sendCall(candidates[best].message, candidates[best].endpoint)
+		candidates[best] = d.bestCandidate(d.destinationOrder[best])
 	}
 }
 
-// highestOffer returns the index of the offer with the highest priority, and the number of offers with a
-// message.
-func highestOffer(offers []offer) (best, count int) {
+// highestPriority returns the index of the candidate with the highest priority, and the number of candidates
+// with a message.
+func highestPriority(candidates []candidate) (best, count int) {
 	best = -1
-	for i := range offers {
-		if offers[i].message == nil {
+	for i := range candidates {
+		if candidates[i].message == nil {
 			continue
 		}
 		count++
-		if best < 0 || offers[i].priority > offers[best].priority {
+		if best < 0 || candidates[i].priority > candidates[best].priority {
 			best = i
 		}
 	}
 	return best, count
 }
 
-// bestOffer returns the offer of the best of a destination's waiting messages that may be sent now.
-func (d *Dispatcher) bestOffer(dest *destination) offer {
-	var best offer
+// bestCandidate returns the best of a destination's waiting messages that may be sent now.
+func (d *Dispatcher) bestCandidate(dest *destination) candidate {
+	var best candidate
 	if len(dest.waiting) == 0 || len(dest.endpoints) == 0 {
 		return best
 	}
@@ -82,7 +82,7 @@
 		if e == nil {
 			continue
 		}
-		next := offer{message: m, endpoint: e, priority: d.priority(m, e.route)}
+		next := candidate{message: m, endpoint: e, priority: d.priority(m, e.route)}
 		if best.message == nil || precedes(next, best) {
 			best = next
 		}
@@ -93,7 +93,7 @@
 // precedes reports whether next is sent before best, for two messages of one destination. In an outage a
 // message that may be repeated is preferred as the probe: a non-idempotent one cannot be sent again if its
 // call fails.
-func precedes(next, best offer) bool {
+func precedes(next, best candidate) bool {
 	nextIsNonIdempotent := next.message.class.Effect == NonIdempotent
 	bestIsNonIdempotent := best.message.class.Effect == NonIdempotent
 	if next.endpoint.route.breaker.state == unavailable && nextIsNonIdempotent != bestIsNonIdempotent {
