--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -43,7 +43,7 @@
 // backoff blocks calls to a route until a time.
 type backoff struct {
 	until      time.Duration
-	step       time.Duration // the last backoff after a rejection without a Retry-After
+	delay      time.Duration // the last backoff after a rejection without a Retry-After
 	rejectedAt time.Duration // time of the last rejection
 }
 
@@ -52,8 +52,8 @@
 
 // grow blocks the route for twice as long as the last time, within the bounds of the backoff.
 func (b *backoff) grow(now time.Duration) {
-	b.step = min(max(2*b.step, backoffInitial), backoffMax)
-	b.until = max(b.until, now+b.step)
+	b.delay = min(max(2*b.delay, backoffInitial), backoffMax)
+	b.until = max(b.until, now+b.delay)
 }
 
 // allowedRate returns how many calls a second r may get now, and how many at once. The concurrency window
@@ -115,15 +115,15 @@
 // increasePace raises the pace after a call was served.
 func (d *Dispatcher) increasePace(r *route, limitReported bool) {
 	l := &r.limiter
-	step := paceIncrease * d.fairShare(l.limit)
+	increase := paceIncrease * d.fairShare(l.limit)
 	if !limitReported {
-		step *= unreportedIncrease // the listed rating is a capacity, so there is no quota to use up
+		increase *= unreportedIncrease // the listed rating is a capacity, so there is no quota to use up
 	}
 	maxPace := l.limit
 	if r.maxBatchSize > 1 { // more messages do not need more calls
 		maxPace = d.initialPace(l.limit)
 	}
-	l.pace = min(maxPace, max(l.pace, isolatedRejectionFloor*d.fairShare(l.limit))+step)
+	l.pace = min(maxPace, max(l.pace, isolatedRejectionFloor*d.fairShare(l.limit))+increase)
 }
 
 // decreasePace lowers the pace after a rejection. The more senders there are, the less each learns from one
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -165,7 +165,7 @@
 	d.lengthenIdleTimeout(e)
 	d.detectDroppedConnection(m, e, seconds)
 	r.traffic.recordServed(d.now, c.sentAt)
-	r.breaker.consecutiveFailures, r.backoff.step, r.window.cancelledCalls = 0, 0, 0
+	r.breaker.consecutiveFailures, r.backoff.delay, r.window.cancelledCalls = 0, 0, 0
 	if r.breaker.state == unavailable {
 		if d.hasEnoughOwnCalls(r) {
 			e.idleTimeoutCut = 0 // connects failed because of the outage, not of too many connections
