--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -89,23 +89,24 @@
 func (d *Dispatcher) shedLoad() {
 	threshold := shedThreshold * float64(d.settings.MaxPendingMessages)
 	for ; d.newInStep > 0 && threshold > 0 && float64(len(d.pending)) > threshold; d.newInStep-- {
-		victim := d.shedVictim()
-		if victim == nil {
+		shed := d.messageToShed()
+		if shed == nil {
 			return
 		}
 		retryAfter := time.Duration(0)
 		if d.settings.SendsRetryAfter {
 			retryAfter = d.settings.MaxRetryAfter
 		}
-		d.emit(Reject{Message: victim.ID, RetryAfter: retryAfter})
-		d.closeMessage(victim)
+		d.emit(Reject{Message: shed.ID, RetryAfter: retryAfter})
+		d.closeMessage(shed)
 	}
 }
 
-// shedVictim returns the message to reject: the newest message of the destination with the longest expected
-// wait, preferably of a tenant beyond its quota. It returns nil if every waiting message may have run.
-func (d *Dispatcher) shedVictim() *message {
-	var victim *message
+// messageToShed returns the message to reject: the newest message of the destination with the longest
+// expected wait, preferably of a tenant beyond its quota. It returns nil if every waiting message may have
+// run.
+func (d *Dispatcher) messageToShed() *message {
+	var selected *message
 	longest := 0.0
 	for _, dest := range d.destinationOrder {
 		for _, m := range dest.waiting {
@@ -113,11 +114,11 @@
 			servedRate := m.likelyRoute().traffic.servedRate()
 			wait := float64(len(dest.waiting)) / (minServedRate + servedRate) / (quota * quota)
 			if !m.mayHaveRun && wait >= longest {
-				victim, longest = m, wait
+				selected, longest = m, wait
 			}
 		}
 	}
-	return victim
+	return selected
 }
 
 // inheritAttempt adds an attempt that another process of this sender has in flight, as if this process had
--- a/internal/dispatch/concurrency.go
+++ b/internal/dispatch/concurrency.go
@@ -127,14 +127,14 @@
 // have been answered.
 func (d *Dispatcher) cancelOverdue(waiting int) {
 	for d.settings.CanCancelAttempts && d.cancelledInFlight < waiting {
-		victim := d.longestOverdue()
-		if victim == nil {
+		overdueCall := d.longestOverdue()
+		if overdueCall == nil {
 			return
 		}
-		victim.cancelled = true
-		victim.route.window.cancelledCalls++
+		overdueCall.cancelled = true
+		overdueCall.route.window.cancelledCalls++
 		d.cancelledInFlight++
-		for _, m := range victim.messages {
+		for _, m := range overdueCall.messages {
 			if last := len(m.attempts) - 1; !m.attempts[last].ended {
 				d.emit(Cancel{Message: m.ID, Attempt: last})
 			}
@@ -145,15 +145,15 @@
 // longestOverdue returns the call that has been overdue for the longest time, cancelled ones aside. It
 // returns nil if there is none.
 func (d *Dispatcher) longestOverdue() *call {
-	var victim *call
+	var longestCall *call
 	longest := time.Duration(0)
 	for _, r := range d.routes {
 		for _, c := range r.window.unanswered {
 			overdue := d.now - c.sentAt - d.overdueAfter(c)
 			if overdue > longest && !c.cancelled {
-				victim, longest = c, overdue
+				longestCall, longest = c, overdue
 			}
 		}
 	}
-	return victim
+	return longestCall
 }
