--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -80,7 +80,7 @@
 	RefilledAt time.Duration
 
 	BackoffUntil time.Duration
-	BackoffStep  time.Duration
+	BackoffDelay time.Duration
 
 	State               uint8
 	StateSince          time.Duration
@@ -262,7 +262,7 @@
 		RefilledAt: r.limiter.refilledAt,
 
 		BackoffUntil: r.backoff.until,
-		BackoffStep:  r.backoff.delay,
+		BackoffDelay: r.backoff.delay,
 
 		State:               uint8(r.breaker.state),
 		StateSince:          r.breaker.since,
@@ -296,7 +296,7 @@
 	}
 	r.window.size, r.window.halvedAt = max(1, s.Window), s.HalvedAt
 	r.limiter = rateLimiter{limit: s.Limit, pace: s.Pace, tokens: s.Tokens, refilledAt: s.RefilledAt}
-	r.backoff.until, r.backoff.delay = s.BackoffUntil, s.BackoffStep
+	r.backoff.until, r.backoff.delay = s.BackoffUntil, s.BackoffDelay
 	r.breaker.state = min(circuitState(s.State), warmingUp)
 	r.breaker.since = s.StateSince
 	r.breaker.failureRate = s.FailureRate
--- a/internal/handover/translatesnapshot.go
+++ b/internal/handover/translatesnapshot.go
@@ -103,7 +103,7 @@
 		Oracle: estimatorToWire(r.Estimator), Tried: countToWire(r.SentCalls), Done: countToWire(r.ServedCalls),
 		Window: r.Window, Fails: r.FailureRate, Recent: r.Latency, Served: r.RecentServed, Before: r.RateBefore,
 		Limit: r.Limit, Pace: r.Pace, Tokens: r.Tokens,
-		HalvedAt: r.HalvedAt, ClosedUntil: r.BackoffUntil, Pause: r.BackoffStep, Reopens: r.ReopensAt,
+		HalvedAt: r.HalvedAt, ClosedUntil: r.BackoffUntil, Pause: r.BackoffDelay, Reopens: r.ReopensAt,
 		LastServed: r.LastServedAt, SentAt: r.LastSentAt, ServedSent: r.LastServedSentAt, FirstServed: r.FirstServedAt,
 		OutAt: r.OutageStartedAt, Since: r.StateSince, ProbedAt: r.LastProbeAt, Filled: r.RefilledAt,
 		Bad: r.ConsecutiveFailures, Lost: r.ConsecutiveLosses, State: r.State}
@@ -115,7 +115,7 @@
 		Estimator: f.Oracle.fromWire(), SentCalls: f.Tried.fromWire(), ServedCalls: f.Done.fromWire(),
 		Window: f.Window, FailureRate: f.Fails, Latency: f.Recent, RecentServed: f.Served, RateBefore: f.Before,
 		Limit: f.Limit, Pace: f.Pace, Tokens: f.Tokens,
-		HalvedAt: f.HalvedAt, BackoffUntil: f.ClosedUntil, BackoffStep: f.Pause, ReopensAt: f.Reopens,
+		HalvedAt: f.HalvedAt, BackoffUntil: f.ClosedUntil, BackoffDelay: f.Pause, ReopensAt: f.Reopens,
 		LastServedAt: f.LastServed, LastSentAt: f.SentAt, LastServedSentAt: f.ServedSent, FirstServedAt: f.FirstServed,
 		OutageStartedAt: f.OutAt, StateSince: f.Since, LastProbeAt: f.ProbedAt, RefilledAt: f.Filled,
 		ConsecutiveFailures: f.Bad, ConsecutiveLosses: f.Lost, State: f.State}
