--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -36,7 +36,7 @@
 	messages          map[MessageID]*message // those that have not ended or have attempts in flight
 	pending           []*message             // those that have not ended, in order of arrival
 	keyQueues         map[uint64]*keyQueue   // by ordering key
-	settlingKeyQueues []*keyQueue            // those to delete once they are empty and have settled
+	settlingKeyQueues []*keyQueue            // those to delete once empty and past their settle time
 	callsInFlight     int
 	cancelledInFlight int              // calls in flight that have been cancelled
 	inheritedCalls    map[uint64]*call // calls in flight of another process, by InFlightAttempt.Call
--- a/internal/dispatch/message.go
+++ b/internal/dispatch/message.go
@@ -111,12 +111,12 @@
 	m.keyQueue = q
 	q.messages = append(q.messages, m)
 	if m.mayHaveRun { // an attempt from before a restart may still run
-		q.settle(d.now + d.settings.OrderedKeySettleTime)
+		q.extendSettleTime(d.now + d.settings.OrderedKeySettleTime)
 	}
 }
 
-// settle delays the first attempts of the key's later messages until a time.
-func (q *keyQueue) settle(until time.Duration) { q.settleUntil = max(q.settleUntil, until) }
+// extendSettleTime delays the first attempts of the key's later messages until a time.
+func (q *keyQueue) extendSettleTime(until time.Duration) { q.settleUntil = max(q.settleUntil, until) }
 
 // leaveKeyQueue removes m, which has ended, from its key's queue.
 func (d *Dispatcher) leaveKeyQueue(m *message) {
@@ -127,7 +127,7 @@
 	d.settlingKeyQueues = append(d.settlingKeyQueues, m.keyQueue)
 }
 
-// dropKeyQueues deletes the key queues that are empty and have settled.
+// dropKeyQueues deletes the key queues that are empty and past their settle time.
 func (d *Dispatcher) dropKeyQueues() {
 	for len(d.settlingKeyQueues) > 0 {
 		q := d.settlingKeyQueues[0]
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -106,7 +106,7 @@
 		m.recordNeverRan()
 	case TimedOut, ConnectionBroken, Cancelled:
 		if m.keyQueue != nil {
-			m.keyQueue.settle(d.now + d.settings.OrderedKeySettleTime)
+			m.keyQueue.extendSettleTime(d.now + d.settings.OrderedKeySettleTime)
 		}
 	}
 }
