--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -23,8 +23,8 @@
 // callers can change it. With many senders it starts as a fraction of the full idle timeout.
 func (d *Dispatcher) kindIdleTimeout(e *endpoint) *time.Duration {
 	for len(d.idleTimeouts) <= e.Kind {
-		senders := time.Duration(max(smallFleet, d.settings.Senders))
-		d.idleTimeouts = append(d.idleTimeouts, d.settings.IdleConnectionTimeout*smallFleet/senders)
+		senders := time.Duration(max(smallFleetSize, d.settings.Senders))
+		d.idleTimeouts = append(d.idleTimeouts, d.settings.IdleConnectionTimeout*smallFleetSize/senders)
 	}
 	return &d.idleTimeouts[e.Kind]
 }
@@ -100,7 +100,7 @@
 // lengthenIdleTimeout lengthens the idle timeouts after a call was served.
 func (d *Dispatcher) lengthenIdleTimeout(e *endpoint) {
 	// The other senders lengthen their idle timeouts, too, so each of many does so more slowly.
-	share := math.Sqrt(smallFleet / float64(max(smallFleet, d.settings.Senders)))
+	share := math.Sqrt(smallFleetSize / float64(max(smallFleetSize, d.settings.Senders)))
 	growth := time.Duration(idleTimeoutGrowth * share * float64(d.settings.IdleConnectionTimeout))
 	kindTimeout := d.kindIdleTimeout(e)
 	*kindTimeout = min(d.settings.IdleConnectionTimeout, *kindTimeout+growth)
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -4,17 +4,19 @@
 	"math"
 )
 
-// This file adapts decisions to the number of senders. The senders share no state, so each decides by its
-// own part of the traffic. What one sender does must be harmless even if all senders do it at once, and one
-// of many senders sees too few calls to find a limit by itself.
+// This file adapts decisions to the size of the fleet, the number of senders of the deployment. The
+// senders share no state, so each decides by its own part of the traffic. What one sender does must be
+// harmless even if all senders do it at once, and one of many senders sees too few calls to find a limit
+// by itself.
 
-// smallFleet is the number of senders up to which each sender sees enough calls to every endpoint by itself.
-const smallFleet = 4
+// smallFleetSize is the number of senders up to which each sender sees enough calls to every endpoint by
+// itself.
+const smallFleetSize = 4
 
 // trafficSparsity returns how small a part of an endpoint's traffic one sender sees, by the number of
-// senders: 0 for up to smallFleet senders, towards 1 for many.
+// senders: 0 for up to smallFleetSize senders, towards 1 for many.
 func (d *Dispatcher) trafficSparsity() float64 {
-	return 1 - smallFleet/float64(max(smallFleet, d.settings.Senders))
+	return 1 - smallFleetSize/float64(max(smallFleetSize, d.settings.Senders))
 }
 
 // fairShare returns this sender's equal share of a limit.
@@ -46,7 +48,7 @@
 // connections: one idle connection of each of eighty senders uses them all up.
 func (d *Dispatcher) hasEnoughOwnCalls(r *route) bool {
 	limit := r.limiter.limit
-	hasLargeShare := limit > 0 && smallFleet*d.smoothedRate(r.traffic.sentCalls) >= limit
-	isMajorSender := d.settings.Senders <= smallFleet || hasLargeShare
+	hasLargeShare := limit > 0 && smallFleetSize*d.smoothedRate(r.traffic.sentCalls) >= limit
+	isMajorSender := d.settings.Senders <= smallFleetSize || hasLargeShare
 	return isMajorSender && d.failureThreshold(r) >= maxFailureThreshold/2
 }
--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -11,7 +11,7 @@
 	paceIncrease = 0.1
 	// unreportedIncrease multiplies that growth where answers do not report a limit.
 	unreportedIncrease = 2
-	// paceDecrease is the factor by which a rejection lowers the pace, with up to smallFleet senders.
+	// paceDecrease is the factor by which a rejection lowers the pace, with up to smallFleetSize senders.
 	paceDecrease = 0.7
 	// isolatedRejectionFloor is the least pace after an isolated rejection, as a share of this sender's fair
 	// share of the limit.
@@ -133,13 +133,13 @@
 // is exceeded by calls that arrive together, even while the senders make fewer calls in all than it allows.
 func (d *Dispatcher) decreasePace(r *route) {
 	l := &r.limiter
-	senders := float64(max(smallFleet, d.settings.Senders))
+	senders := float64(max(smallFleetSize, d.settings.Senders))
 	floor := rejectionFloor
 	if r.breaker.consecutiveFailures == 1 && r.traffic.recentServed > 0 {
 		floor = isolatedRejectionFloor
 	}
-	l.pace = max(l.pace*paceDecrease*smallFleet/senders, d.fairShare(l.limit)*floor)
-	if senders > smallFleet {
+	l.pace = max(l.pace*paceDecrease*smallFleetSize/senders, d.fairShare(l.limit)*floor)
+	if senders > smallFleetSize {
 		l.set(d.jitter(), d.now) // other senders were rejected at the same time
 	}
 }
