--- a/internal/endpoint/conn.go
+++ b/internal/endpoint/conn.go
@@ -14,7 +14,7 @@
 	"onyxdyke.example/onyxdyke/internal/metrics"
 )
 
-// MaxBody is the maximum size of the body of a request and of a response, in bytes (protocol).
+// MaxBody is the maximum size of the body of a call to an endpoint and of its response, in bytes (protocol).
 const MaxBody = 64 << 10
 
 const (
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -14,7 +14,7 @@
 	"onyxdyke.example/onyxdyke/internal/journal"
 )
 
-// MaxBody is the maximum size of the body of a request, in bytes (protocol).
+// MaxBody is the maximum size of the body of a client's request, in bytes (protocol).
 const MaxBody = 64 << 10
 
 const (
