--- a/internal/endpoint/batch.go
+++ b/internal/endpoint/batch.go
@@ -86,10 +86,10 @@
 
 // callBatch makes one attempt with several messages. They share its outcome, unless the response states the outcome of
 // each. Messages that have ended before the call is written are left out.
-func (p *Pool) callBatch(ctx, start context.Context, e *Endpoint, b *batch, items []*Item,
+func (p *Pool) callBatch(ctx, startCtx context.Context, e *Endpoint, b *batch, items []*Item,
 	timeout time.Duration) []dispatch.AttemptResult {
 	until := time.Now().Add(timeout)
-	x := p.exchange(ctx, start, e, func(address string) (request, error) {
+	x := p.roundTrip(ctx, startCtx, e, func(address string) (request, error) {
 		req, body, err := batchBody(items)
 		if err != nil {
 			return request{}, err
--- a/internal/endpoint/exchange.go
+++ b/internal/endpoint/exchange.go
@@ -65,42 +65,42 @@
 	return max(time.Millisecond, time.Until(until).Truncate(time.Millisecond))
 }
 
-// exchange is the result of sending a request.
+// exchange is the result of writing a request and reading the head of its response.
 type exchange struct {
 	response *http.Response   // its head has been read; nil if no valid one was received
 	conn     *conn            // nil if the request was not written completely
 	outcome  dispatch.Outcome // set if response is nil; Served if the status line confirms the delivery
 }
 
-// exchange writes one request, which is rendered once there is a connection, and reads the head of the response. If
-// there is no valid head, it closes the connection. ctx ends the call at any time, start only until its last byte is
+// roundTrip writes one request, which is rendered once there is a connection, and reads the head of the response. If
+// there is no valid head, it closes the connection. ctx ends the call at any time, startCtx only until its last byte is
 // written.
-func (p *Pool) exchange(
-	ctx, start context.Context,
+func (p *Pool) roundTrip(
+	ctx, startCtx context.Context,
 	e *Endpoint,
 	render func(address string) (request, error),
 ) exchange {
 	// Until the last byte is written, the call has not run, whatever fails.
-	c, err := p.get(start, e)
+	c, err := p.get(startCtx, e)
 	if err != nil {
-		return exchange{outcome: unwrittenOutcome(ctx, start)}
+		return exchange{outcome: unwrittenOutcome(ctx, startCtx)}
 	}
 	req, err := render(c.address)
-	if err != nil || start.Err() != nil { // the connection is too late for this call, but a later call may use it
+	if err != nil || startCtx.Err() != nil { // the connection is too late for this call, but a later call may use it
 		p.put(e, c)
-		return exchange{outcome: unwrittenOutcome(ctx, start)}
+		return exchange{outcome: unwrittenOutcome(ctx, startCtx)}
 	}
 	for c.idleFor > 0 && !netconn.ReadWouldBlock(c.Conn) { // otherwise stale bytes would be read as the response
 		c.close()
-		if c, err = p.get(start, e); err != nil {
-			return exchange{outcome: unwrittenOutcome(ctx, start)}
+		if c, err = p.get(startCtx, e); err != nil {
+			return exchange{outcome: unwrittenOutcome(ctx, startCtx)}
 		}
 	}
 	if p.invariants.CheckSend(e.callTarget(), req.permits) != nil {
 		p.put(e, c)
 		return exchange{outcome: dispatch.NotSent}
 	}
-	writeBy, _ := start.Deadline()
+	writeBy, _ := startCtx.Deadline()
 	if !req.writeBy.IsZero() {
 		writeBy = req.writeBy
 	}
@@ -135,8 +135,8 @@
 
 // unwrittenOutcome returns the outcome of a call for which no connection was ready in time, or that was aborted before
 // it was written.
-func unwrittenOutcome(ctx, start context.Context) dispatch.Outcome {
-	if ctx.Err() == nil && errors.Is(start.Err(), context.Canceled) {
+func unwrittenOutcome(ctx, startCtx context.Context) dispatch.Outcome {
+	if ctx.Err() == nil && errors.Is(startCtx.Err(), context.Canceled) {
 		return dispatch.NotSent // aborted before it was written
 	}
 	return dispatch.ConnectFailed
--- a/internal/endpoint/pool_test.go
+++ b/internal/endpoint/pool_test.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), st.Timeout)
 	defer cancel()
 	taken := target.idle[0]
-	x := p.exchange(ctx, ctx, target, func(address string) (request, error) {
+	x := p.roundTrip(ctx, ctx, target, func(address string) (request, error) {
 		_, _ = io.WriteString(st.Receive(t, conns), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		for netconn.ReadWouldBlock(taken.Conn) { // until it has arrived
 			time.Sleep(time.Millisecond)
--- a/internal/endpoint/single.go
+++ b/internal/endpoint/single.go
@@ -11,18 +11,18 @@
 const singlePath = "/hook"
 
 // callSingle makes one attempt with one message and returns its result. It never makes a second attempt: an endpoint
-// counts each call whose last byte has arrived. ctx, whose deadline is the timeout, ends the attempt at any time; start
-// ends it only until the last byte is written. A response that begins after the time stated in the call is late, even
-// if the timeout has not been noticed yet: the endpoint has abandoned the call by then, and does not count the message
-// as delivered.
+// counts each call whose last byte has arrived. ctx, whose deadline is the timeout, ends the attempt at any time;
+// startCtx ends it only until the last byte is written. A response that begins after the time stated in the call is
+// late, even if the timeout has not been noticed yet: the endpoint has abandoned the call by then, and does not count
+// the message as delivered.
 func (p *Pool) callSingle(
-	ctx, start context.Context,
+	ctx, startCtx context.Context,
 	e *Endpoint,
 	item *Item,
 	timeout time.Duration,
 ) dispatch.AttemptResult {
 	until := time.Now().Add(timeout)
-	x := p.exchange(ctx, start, e, func(address string) (request, error) {
+	x := p.roundTrip(ctx, startCtx, e, func(address string) (request, error) {
 		left := remaining(until)
 		until = time.Now().Add(left)
 		head := requestHead{path: singlePath, messageID: item.ID, key: item.Key, remainingAtWriting: left}
