--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,7 +31,7 @@
 	State            string // directory of the state that is kept across restarts
 	Seed             uint64 // seed of the dispatcher's random numbers
 	Limits           Limits
-	Known            endpointlist.Update // the endpoint list at the time when the file was written
+	EndpointList     endpointlist.Update // the endpoint list at the time when the file was written
 	Settings         dispatch.Settings
 
 	passedSocket *os.File // file of PassedDescriptor; nil until a listener is created from it
@@ -39,8 +39,8 @@
 	// Names as clients and discovery use them, in the order of the settings.
 	Classes, Tenants, Kinds, Zones []string
 
-	Fields         []string // names of the fields in load reports
-	ConnectTimeout time.Duration
+	LoadReportFields []string // names of the fields in load reports
+	ConnectTimeout   time.Duration
 
 	document any // the decoded file, which Reload compares with the next one
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -64,8 +64,8 @@
 	}
 	c := &Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, State: f.State,
-		Limits: f.Limits, Known: f.Known, Settings: settings.Translate(env),
-		Kinds: names.Models, Zones: names.Zones, Fields: env.List("telemetry.fields"),
+		Limits: f.Limits, EndpointList: f.Known, Settings: settings.Translate(env),
+		Kinds: names.Models, Zones: names.Zones, LoadReportFields: env.List("telemetry.fields"),
 		ConnectTimeout: settings.DurationFromMilliseconds(env.Float("limits.connectTimeout")),
 		document:       document,
 	}
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -156,7 +156,7 @@
 		ConnectTimeout:   s.config.ConnectTimeout,
 		IdleTimeout:      s.config.Settings.IdleConnectionTimeout,
 		MaxIdle:          s.config.MaxIdleConnections(),
-		LoadReportFields: s.config.Fields,
+		LoadReportFields: s.config.LoadReportFields,
 		Invariants:       s.invariants,
 		Metrics:          s.metrics,
 		Control:          control,
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -184,7 +184,7 @@
 				<-releaseDial
 				return nil
 			})
-			ctx, list := context.Background(), s.config.Known
+			ctx, list := context.Background(), s.config.EndpointList
 			list.Endpoints[1].Cell = 0
 			s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(list, true)})
 			r := journal.Record{ID: "m1", Class: "safe", Tenant: "acme", Deadline: s.clock.Now() + st.Timeout}
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -27,7 +27,7 @@
 			directory := t.TempDir()
 			var known endpointlist.Update
 			first := startSenderIn(t, OperatingSystem(), agent, func(c *config.Config) {
-				c.State, known = directory, c.Known
+				c.State, known = directory, c.EndpointList
 			})
 			agent.Change(st.Server("s-0", old.Addr, 0, state))
 			agent.Change(st.Server("s-2", fresh.Addr, 0, "SERVING"))
@@ -44,7 +44,7 @@
 			}
 			first.stop()
 			second := startSenderIn(t, OperatingSystem(), agent, func(c *config.Config) {
-				c.State, c.Known, c.Discovery = directory, known, silentAddress(t)
+				c.State, c.EndpointList, c.Discovery = directory, known, silentAddress(t)
 			})
 			for _, id := range []string{"a", "b", "c"} {
 				st.Submit(t, second.addr, id, "unsafe", 0, 15*time.Second)
@@ -160,7 +160,7 @@
 	agent.Change(st.Server("s-1", other.Addr, 0, "SERVING"))
 	startSender(t, agent, func(c *config.Config) {
 		serving := endpointlist.Endpoint{ID: "s-0", Addr: old.Addr, State: "SERVING", Zone: "a", Kind: "plain"}
-		c.Known = endpointlist.Update{Version: 1, Full: true, Endpoints: []endpointlist.Endpoint{serving}}
+		c.EndpointList = endpointlist.Update{Version: 1, Full: true, Endpoints: []endpointlist.Endpoint{serving}}
 		j := openJournal(t, c.State)
 		deadline := clock.New(time.Now()).Now() + 15*time.Second
 		record := journal.Record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: deadline}
--- a/internal/sender/restore.go
+++ b/internal/sender/restore.go
@@ -67,7 +67,7 @@
 // one that the earlier process had received, so the changes in the journal are applied to it. An endpoint on it may
 // have drained since then, so nothing is sent until discovery has responded once, or firstListTimeout has passed.
 func (s *Sender) restoreEndpointList(ctx context.Context) []dispatch.Event {
-	known := s.journal.MergeEndpointList(s.config.Known)
+	known := s.journal.MergeEndpointList(s.config.EndpointList)
 	s.dispatch(ctx, []dispatch.Event{s.applyEndpointList(known, true)})
 	s.dispatch(ctx, []dispatch.Event{s.list.restoredOutages(s.journal.Outages())})
 	select {
--- a/internal/sender/run.go
+++ b/internal/sender/run.go
@@ -53,8 +53,8 @@
 // startDiscovery starts to watch the endpoint list, from the version that is known, and to deliver notices. Both end
 // with workCtx.
 func (s *Sender) startDiscovery(workCtx context.Context, snapshot *handover.Snapshot) {
-	known := s.config.Known.Version
-	if len(s.config.Known.Endpoints) == 0 {
+	known := s.config.EndpointList.Version
+	if len(s.config.EndpointList.Endpoints) == 0 {
 		known = -1
 	}
 	if snapshot != nil {
