--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -175,8 +175,8 @@
 // send a message whose call was in flight again, with the same id, key and body, if its class allows a repeat, and else
 // end it by a notice. It must not send delivered messages again.
 func TestMessagesSurviveAKill(t *testing.T) {
-	silent := st.NewEndpoint(t, st.Hang)
-	good := st.NewEndpoint(t, st.Status(200))
+	silent := st.NewEndpoint(t, st.NeverAnswer)
+	good := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, good.Addr, silent.Addr, silent.Addr)
 	state := t.TempDir()
 	sender := start(t, agent, state)
@@ -194,7 +194,7 @@
 	_ = sender.Process.Kill()
 	_ = sender.Wait()
 
-	replacement := st.NewEndpoint(t, st.Status(200))
+	replacement := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent.Change(st.Server("s-1", replacement.Addr, 1, "SERVING"))
 	start(t, agent, state)
 	if c := replacement.Next(t); c.ID != "keyed" || c.Key != first.Key || c.Body != first.Body {
@@ -234,8 +234,8 @@
 // and must be served on connections that are closed with the response. The process must exit by itself in time, and
 // the next process must deliver the message that is still in flight.
 func TestRequestsAreServedDuringTheGracePeriod(t *testing.T) {
-	silent := st.NewEndpoint(t, st.Hang)
-	good := st.NewEndpoint(t, st.Status(200))
+	silent := st.NewEndpoint(t, st.NeverAnswer)
+	good := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, good.Addr, silent.Addr)
 	state := t.TempDir()
 	sender := start(t, agent, state)
@@ -268,7 +268,7 @@
 	if took := time.Since(began); took > 3700*time.Millisecond {
 		t.Errorf("the sender exited only after %v", took)
 	}
-	replacement := st.NewEndpoint(t, st.Status(200))
+	replacement := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent.Change(st.Server("s-1", replacement.Addr, 1, "SERVING"))
 	start(t, agent, state)
 	if c := replacement.Next(t); c.ID != "slow" {
@@ -281,8 +281,8 @@
 // request must be served at any time, whether the predecessor exits on SIGTERM or is killed. A call that the
 // predecessor has in flight must be made again only once the predecessor has exited.
 func TestUpgradesLoseNoMessages(t *testing.T) {
-	silent := st.NewEndpoint(t, st.Hang)
-	good := st.NewEndpoint(t, st.Status(200))
+	silent := st.NewEndpoint(t, st.NeverAnswer)
+	good := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, good.Addr, silent.Addr)
 	state := t.TempDir()
 	addr, socket := passedSocket(t)
@@ -347,7 +347,7 @@
 // Guards against a reload that is not applied completely: after SIGHUP the sender must use the platform's new address
 // both for the endpoint list and for notices. An invalid file must change nothing; it is only logged.
 func TestSIGHUPChangesThePlatformAddress(t *testing.T) {
-	oldEndpoint, newEndpoint := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	oldEndpoint, newEndpoint := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, oldEndpoint.Addr)
 	sender := start(t, agent, t.TempDir())
 	for _, bad := range []string{"", "{", `{"discovery":"nowhere","settings":{}}`, `{"discovery":5}`} {
@@ -381,7 +381,7 @@
 // Guards against signals that disturb a shutdown or are ignored in it: a second SIGTERM must change nothing, and each
 // SIGHUP must be applied as before, so that the remaining notices go to the platform's new address.
 func TestSignalsDuringTheShutdown(t *testing.T) {
-	silent := st.NewEndpoint(t, st.Hang)
+	silent := st.NewEndpoint(t, st.NeverAnswer)
 	platforms := []*st.Agent{st.NewAgent(t, silent.Addr), st.NewAgent(t, silent.Addr)}
 	admin := freeAddr(t)
 	sender := launch(t, platforms[0], t.TempDir(), freeAddr(t), nil, "EDGE_ADMIN_ADDR="+admin)
@@ -470,7 +470,7 @@
 func TestBlockedLogDoesNotStopTheSender(t *testing.T) {
 	for name, readerClosed := range map[string]bool{"reader closed": true, "reader does not read": false} {
 		t.Run(name, func(t *testing.T) {
-			good := st.NewEndpoint(t, st.Status(200))
+			good := st.NewEndpoint(t, st.AnswerStatus(200))
 			agent := st.NewAgent(t, good.Addr)
 			r, w, err := os.Pipe()
 			if err != nil {
--- a/cmd/sender/release_test.go
+++ b/cmd/sender/release_test.go
@@ -97,9 +97,9 @@
 	unblocked := make(chan struct{}, 1)
 	slow := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
 		<-unblocked
-		return st.Status(200)(c, conn)
+		return st.AnswerStatus(200)(c, conn)
 	})
-	quick := st.NewEndpoint(t, st.Status(200))
+	quick := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, slow.Addr, quick.Addr)
 
 	start := func(program string) (*process, string) {
--- a/internal/endpoint/batch_test.go
+++ b/internal/endpoint/batch_test.go
@@ -27,34 +27,38 @@
 		}
 		return attempts
 	}
-	cut := st.Text(200, `[{"id":"a","state":"ok"}`)
+	cut := st.AnswerText(200, `[{"id":"a","state":"ok"}`)
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
 		want   []dispatch.AttemptResult
 	}{
 		"a state for each": {
-			st.Text(200, `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
+			st.AnswerText(200, `[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"error"}]`),
 			results(dispatch.Served, dispatch.Rejected, dispatch.Errored),
 		},
-		"Retry-After": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"later"},{"id":"c","state":"later"}]`,
-			"X-RateLimit-Wait-Ms: 250"),
-			withRetryAfter(results(dispatch.Served, dispatch.Rejected, dispatch.Rejected))},
-		"exhausted": {st.Text(200, `[{"id":"a","state":"ok"},{"id":"b","state":"exhausted"},{"id":"c","state":"ok"}]`),
-			results(dispatch.Served, dispatch.NotSent, dispatch.Served)},
+		"Retry-After": {
+			st.AnswerText(200, `[{"id":"a","state":"ok"},{"id":"b","state":"later"},{"id":"c","state":"later"}]`,
+				"X-RateLimit-Wait-Ms: 250"),
+			withRetryAfter(results(dispatch.Served, dispatch.Rejected, dispatch.Rejected)),
+		},
+		"exhausted": {
+			st.AnswerText(200, `[{"id":"a","state":"ok"},{"id":"b","state":"exhausted"},{"id":"c","state":"ok"}]`),
+			results(dispatch.Served, dispatch.NotSent, dispatch.Served),
+		},
 		"one left out": {
-			st.Text(200, `[{"id":"a","state":"ok"},{"id":"c","state":"ok"}]`),
+			st.AnswerText(200, `[{"id":"a","state":"ok"},{"id":"c","state":"ok"}]`),
 			results(dispatch.Served, dispatch.Errored, dispatch.Served),
 		},
 		"named twice": {
-			st.Text(200, `[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"},`+
+			st.AnswerText(200, `[{"id":"a","state":"ok"},{"id":"a","state":"later"},{"id":"b","state":"later"},`+
 				`{"id":"b","state":"later"},{"id":"c","state":"ok"}]`),
 			results(dispatch.Errored, dispatch.Rejected, dispatch.Served),
 		},
 		"unknown state": {
-			st.Text(200, `[{"id":"a","state":"fine"}]`),
+			st.AnswerText(200, `[{"id":"a","state":"fine"}]`),
 			results(dispatch.Errored, dispatch.Errored, dispatch.Errored),
 		},
-		"no JSON":  {st.Text(200, `<html>`), results(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"no JSON":  {st.AnswerText(200, `<html>`), results(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
 		"cut JSON": {cut, results(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
 		"cut body": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}]")
@@ -65,18 +69,18 @@
 			return false
 		}, results(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken)},
 		"rate limited": {
-			st.Status(429, "X-RateLimit-Wait-Ms: 250"),
+			st.AnswerStatus(429, "X-RateLimit-Wait-Ms: 250"),
 			withRetryAfter(results(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)),
 		},
-		"unavailable": {st.Status(503), results(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)},
+		"unavailable": {st.AnswerStatus(503), results(dispatch.Rejected, dispatch.Rejected, dispatch.Rejected)},
 		"over slots": {
-			st.Status(503, "X-Over-Slots: 1"),
+			st.AnswerStatus(503, "X-Over-Slots: 1"),
 			results(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent),
 		},
-		"too large":  {st.Status(413), results(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
-		"all failed": {st.Status(500), results(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
+		"too large":  {st.AnswerStatus(413), results(dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)},
+		"all failed": {st.AnswerStatus(500), results(dispatch.Errored, dispatch.Errored, dispatch.Errored)},
 		"reset": {
-			st.Reset,
+			st.ResetConnection,
 			results(dispatch.ConnectionBroken, dispatch.ConnectionBroken, dispatch.ConnectionBroken),
 		},
 	} {
--- a/internal/endpoint/call_test.go
+++ b/internal/endpoint/call_test.go
@@ -38,7 +38,7 @@
 		want   dispatch.AttemptResult
 	}{
 		"delivered": {
-			st.Status(200, "X-Load: x0=0.4,x1=25,other=7"),
+			st.AnswerStatus(200, "X-Load: x0=0.4,x1=25,other=7"),
 			dispatch.AttemptResult{
 				Outcome:       dispatch.Served,
 				Final:         true,
@@ -47,21 +47,24 @@
 				RateLimit:     25,
 			},
 		},
-		"error": {st.Status(500), dispatch.AttemptResult{Outcome: dispatch.Errored}},
+		"error": {st.AnswerStatus(500), dispatch.AttemptResult{Outcome: dispatch.Errored}},
 		"rate limited": {
-			st.Status(429, "X-RateLimit-Wait-Ms: 250"),
+			st.AnswerStatus(429, "X-RateLimit-Wait-Ms: 250"),
 			dispatch.AttemptResult{Outcome: dispatch.Rejected, RetryAfter: 250 * time.Millisecond},
 		},
 		"connection limit": {
-			st.Status(503, "Connection: close"),
+			st.AnswerStatus(503, "Connection: close"),
 			dispatch.AttemptResult{Outcome: dispatch.ConnectFailed},
 		},
-		"unavailable":     {st.Status(503), dispatch.AttemptResult{Outcome: dispatch.Rejected}},
-		"over slots":      {st.Status(503, "X-Over-Slots: 1"), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
-		"gateway timeout": {st.Status(504), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
-		"gone":            {st.Status(410), dispatch.AttemptResult{Outcome: dispatch.NotSent, Final: true}},
-		"redirect":        {st.Status(307, "Location: /elsewhere"), dispatch.AttemptResult{Outcome: dispatch.Errored}},
-		"reset":           {st.Reset, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
+		"unavailable":     {st.AnswerStatus(503), dispatch.AttemptResult{Outcome: dispatch.Rejected}},
+		"over slots":      {st.AnswerStatus(503, "X-Over-Slots: 1"), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
+		"gateway timeout": {st.AnswerStatus(504), dispatch.AttemptResult{Outcome: dispatch.NotSent}},
+		"gone":            {st.AnswerStatus(410), dispatch.AttemptResult{Outcome: dispatch.NotSent, Final: true}},
+		"redirect": {
+			st.AnswerStatus(307, "Location: /elsewhere"),
+			dispatch.AttemptResult{Outcome: dispatch.Errored},
+		},
+		"reset": {st.ResetConnection, dispatch.AttemptResult{Outcome: dispatch.ConnectionBroken}},
 		// A status line of 200 confirms the delivery, whatever fails afterwards.
 		"cut after 200": {func(_ st.Call, c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
@@ -136,7 +139,7 @@
 func TestDeadlineHeaderIsTheTimeLeftAtWriting(t *testing.T) {
 	t.Parallel()
 	const took = 50 * time.Millisecond
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-time.After(took); return nil }
 	callOnce(p, target, st.Timeout, "body")
@@ -155,7 +158,7 @@
 // Guards against taking any rejection with "Connection: close" for a full connection table. A call on a connection that
 // has served before is rejected for another reason, even if the endpoint closes the connection then.
 func TestRejectionOnAUsedConnectionIsNoConnectFailure(t *testing.T) {
-	answers := []func(st.Call, net.Conn) bool{st.Status(200), st.Status(503, "Connection: close")}
+	answers := []func(st.Call, net.Conn) bool{st.AnswerStatus(200), st.AnswerStatus(503, "Connection: close")}
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		a := answers[0]
 		answers = answers[1:]
@@ -176,13 +179,13 @@
 	both, answer := make(chan struct{}, 2), make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if c.Body == "again" && c.Conn <= 2 {
-			return st.Reset(c, nc)
+			return st.ResetConnection(c, nc)
 		}
 		if c.Conn <= 2 {
 			both <- struct{}{}
 			<-answer // so that the two calls need two connections
 		}
-		return st.Status(200)(c, nc)
+		return st.AnswerStatus(200)(c, nc)
 	})
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	served := make(chan dispatch.AttemptResult, 2)
@@ -228,14 +231,14 @@
 		isBatch bool
 		want    dispatch.AttemptResult
 	}{
-		"served": {late(st.Status(200)), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
+		"served": {late(st.AnswerStatus(200)), false, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
 		"cut": {
 			late(func(_ st.Call, nc net.Conn) bool { _, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\n"); return false }),
 			false,
 			dispatch.AttemptResult{Outcome: dispatch.TimedOut},
 		},
 		"retry after": {
-			late(st.Status(429, "X-RateLimit-Wait-Ms: 250")),
+			late(st.AnswerStatus(429, "X-RateLimit-Wait-Ms: 250")),
 			false,
 			dispatch.AttemptResult{Outcome: dispatch.TimedOut, RetryAfter: 250 * time.Millisecond},
 		},
@@ -245,7 +248,7 @@
 			_, _ = io.WriteString(nc, "Content-Length: 0\r\n\r\n")
 			return true
 		}, false, dispatch.AttemptResult{Outcome: dispatch.Served, Final: true}},
-		"batch": {late(st.Text(200, both)), true, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
+		"batch": {late(st.AnswerText(200, both)), true, dispatch.AttemptResult{Outcome: dispatch.TimedOut}},
 		"batch, end late": {func(_ st.Call, nc net.Conn) bool {
 			_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(both))+"\r\n\r\n"+both[:9])
 			<-time.After(deadline + 50*time.Millisecond)
@@ -282,9 +285,9 @@
 		e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 			if first {
 				first = false
-				return st.Status(200)(c, nc)
+				return st.AnswerStatus(200)(c, nc)
 			}
-			return st.Reset(c, nc)
+			return st.ResetConnection(c, nc)
 		})
 		p, target := testPool(), &Endpoint{address: e.Addr}
 		if got := callOnce(p, target, st.Timeout, body); got.Outcome != dispatch.Served {
@@ -349,7 +352,7 @@
 func TestTimeoutAndCancelCloseTheConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
-		st.Hang(c, nc)
+		st.NeverAnswer(c, nc)
 		closed <- struct{}{}
 		return false
 	})
@@ -388,7 +391,7 @@
 						return false
 					}
 				}
-				return st.Hang(st.Call{}, c)
+				return st.NeverAnswer(st.Call{}, c)
 			})
 			began := time.Now()
 			got := callOnce(testPool(), &Endpoint{address: e.Addr}, st.Timeout, "")
@@ -413,7 +416,7 @@
 		if c.ID == "id" && c.Body == "slow" {
 			time.Sleep(responseTailTimeout + 100*time.Millisecond)
 		}
-		return st.Status(200)(c, nc)
+		return st.AnswerStatus(200)(c, nc)
 	})
 	p, target := testPool(), &Endpoint{address: slow.Addr}
 	for _, body := range []string{"quick", "slow"} {
@@ -457,7 +460,7 @@
 // not wait for its connection any longer.
 func TestCallIsNotWrittenTooLate(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Timeout)
 	defer cancel()
@@ -479,7 +482,7 @@
 // the next call.
 func TestCallStoppedByAnInvariantIsNotWritten(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	p := testPool()
 	target := &Endpoint{address: e.Addr, drainedAt: time.Now().Add(-time.Minute)}
 	if got := callOnce(p, target, time.Second, "stopped"); got.Outcome != dispatch.NotSent {
--- a/internal/endpoint/pool_test.go
+++ b/internal/endpoint/pool_test.go
@@ -21,7 +21,7 @@
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
-		st.Status(200)(c, nc)
+		st.AnswerStatus(200)(c, nc)
 		_ = nc.(*net.TCPConn).CloseWrite()
 		close(closed)
 		return c.Conn != 1
@@ -50,7 +50,7 @@
 
 // Guards against closing idle connections too early, or keeping them for too long or in too large a number.
 func TestIdleConnectionsAreKeptAndClosed(t *testing.T) {
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	call := func() int {
 		t.Helper()
@@ -89,9 +89,9 @@
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		conns <- nc
 		if c.ID == "second" {
-			return st.Status(503)(c, nc)
+			return st.AnswerStatus(503)(c, nc)
 		}
-		return st.Status(200)(c, nc)
+		return st.AnswerStatus(200)(c, nc)
 	})
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	if got := callOnce(p, target, st.Timeout, ""); got.Outcome != dispatch.Served {
@@ -122,7 +122,7 @@
 // connection: the old address may belong to another endpoint now.
 func TestCallFollowsAnAddressThatChangesWhileItConnects(t *testing.T) {
 	t.Parallel()
-	oldEndpoint, newEndpoint := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	oldEndpoint, newEndpoint := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	p, target := testPool(), &Endpoint{address: oldEndpoint.Addr}
 	p.dialer.Control = func(string, string, syscall.RawConn) error {
 		target.mu.Lock()
--- a/internal/sender/admin_test.go
+++ b/internal/sender/admin_test.go
@@ -14,7 +14,8 @@
 
 func TestMetricsCountMessageEnds(t *testing.T) {
 	t.Parallel()
-	good, bad, silent := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Reset), st.NewEndpoint(t, st.Hang)
+	good, bad, silent := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.ResetConnection),
+		st.NewEndpoint(t, st.NeverAnswer)
 	agent := st.NewAgent(t, good.Addr, bad.Addr, silent.Addr)
 	admin := freeAddress(t)
 	addr := startSender(t, agent, func(c *config.Config) { c.Admin = admin; c.Settings.MaxPendingMessages = 2 })
--- a/internal/sender/batching_test.go
+++ b/internal/sender/batching_test.go
@@ -29,7 +29,7 @@
 }
 
 func testExpiredItemIsExcluded(t *testing.T, short *endpoint.Item) {
-	e := st.NewEndpoint(t, st.Text(200, `[{"id":"b","state":"ok"},{"id":"a","state":"ok"}]`))
+	e := st.NewEndpoint(t, st.AnswerText(200, `[{"id":"b","state":"ok"},{"id":"a","state":"ok"}]`))
 	s := newTestSender(t, st.NewAgent(t, e.Addr), nil)
 	releaseDial := make(chan struct{})
 	s.config.ConnectTimeout = st.Timeout
@@ -111,13 +111,13 @@
 		if isFirst {
 			isFirst = false
 			<-releaseFirst
-			return st.Status(200)(c, nc)
+			return st.AnswerStatus(200)(c, nc)
 		}
 		var states []string
 		for _, entry := range c.Entries(t) {
 			states = append(states, `{"id":"`+entry.ID+`","state":"ok"}`)
 		}
-		return st.Text(200, "["+strings.Join(states, ",")+"]")(c, nc)
+		return st.AnswerText(200, "["+strings.Join(states, ",")+"]")(c, nc)
 	})
 	addr := startSender(t, st.NewAgent(t, e.Addr), func(c *config.Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
 	st.Submit(t, addr, "m0", "keyed", 0, 15*time.Second)
@@ -148,9 +148,9 @@
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if c.Path == "/hook" {
 			<-release
-			return st.Status(200)(c, nc)
+			return st.AnswerStatus(200)(c, nc)
 		}
-		return st.Hang(c, nc)
+		return st.NeverAnswer(c, nc)
 	})
 	addr := startSender(t, st.NewAgent(t, e.Addr), func(c *config.Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
 	st.Submit(t, addr, "holds", "unsafe", 0, 15*time.Second)
@@ -179,7 +179,7 @@
 		"retry": {[]*endpoint.Item{{Timeout: 50 * ms}, {Timeout: time.Hour, LastAttempt: true}},
 			[][]dispatch.Outcome{{dispatch.TimedOut, dispatch.Cancelled}}, []bool{true}},
 	} {
-		e := st.NewEndpoint(t, st.Hang)
+		e := st.NewEndpoint(t, st.NeverAnswer)
 		s := newTestSender(t, st.NewAgent(t), nil)
 		var items []callItem
 		for i, item := range c.items {
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -46,11 +46,11 @@
 	var sentAt atomic.Int64 // Unix ns
 	e := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
 		if c.ID != "first" {
-			return st.Status(200)(c, conn)
+			return st.AnswerStatus(200)(c, conn)
 		}
 		sentAt.Store(time.Now().UnixNano())
 		writeUnfinishedRetryAfter(conn, wait)
-		return st.Hang(c, conn)
+		return st.NeverAnswer(c, conn)
 	})
 	admin := freeAddress(t)
 	s := startSenderIn(t, OperatingSystem(), st.NewAgent(t, e.Addr), func(c *config.Config) { c.Admin = admin })
@@ -80,13 +80,13 @@
 	release := make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if c.Conn <= 2 && cut.Load() {
-			return st.Hang(c, nc)
+			return st.NeverAnswer(c, nc)
 		}
 		if c.Conn <= 2 {
 			arrived <- struct{}{}
 			<-release // keeps both calls in flight, so that each has a connection of its own
 		}
-		return st.Status(200)(c, nc)
+		return st.AnswerStatus(200)(c, nc)
 	})
 	agent := st.NewAgent(t, e.Addr)
 	s := newTestSender(t, agent, nil)
@@ -124,7 +124,7 @@
 func TestRetryAfterTheIdempotencyWindowIsNotWritten(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
-	e := st.NewEndpoint(t, st.Status(500, "Connection: close"))
+	e := st.NewEndpoint(t, st.AnswerStatus(500, "Connection: close"))
 	agent := st.NewAgent(t, e.Addr)
 	s := newTestSender(t, agent, func(c *config.Config) {
 		c.Settings.Classes[1].IdempotencyWindow = window
@@ -175,7 +175,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := st.NewEndpoint(t, st.Status(200))
+			e := st.NewEndpoint(t, st.AnswerStatus(200))
 			agent := st.NewAgent(t, e.Addr, e.Addr)
 			s := newTestSender(t, agent, nil)
 			dialing, releaseDial := make(chan struct{}, 1), make(chan struct{})
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -48,7 +48,7 @@
 // The endpoint gets a message with its ID, its idempotency key and its body, also for a body of the largest size.
 func TestMessageIsDelivered(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	addr := startSender(t, st.NewAgent(t, e.Addr), nil)
 	body := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("x", ingress.MaxBody-4)
 	r := st.Request(t, addr, "m1", "keyed", 0, 5*time.Second, body)
@@ -65,7 +65,7 @@
 // any name.
 func TestNamesMayContainBlanksAndCommas(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, e.Addr)
 	text := st.Config(agent, t.TempDir())
 	settings := text["settings"].(map[string]any)
@@ -100,7 +100,7 @@
 		"message limit": func(c *config.Config) { c.Settings.MaxPendingMessages = 3 },
 		"disk":          func(c *config.Config) { c.Limits.DiskMB = 0.012 },
 	} {
-		e := st.NewEndpoint(t, st.Hang)
+		e := st.NewEndpoint(t, st.NeverAnswer)
 		addr := startSender(t, st.NewAgent(t, e.Addr), edit)
 		rejected := false
 		for i := 0; i < 20 && !rejected; i++ {
@@ -130,7 +130,7 @@
 // accepts it.
 func TestGivenUpMessageEndsAtOnce(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(500))
+	e := st.NewEndpoint(t, st.AnswerStatus(500))
 	agent := st.NewAgent(t, e.Addr)
 	agent.RejectNotices(true)
 	addr := startSender(t, agent, nil)
@@ -158,7 +158,7 @@
 // that was delivered well before its deadline.
 func TestDeliveryNearTheDeadlineIsNotified(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, e.Addr)
 	addr := startSender(t, agent, nil)
 	st.Submit(t, addr, "early", "safe", 0, 20*time.Second)
@@ -177,7 +177,7 @@
 // message has no response yet.
 func TestReturnedMessageIsNotified(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Hang)
+	e := st.NewEndpoint(t, st.NeverAnswer)
 	agent := st.NewAgent(t, e.Addr)
 	addr := startSender(t, agent, func(c *config.Config) { c.Settings.MaxPendingMessages = 20 })
 	for i := range 20 { // the dispatcher sheds load from 95% on
@@ -205,9 +205,9 @@
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if first.CompareAndSwap(false, true) {
 			rejected <- time.Now()
-			return st.Status(429, "X-RateLimit-Wait-Ms: 700")(c, nc)
+			return st.AnswerStatus(429, "X-RateLimit-Wait-Ms: 700")(c, nc)
 		}
-		return st.Status(200)(c, nc)
+		return st.AnswerStatus(200)(c, nc)
 	})
 	addr := startSender(t, st.NewAgent(t, e.Addr), nil)
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -21,8 +21,8 @@
 	for name, state := range map[string]string{"draining": "DRAINING", "gone": "DELETED"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			old, kept := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
-			fresh := st.NewEndpoint(t, st.Status(200))
+			old, kept := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
+			fresh := st.NewEndpoint(t, st.AnswerStatus(200))
 			agent := st.NewAgent(t, old.Addr, kept.Addr)
 			directory := t.TempDir()
 			var known endpointlist.Update
@@ -87,7 +87,7 @@
 func TestDrainingEndpointGetsNoCalls(t *testing.T) { forEachListMode(t, testDrain) }
 
 func testDrain(t *testing.T, edit func(*config.Config)) {
-	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	old, other := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, old.Addr)
 	addr := startSender(t, agent, edit)
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
@@ -110,7 +110,7 @@
 func TestDiscoveryOutageKeepsTheKnownList(t *testing.T) { forEachListMode(t, testDiscoveryOutage) }
 
 func testDiscoveryOutage(t *testing.T, edit func(*config.Config)) {
-	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	e, other := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, e.Addr)
 	addr := startSender(t, agent, edit)
 	awaitWatch(t, agent, 1)
@@ -133,7 +133,7 @@
 func TestUnansweredWatchIsRepeated(t *testing.T) { forEachListMode(t, testUnansweredWatch) }
 
 func testUnansweredWatch(t *testing.T, edit func(*config.Config)) {
-	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	e, other := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, e.Addr)
 	addr := startSender(t, agent, edit)
 	awaitWatch(t, agent, 1)
@@ -154,7 +154,7 @@
 // than the one that the earlier process knew, so the sender waits for a response of discovery before it sends.
 func TestResumedMessageAvoidsADrainedEndpoint(t *testing.T) {
 	t.Parallel()
-	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	old, other := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, old.Addr)
 	agent.Change(st.Server("s-0", old.Addr, 0, "DRAINING"))
 	agent.Change(st.Server("s-1", other.Addr, 0, "SERVING"))
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -19,7 +19,7 @@
 func TestUpgradeHandsOverCallsAndRequests(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	slow, quick := st.NewEndpoint(t, answerAfter(release)), st.NewEndpoint(t, st.Status(200))
+	slow, quick := st.NewEndpoint(t, answerAfter(release)), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, slow.Addr, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
@@ -66,7 +66,7 @@
 // the successor accepts the submission and does not send the message.
 func TestEndedIDsSurviveAHandOver(t *testing.T) {
 	t.Parallel()
-	quick := st.NewEndpoint(t, st.Status(200))
+	quick := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
@@ -92,7 +92,7 @@
 // messages that may be repeated, and only after that.
 func TestPredecessorCancelsCallsAtItsEnd(t *testing.T) {
 	t.Parallel()
-	silent := st.NewEndpoint(t, st.Hang)
+	silent := st.NewEndpoint(t, st.NeverAnswer)
 	agent := st.NewAgent(t, silent.Addr, silent.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
@@ -117,7 +117,7 @@
 // in the successor, and in a predecessor that becomes the owner again.
 func TestRetryBackoffSurvivesAHandOver(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(500))
+	e := st.NewEndpoint(t, st.AnswerStatus(500))
 	agent := st.NewAgent(t, e.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
@@ -177,7 +177,7 @@
 // it.
 func TestStaleSocketIsReplaced(t *testing.T) {
 	t.Parallel()
-	quick := st.NewEndpoint(t, st.Status(200))
+	quick := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, quick.Addr)
 	state := t.TempDir()
 	if err := handover.WithSocket(state, func(path string) error {
@@ -205,7 +205,7 @@
 // serves, without upgrades.
 func TestStartWithoutAnUpgradeSocket(t *testing.T) {
 	t.Parallel()
-	quick := st.NewEndpoint(t, st.Status(200))
+	quick := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, quick.Addr)
 	state := t.TempDir()
 	err := handover.WithSocket(state, func(path string) error { return os.MkdirAll(path+"/taken", 0o700) })
@@ -229,12 +229,12 @@
 	release, answered := make(chan struct{}), make(chan time.Time, 1)
 	e := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
 		if c.ID != "out" {
-			return st.Status(200)(c, conn)
+			return st.AnswerStatus(200)(c, conn)
 		}
 		<-release
 		writeUnfinishedRetryAfter(conn, wait)
 		answered <- time.Now()
-		return st.Hang(c, conn)
+		return st.NeverAnswer(c, conn)
 	})
 	agent := st.NewAgent(t, e.Addr)
 	state := t.TempDir()
--- a/internal/sender/helpers_test.go
+++ b/internal/sender/helpers_test.go
@@ -193,7 +193,7 @@
 func answerAfter(release <-chan struct{}) func(st.Call, net.Conn) bool {
 	return func(c st.Call, conn net.Conn) bool {
 		<-release
-		return st.Status(200)(c, conn)
+		return st.AnswerStatus(200)(c, conn)
 	}
 }
 
--- a/internal/sender/journalfailure_test.go
+++ b/internal/sender/journalfailure_test.go
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hung := st.NewEndpoint(t, st.Hang)
+			hung := st.NewEndpoint(t, st.NeverAnswer)
 			var done atomic.Bool
 			env := OperatingSystem()
 			env.Files = failingFiles{write: func(b []byte) error {
@@ -67,7 +67,7 @@
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			e := st.NewEndpoint(t, st.Status(200))
+			e := st.NewEndpoint(t, st.AnswerStatus(200))
 			agent := st.NewAgent(t)
 			var failing atomic.Bool
 			env := OperatingSystem()
@@ -110,7 +110,7 @@
 // ends of messages, so it is not handed over. A successor that waits gets the journal once it is complete.
 func TestNoHandOverWhileTheDiskFails(t *testing.T) {
 	t.Parallel()
-	good := st.NewEndpoint(t, st.Status(200))
+	good := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, good.Addr)
 	state, admin := t.TempDir(), freeAddress(t)
 	var failing atomic.Bool
--- a/internal/sender/loop_test.go
+++ b/internal/sender/loop_test.go
@@ -18,7 +18,7 @@
 func TestAllQueuedEventsAreHandled(t *testing.T) {
 	t.Parallel()
 	const waiting = 2*maxEventBatch + 10
-	s := newStoppable(newTestSender(t, st.NewAgent(t, st.NewEndpoint(t, st.Status(200)).Addr), nil))
+	s := newStoppable(newTestSender(t, st.NewAgent(t, st.NewEndpoint(t, st.AnswerStatus(200)).Addr), nil))
 	responses := make([]chan ingress.Response, waiting)
 	for i := range responses {
 		responses[i] = make(chan ingress.Response, 1)
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -105,7 +105,7 @@
 // reload is counted as rejected, and the next valid file is applied.
 func TestInvalidConfigurationIsRejectedAsAWhole(t *testing.T) {
 	t.Parallel()
-	good := st.NewEndpoint(t, st.Status(200))
+	good := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, good.Addr)
 	r := startReloadable(t, agent, t.TempDir(), nil)
 	fresh := func(edit func(text map[string]any)) map[string]any {
@@ -193,13 +193,13 @@
 			first := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
 				if c.Conn == 1 { // the call that is in flight during the reload may have run
 					<-releaseFirst
-					return st.Reset(c, conn)
+					return st.ResetConnection(c, conn)
 				}
-				return st.Status(200)(c, conn)
+				return st.AnswerStatus(200)(c, conn)
 			})
 			second := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
 				<-releaseSecond
-				return st.Reset(c, conn)
+				return st.ResetConnection(c, conn)
 			})
 			agent := st.NewAgent(t, first.Addr, second.Addr)
 			state := t.TempDir()
--- a/internal/sender/requests_test.go
+++ b/internal/sender/requests_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			e := st.NewEndpoint(t, st.Status(200))
+			e := st.NewEndpoint(t, st.AnswerStatus(200))
 			env := OperatingSystem()
 			env.WrapListener = func(l net.Listener) net.Listener {
 				failing := &failingListener{Listener: l, errno: errno}
@@ -77,7 +77,7 @@
 // one line of text, no endpoint gets it, and a valid request after it is served.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	addr := startSender(t, st.NewAgent(t, e.Addr), nil)
 	for name, c := range map[string]struct {
 		edit   func(*http.Request)
@@ -123,7 +123,7 @@
 // is not accepted, and what follows it on the connection is not parsed as another request.
 func TestBodyIsNotParsedAsARequest(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	addr := startSender(t, st.NewAgent(t, e.Addr), nil)
 	head := func(id, more string) string {
 		return "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Class: safe\r\nX-Tenant: acme\r\n" +
@@ -169,7 +169,7 @@
 // disconnected within 3 s, and nothing that it sent is accepted.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	addr := startSender(t, st.NewAgent(t, e.Addr), nil)
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: m\r\nX-Class: safe\r\nX-Tenant: acme\r\n" +
 		"X-Deadline-Ms: 9000\r\nX-Addressing: dest=0\r\nContent-Length: 100\r\n"
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -80,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			silent, good := st.NewEndpoint(t, st.Hang), st.NewEndpoint(t, st.Status(200))
+			silent, good := st.NewEndpoint(t, st.NeverAnswer), st.NewEndpoint(t, st.AnswerStatus(200))
 			agent := st.NewAgent(t)
 			if c.tried {
 				agent.Change(st.Server("s-0", silent.Addr, 0, "SERVING"))
@@ -134,10 +134,10 @@
 			var down atomic.Bool
 			e := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
 				if down.Load() {
-					return st.Reset(c, conn)
+					return st.ResetConnection(c, conn)
 				}
 				time.Sleep(10 * time.Millisecond)
-				return st.Status(200)(c, conn)
+				return st.AnswerStatus(200)(c, conn)
 			})
 			agent := st.NewAgent(t, e.Addr)
 			state := t.TempDir()
@@ -183,7 +183,7 @@
 // protocol demands, even for many messages, endpoints that hang and connections on which discovery does not respond.
 func TestDeadlinesDuringARestartAreNotified(t *testing.T) {
 	t.Parallel()
-	hung := st.NewEndpoint(t, st.Hang)
+	hung := st.NewEndpoint(t, st.NeverAnswer)
 	addr, noticed := startSilentPlatform(t, 3) // for the list, and for notices before and after the restart
 	unnotified := map[string]bool{}
 	edit := func(c *config.Config) { c.Settings.MaxPendingMessages = 1e6; c.Limits.DiskMB = 10; c.Discovery = addr }
@@ -231,7 +231,7 @@
 // again if it was delivered, or if it may have run and may not be repeated.
 func TestDuplicateIDAcrossARestartIsOneMessage(t *testing.T) {
 	t.Parallel()
-	hung, quick := st.NewEndpoint(t, st.Hang), st.NewEndpoint(t, st.Status(200))
+	hung, quick := st.NewEndpoint(t, st.NeverAnswer), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, hung.Addr, quick.Addr)
 	s := startStoppable(t, agent, nil)
 	submitBoth := func(addr string) {
@@ -267,7 +267,7 @@
 func TestUntriedMessagesAreSentAtOnceAfterARestart(t *testing.T) {
 	t.Parallel()
 	const messageCount = 95
-	e := st.NewEndpoint(t, st.Status(200))
+	e := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, e.Addr)
 	classes := []string{"safe", "keyed", "unsafe"}
 	began := time.Now()
--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -28,7 +28,7 @@
 	// all entries, which happens before the message is accepted: a message whose deadline has passed by then is
 	// answered as given up instead of being accepted.
 	const unreachableFor = time.Second
-	one, two := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
+	one, two := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	entries := func(addr, state string, from int) (all []any) {
 		for i := from; i < n; i++ {
 			all = append(all, st.Server(fmt.Sprintf("s-%08x", i*2654435761), addr, i, state))
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -24,7 +24,7 @@
 // open connection gets a complete response, or was not accepted and may be sent again, even while endpoints hang.
 func TestRequestsDuringAShutdownAreAnswered(t *testing.T) {
 	t.Parallel()
-	hung := st.NewEndpoint(t, st.Hang)
+	hung := st.NewEndpoint(t, st.NeverAnswer)
 	s := startStoppable(t, st.NewAgent(t, hung.Addr), func(c *config.Config) {
 		c.Settings.MaxPendingMessages, c.Limits.DiskMB = 1e6, 100
 	})
@@ -89,7 +89,7 @@
 // They are answered first.
 func TestQueuedConnectionsAreAnsweredDuringAShutdown(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Hang)
+	e := st.NewEndpoint(t, st.NeverAnswer)
 	s := startStoppable(t, st.NewAgent(t, e.Addr), func(c *config.Config) {
 		c.Limits.Sockets = 4 // allows two clients at once
 	})
@@ -128,7 +128,7 @@
 // during a shutdown, the submission is accepted.
 func TestPendingMessageSentAgainIsAcceptedDuringAShutdown(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Hang)
+	e := st.NewEndpoint(t, st.NeverAnswer)
 	s := startStoppable(t, st.NewAgent(t, e.Addr), nil)
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 2*time.Second
 	st.Submit(t, s.addr, "pending", "safe", 0, 15*time.Second)
@@ -151,7 +151,7 @@
 // at any moment.
 func TestShutdownTimeIsBounded(t *testing.T) {
 	t.Parallel()
-	hung := st.NewEndpoint(t, st.Hang)
+	hung := st.NewEndpoint(t, st.NeverAnswer)
 	s := startStoppable(t, st.NewAgent(t, hung.Addr), nil)
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 100*time.Millisecond, 300*time.Millisecond
 	halfBody := "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"
@@ -181,7 +181,7 @@
 // with unread bytes would reset it, so the sender reads them before it closes the connection after a response.
 func TestResponseSurvivesUnreadRequestsBehindIt(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Hang)
+	e := st.NewEndpoint(t, st.NeverAnswer)
 	s := startStoppable(t, st.NewAgent(t, e.Addr), nil)
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 2*time.Second, 2*time.Second
 	st.Submit(t, s.addr, "out", "safe", 0, 15*time.Second)
@@ -212,7 +212,7 @@
 // part of a request, or has just connected, at the end of the grace period is answered.
 func TestOpenRequestsAtTheEndOfTheGracePeriodAreAnswered(t *testing.T) {
 	t.Parallel()
-	hung := st.NewEndpoint(t, st.Hang)
+	hung := st.NewEndpoint(t, st.NeverAnswer)
 	s := startStoppable(t, st.NewAgent(t, hung.Addr), nil)
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 5*time.Second
 	st.Submit(t, s.addr, "out", "unsafe", 0, 15*time.Second)
@@ -265,7 +265,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := st.NewEndpoint(t, st.Status(200))
+			e := st.NewEndpoint(t, st.AnswerStatus(200))
 			agent := st.NewAgent(t, e.Addr)
 			s := newStoppable(newTestSender(t, agent, nil))
 			s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 5*time.Second
--- a/internal/sender/start_test.go
+++ b/internal/sender/start_test.go
@@ -28,7 +28,7 @@
 	}
 	t.Run("the journal", func(t *testing.T) {
 		t.Parallel()
-		e := st.NewEndpoint(t, st.Status(200))
+		e := st.NewEndpoint(t, st.AnswerStatus(200))
 		agent := st.NewAgent(t)
 		state := t.TempDir()
 		first := startSenderIn(t, OperatingSystem(), agent, func(c *config.Config) { c.State = state })
@@ -49,7 +49,7 @@
 	})
 	t.Run("the address", func(t *testing.T) {
 		t.Parallel()
-		e := st.NewEndpoint(t, st.Status(200))
+		e := st.NewEndpoint(t, st.AnswerStatus(200))
 		raw, err := json.Marshal(st.Config(st.NewAgent(t, e.Addr), t.TempDir()))
 		if err != nil {
 			t.Fatal(err)
@@ -125,7 +125,7 @@
 // delivered nor rejected messages are resumed.
 func TestStartOnAFullDiskResumesNoEndedMessage(t *testing.T) {
 	t.Parallel()
-	good, hung := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Hang)
+	good, hung := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.NeverAnswer)
 	agent := st.NewAgent(t, good.Addr, hung.Addr)
 	state, admin := t.TempDir(), freeAddress(t)
 	edit := func(c *config.Config) { c.State, c.Admin, c.Settings.MaxPendingMessages = state, admin, 2 }
@@ -174,7 +174,7 @@
 // nothing and does not listen, and the next process finds its messages in the journal.
 func TestShutdownRequestedBeforeTheStart(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Hang)
+	e := st.NewEndpoint(t, st.NeverAnswer)
 	agent := st.NewAgent(t, e.Addr)
 	s := newTestSender(t, agent, func(c *config.Config) {
 		j := openJournal(t, c.State)
--- a/internal/sender/successorloss_test.go
+++ b/internal/sender/successorloss_test.go
@@ -18,7 +18,7 @@
 func TestPredecessorServesAgainAfterTheSuccessorsDeath(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	slow, quick := st.NewEndpoint(t, answerAfter(release)), st.NewEndpoint(t, st.Status(200))
+	slow, quick := st.NewEndpoint(t, answerAfter(release)), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, slow.Addr, quick.Addr)
 	state := t.TempDir()
 	addr, listen := platformSocket(t)
@@ -55,10 +55,10 @@
 		resent bool
 	}{
 		"delivered": {
-			st.Status(200), map[string]int{"outstanding": 0, "succeeded.unsafe": 1, "aborted.unsafe": 0}, false,
+			st.AnswerStatus(200), map[string]int{"outstanding": 0, "succeeded.unsafe": 1, "aborted.unsafe": 0}, false,
 		},
-		"rejected":     {st.Status(503), map[string]int{"outstanding": 1, "aborted.unsafe": 0}, true},
-		"may have run": {st.Status(500), map[string]int{"outstanding": 0, "aborted.unsafe": 1}, false},
+		"rejected":     {st.AnswerStatus(503), map[string]int{"outstanding": 1, "aborted.unsafe": 0}, true},
+		"may have run": {st.AnswerStatus(500), map[string]int{"outstanding": 0, "aborted.unsafe": 1}, false},
 	} {
 		for _, processes := range []int{1, 2} {
 			t.Run(name+" "+strconv.Itoa(processes), func(t *testing.T) {
@@ -105,7 +105,7 @@
 // can have accepted such a request, so it is rejected, and its client can send it again.
 func TestRequestsAfterTheSuccessorsDeathAreRejectedDuringAShutdown(t *testing.T) {
 	t.Parallel()
-	hung := st.NewEndpoint(t, st.Hang)
+	hung := st.NewEndpoint(t, st.NeverAnswer)
 	addr, listen := platformSocket(t)
 	s := newStoppable(newTestSender(t, st.NewAgent(t, hung.Addr), nil))
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 2*time.Second
@@ -151,7 +151,7 @@
 // promises nothing.
 func TestForwardedRequestsAreAnsweredAfterTheSuccessorsDeath(t *testing.T) {
 	t.Parallel()
-	hung := st.NewEndpoint(t, st.Hang)
+	hung := st.NewEndpoint(t, st.NeverAnswer)
 	addr, listen := platformSocket(t)
 	s := newStoppable(newTestSender(t, st.NewAgent(t, hung.Addr), nil))
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 2*time.Second
--- a/internal/sendertest/endpoint.go
+++ b/internal/sendertest/endpoint.go
@@ -41,15 +41,15 @@
 	return entries
 }
 
-// Answer is the script of an endpoint: the function that answers its calls. It receives each call, once that has been
-// read completely, and the connection to answer on. It reports whether the endpoint reads a further call from the
-// connection; otherwise the endpoint closes the connection.
-type Answer func(call Call, conn net.Conn) (keepOpen bool)
+// Handler answers the calls to an endpoint. It receives each call, once that has been read completely, and the
+// connection to answer on. It reports whether the endpoint reads a further call from the connection; otherwise the
+// endpoint closes the connection.
+type Handler func(call Call, conn net.Conn) (keepOpen bool)
 
 // Endpoint stands in for an endpoint of a destination.
 type Endpoint struct {
 	Addr  string
-	Calls chan Call // each call, sent before the script answers it
+	Calls chan Call // each call, sent before the handler answers it
 
 	listener   net.Listener
 	acceptDone chan struct{} // closed when no more connections are accepted
@@ -58,9 +58,9 @@
 	conns []net.Conn
 }
 
-// NewEndpoint starts an endpoint that answers calls by a script. Its connections are closed when the test ends. A
-// script that waits for anything but its connection has to be released by the test.
-func NewEndpoint(t testing.TB, answer Answer) *Endpoint {
+// NewEndpoint starts an endpoint that answers calls by a handler. Its connections are closed when the test ends. A
+// handler that waits for anything but its connection has to be released by the test.
+func NewEndpoint(t testing.TB, handler Handler) *Endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +73,7 @@
 		acceptDone: make(chan struct{}),
 	}
 	t.Cleanup(e.close)
-	go e.accept(answer)
+	go e.accept(handler)
 	return e
 }
 
@@ -89,7 +89,7 @@
 }
 
 // accept serves each connection in a goroutine of its own until the listener is closed.
-func (e *Endpoint) accept(answer Answer) {
+func (e *Endpoint) accept(handler Handler) {
 	defer close(e.acceptDone)
 	for connNumber := 1; ; connNumber++ {
 		conn, err := e.listener.Accept()
@@ -99,12 +99,12 @@
 		e.mu.Lock()
 		e.conns = append(e.conns, conn)
 		e.mu.Unlock()
-		go e.serve(conn, connNumber, answer)
+		go e.serve(conn, connNumber, handler)
 	}
 }
 
 // serve answers the calls of one connection, one after another.
-func (e *Endpoint) serve(conn net.Conn, connNumber int, answer Answer) {
+func (e *Endpoint) serve(conn net.Conn, connNumber int, handler Handler) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -125,7 +125,7 @@
 			Path:   request.URL.Path,
 		}
 		e.Calls <- call
-		if !answer(call, conn) {
+		if !handler(call, conn) {
 			return
 		}
 	}
@@ -137,13 +137,14 @@
 	return Receive(t, e.Calls)
 }
 
-// Status returns a script that answers every call with a status and no body. headerLines are added to the response.
-func Status(code int, headerLines ...string) func(Call, net.Conn) bool {
-	return Text(code, "", headerLines...)
+// AnswerStatus returns a handler that answers every call with a status and no body. headerLines are added to the
+// response.
+func AnswerStatus(code int, headerLines ...string) func(Call, net.Conn) bool {
+	return AnswerText(code, "", headerLines...)
 }
 
-// Text returns a script that answers every call with a status and a body. headerLines are added to the response.
-func Text(code int, body string, headerLines ...string) func(Call, net.Conn) bool {
+// AnswerText returns a handler that answers every call with a status and a body. headerLines are added to the response.
+func AnswerText(code int, body string, headerLines ...string) func(Call, net.Conn) bool {
 	text := "HTTP/1.1 " + strconv.Itoa(code) + " X\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	for _, line := range headerLines {
 		text += line + "\r\n"
@@ -155,14 +156,14 @@
 	}
 }
 
-// Hang is a script that answers no call and keeps the connection open until the peer closes it.
-func Hang(_ Call, conn net.Conn) bool {
+// NeverAnswer is a Handler that answers no call and keeps the connection open until the peer closes it.
+func NeverAnswer(_ Call, conn net.Conn) bool {
 	_, _ = io.Copy(io.Discard, conn) // the way in which the connection ends does not matter
 	return false
 }
 
-// Reset is a script that resets the connection.
-func Reset(_ Call, conn net.Conn) bool {
+// ResetConnection is a Handler that resets the connection.
+func ResetConnection(_ Call, conn net.Conn) bool {
 	_ = conn.(*net.TCPConn).SetLinger(0) // fails only if the connection is closed already
 	return false
 }
