--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -31,7 +31,7 @@
 	one, two := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	entries := func(addr, state string, from int) (all []any) {
 		for i := from; i < n; i++ {
-			all = append(all, st.Server(fmt.Sprintf("s-%08x", i*2654435761), addr, i, state))
+			all = append(all, st.ListEntry(fmt.Sprintf("s-%08x", i*2654435761), addr, i, state))
 		}
 		return all
 	}
--- a/internal/sendertest/agent.go
+++ b/internal/sendertest/agent.go
@@ -29,7 +29,7 @@
 
 	mu             sync.Mutex
 	version        int
-	servers        []map[string]any // the lines of the endpoint list
+	servers        []map[string]any // the entries of the endpoint list
 	changed        chan struct{}    // closed and replaced when the list or the agent's behaviour changes
 	down           bool             // requests for the list are answered with 503
 	rejectsNotices bool             // notices are answered with 503
@@ -46,7 +46,7 @@
 		changed:      make(chan struct{}),
 	}
 	for i, addr := range addrs {
-		a.servers = append(a.servers, Server("s-"+strconv.Itoa(i), addr, i, "SERVING"))
+		a.servers = append(a.servers, ListEntry("s-"+strconv.Itoa(i), addr, i, "SERVING"))
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", a.handleList)
@@ -60,8 +60,8 @@
 	return a
 }
 
-// Server returns a line of the endpoint list.
-func Server(id, addr string, destination int, state string) map[string]any {
+// ListEntry returns an entry of the endpoint list.
+func ListEntry(id, addr string, destination int, state string) map[string]any {
 	return map[string]any{
 		"id":         id,
 		"addr":       addr,
