--- a/internal/sendertest/agent.go
+++ b/internal/sendertest/agent.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Known returns the current list in the form of a configuration's "known" section.
-func (a *Agent) Known() map[string]any {
+// EndpointList returns the current list in the form of a configuration's "known" section.
+func (a *Agent) EndpointList() map[string]any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return map[string]any{"version": a.version, "full": true, "servers": a.servers}
--- a/internal/sendertest/config.go
+++ b/internal/sendertest/config.go
@@ -10,7 +10,7 @@
 		"state":     statePath,
 		"seed":      "5",
 		"limits":    map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
-		"known":     a.Known(),
+		"known":     a.EndpointList(),
 		"settings":  settings(),
 	}
 }
