--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -195,7 +195,7 @@
 	_ = sender.Wait()
 
 	replacement := st.NewEndpoint(t, st.AnswerStatus(200))
-	agent.Change(st.ListEntry("s-1", replacement.Addr, 1, "SERVING"))
+	agent.UpdateList(st.ListEntry("s-1", replacement.Addr, 1, "SERVING"))
 	start(t, agent, state)
 	if c := replacement.Next(t); c.ID != "keyed" || c.Key != first.Key || c.Body != first.Body {
 		t.Errorf("sent again as %+v, first sent as %+v", c, first)
@@ -269,7 +269,7 @@
 		t.Errorf("the sender exited only after %v", took)
 	}
 	replacement := st.NewEndpoint(t, st.AnswerStatus(200))
-	agent.Change(st.ListEntry("s-1", replacement.Addr, 1, "SERVING"))
+	agent.UpdateList(st.ListEntry("s-1", replacement.Addr, 1, "SERVING"))
 	start(t, agent, state)
 	if c := replacement.Next(t); c.ID != "slow" {
 		t.Errorf("the next process sent %+v, want message slow", c)
--- a/cmd/sender/release_test.go
+++ b/cmd/sender/release_test.go
@@ -158,7 +158,7 @@
 			"aborted.unsafe=0\n",
 			"forwards=1\n",
 		)
-		agent.Change(st.ListEntry("late-"+name, quick.Addr, unlisted, "SERVING"))
+		agent.UpdateList(st.ListEntry("late-"+name, quick.Addr, unlisted, "SERVING"))
 		if c := quick.Next(t); c.ID != name+" waiting" || c.Body != "body of "+name+" waiting" {
 			t.Errorf("the quick endpoint got %+v", c)
 		}
--- a/internal/sender/admin_test.go
+++ b/internal/sender/admin_test.go
@@ -32,7 +32,7 @@
 		t.Errorf("a message above MaxPendingMessages is answered %s, want 503", resp.Status)
 	}
 	awaitMetrics(t, admin, map[string]int{"declined.keyed": 1, "declined.unsafe": 0, "outstanding": 1, "forwards": 3})
-	agent.Change(st.ListEntry("s-1", bad.Addr, 1, "DELETED"))
+	agent.UpdateList(st.ListEntry("s-1", bad.Addr, 1, "DELETED"))
 	awaitMetrics(t, admin, map[string]int{"discovered": 2})
 }
 
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -29,8 +29,8 @@
 			first := startSenderIn(t, OperatingSystem(), agent, func(c *config.Config) {
 				c.State, known = directory, c.EndpointList
 			})
-			agent.Change(st.ListEntry("s-0", old.Addr, 0, state))
-			agent.Change(st.ListEntry("s-2", fresh.Addr, 0, "SERVING"))
+			agent.UpdateList(st.ListEntry("s-0", old.Addr, 0, state))
+			agent.UpdateList(st.ListEntry("s-2", fresh.Addr, 0, "SERVING"))
 			st.Submit(t, first.addr, "before", "unsafe", 0, 15*time.Second)
 			for applied, n := false, 0; !applied; n++ {
 				select {
@@ -93,10 +93,10 @@
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
 	old.Next(t)
 	awaitWatch(t, agent, 1)
-	agent.Change(st.ListEntry("s-0", old.Addr, 0, "DRAINING"))
+	agent.UpdateList(st.ListEntry("s-0", old.Addr, 0, "DRAINING"))
 	awaitWatch(t, agent, 2)
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
-	agent.Change(st.ListEntry("s-9", other.Addr, 0, "SERVING"))
+	agent.UpdateList(st.ListEntry("s-9", other.Addr, 0, "SERVING"))
 	if c := other.Next(t); c.ID != "b" {
 		t.Errorf("the new endpoint got %s, want b", c.ID)
 	}
@@ -119,7 +119,7 @@
 	}
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
 	e.Next(t)
-	agent.Change(st.ListEntry("s-0", other.Addr, 0, "SERVING"))
+	agent.UpdateList(st.ListEntry("s-0", other.Addr, 0, "SERVING"))
 	agent.SetDown(false)
 	awaitWatch(t, agent, 2)
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
@@ -139,7 +139,7 @@
 	awaitWatch(t, agent, 1)
 	agent.LoseWatches()
 	began := time.Now()
-	agent.Change(st.ListEntry("s-0", other.Addr, 0, "SERVING"))
+	agent.UpdateList(st.ListEntry("s-0", other.Addr, 0, "SERVING"))
 	awaitWatch(t, agent, 2)
 	if took := time.Since(began); took > 6*time.Second {
 		t.Errorf("the new list was received after %v", took)
@@ -156,8 +156,8 @@
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.AnswerStatus(200)), st.NewEndpoint(t, st.AnswerStatus(200))
 	agent := st.NewAgent(t, old.Addr)
-	agent.Change(st.ListEntry("s-0", old.Addr, 0, "DRAINING"))
-	agent.Change(st.ListEntry("s-1", other.Addr, 0, "SERVING"))
+	agent.UpdateList(st.ListEntry("s-0", old.Addr, 0, "DRAINING"))
+	agent.UpdateList(st.ListEntry("s-1", other.Addr, 0, "SERVING"))
 	startSender(t, agent, func(c *config.Config) {
 		serving := endpointlist.Endpoint{ID: "s-0", Addr: old.Addr, State: "SERVING", Zone: "a", Kind: "plain"}
 		c.EndpointList = endpointlist.Update{Version: 1, Full: true, Endpoints: []endpointlist.Endpoint{serving}}
--- a/internal/sender/journalfailure_test.go
+++ b/internal/sender/journalfailure_test.go
@@ -83,7 +83,7 @@
 				st.Submit(t, s.addr, id, "unsafe", 0, 15*time.Second)
 			}
 			failing.Store(true)
-			agent.Change(st.ListEntry("s-0", e.Addr, 0, "SERVING"))
+			agent.UpdateList(st.ListEntry("s-0", e.Addr, 0, "SERVING"))
 			time.Sleep(1500 * time.Millisecond)
 			select {
 			case c := <-e.Calls:
@@ -123,7 +123,7 @@
 	}}
 	release := make(chan struct{})
 	slow := st.NewEndpoint(t, answerAfter(release))
-	agent.Change(st.ListEntry("s-1", slow.Addr, 1, "SERVING"))
+	agent.UpdateList(st.ListEntry("s-1", slow.Addr, 1, "SERVING"))
 	first := startSenderIn(t, env, agent, func(c *config.Config) { c.State, c.Admin = state, admin })
 	st.Submit(t, first.addr, "m", "unsafe", 1, 15*time.Second)
 	slow.Next(t)
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -83,7 +83,7 @@
 			silent, good := st.NewEndpoint(t, st.NeverAnswer), st.NewEndpoint(t, st.AnswerStatus(200))
 			agent := st.NewAgent(t)
 			if c.tried {
-				agent.Change(st.ListEntry("s-0", silent.Addr, 0, "SERVING"))
+				agent.UpdateList(st.ListEntry("s-0", silent.Addr, 0, "SERVING"))
 			}
 			state := t.TempDir()
 			window := 500 * time.Millisecond
@@ -99,7 +99,7 @@
 			first.stop()
 			time.Sleep(c.pause)
 			if c.delivered || c.tried {
-				agent.Change(st.ListEntry("s-0", good.Addr, 0, "SERVING"))
+				agent.UpdateList(st.ListEntry("s-0", good.Addr, 0, "SERVING"))
 			}
 			startSenderIn(t, withClockStep(c.step), agent, edit)
 			select {
--- a/internal/sender/start_test.go
+++ b/internal/sender/start_test.go
@@ -34,7 +34,7 @@
 		first := startSenderIn(t, OperatingSystem(), agent, func(c *config.Config) { c.State = state })
 		st.Submit(t, first.addr, "m", "unsafe", 0, 15*time.Second)
 		first.stop()
-		agent.Change(st.ListEntry("s-0", e.Addr, 0, "SERVING"))
+		agent.UpdateList(st.ListEntry("s-0", e.Addr, 0, "SERVING"))
 		env, failing := OperatingSystem(), fail("open", syscall.ENFILE)
 		env.Files = failingFiles{open: func(_ string, flag int) error {
 			if flag != os.O_RDONLY {
@@ -143,7 +143,7 @@
 	}
 	first.stop()
 
-	agent.Change(st.ListEntry("s-2", good.Addr, 5, "SERVING"))
+	agent.UpdateList(st.ListEntry("s-2", good.Addr, 5, "SERVING"))
 	var failing atomic.Bool
 	failing.Store(true)
 	env := OperatingSystem()
--- a/internal/sendertest/agent.go
+++ b/internal/sendertest/agent.go
@@ -29,7 +29,7 @@
 
 	mu             sync.Mutex
 	version        int
-	servers        []map[string]any // the entries of the endpoint list
+	entries        []map[string]any // the entries of the endpoint list
 	changed        chan struct{}    // closed and replaced when the list or the agent's behaviour changes
 	down           bool             // requests for the list are answered with 503
 	rejectsNotices bool             // notices are answered with 503
@@ -46,7 +46,7 @@
 		changed:      make(chan struct{}),
 	}
 	for i, addr := range addrs {
-		a.servers = append(a.servers, ListEntry("s-"+strconv.Itoa(i), addr, i, "SERVING"))
+		a.entries = append(a.entries, ListEntry("s-"+strconv.Itoa(i), addr, i, "SERVING"))
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", a.handleList)
@@ -78,21 +78,21 @@
 func (a *Agent) EndpointList() map[string]any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return map[string]any{"version": a.version, "full": true, "servers": a.servers}
+	return map[string]any{"version": a.version, "full": true, "servers": a.entries}
 }
 
-// Change adds a line to the list, or replaces the line of the same endpoint, and answers the open watches.
-func (a *Agent) Change(line map[string]any) {
+// UpdateList adds an entry to the list, or replaces the entry of the same endpoint, and answers the open watches.
+func (a *Agent) UpdateList(entry map[string]any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version++
-	for i := range a.servers {
-		if a.servers[i]["id"] == line["id"] {
-			a.servers = append(a.servers[:i:i], a.servers[i+1:]...)
+	for i := range a.entries {
+		if a.entries[i]["id"] == entry["id"] {
+			a.entries = append(a.entries[:i:i], a.entries[i+1:]...)
 			break
 		}
 	}
-	a.servers = append(a.servers, line)
+	a.entries = append(a.entries, entry)
 	a.wakeWatches()
 }
 
@@ -138,7 +138,7 @@
 	for {
 		a.mu.Lock()
 		version, changed, down, lost := a.version, a.changed, a.down, a.watchLosses != lossesAtStart
-		list, _ := json.Marshal(map[string]any{"version": a.version, "full": true, "servers": a.servers})
+		list, _ := json.Marshal(map[string]any{"version": a.version, "full": true, "servers": a.entries})
 		a.mu.Unlock()
 		switch {
 		case lost:
