--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -358,7 +358,7 @@
 		t.Errorf("the endpoint got %s", c.ID)
 	}
 	newAgent := st.NewAgent(t, newEndpoint.Addr)
-	agent.RejectNotices(true)
+	agent.SetNoticesUnavailable(true)
 	raw, err := json.Marshal(st.Config(newAgent, ""))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -132,7 +132,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.AnswerStatus(500))
 	agent := st.NewAgent(t, e.Addr)
-	agent.RejectNotices(true)
+	agent.SetNoticesUnavailable(true)
 	addr := startSender(t, agent, nil)
 	resp, _ := do(t, st.Request(t, addr, "late", "safe", 0, 0, ""))
 	if resp.StatusCode != http.StatusInternalServerError {
@@ -141,7 +141,7 @@
 	began := time.Now()
 	st.Submit(t, addr, "doubt", "unsafe", 0, 19*time.Second)
 	e.Next(t)
-	agent.RejectNotices(false)
+	agent.SetNoticesUnavailable(false)
 	if n := st.Receive(t, agent.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v, want that message doubt is given up", n)
 	}
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -114,13 +114,13 @@
 	agent := st.NewAgent(t, e.Addr)
 	addr := startSender(t, agent, edit)
 	awaitWatch(t, agent, 1)
-	agent.SetDown(true)
+	agent.SetListUnavailable(true)
 	for st.Receive(t, agent.ListRequests) != "" { // until the sender requests the full list, which fails
 	}
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
 	e.Next(t)
 	agent.UpdateList(st.ListEntry("s-0", other.Addr, 0, "SERVING"))
-	agent.SetDown(false)
+	agent.SetListUnavailable(false)
 	awaitWatch(t, agent, 2)
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
 	if c := other.Next(t); c.ID != "b" {
--- a/internal/sendertest/agent.go
+++ b/internal/sendertest/agent.go
@@ -27,13 +27,13 @@
 	Notices      chan Notice // each notice that was accepted
 	ListRequests chan string // the URL query of each request for the list
 
-	mu             sync.Mutex
-	version        int
-	entries        []map[string]any // the entries of the endpoint list
-	changed        chan struct{}    // closed and replaced when the list or the agent's behaviour changes
-	down           bool             // requests for the list are answered with 503
-	rejectsNotices bool             // notices are answered with 503
-	watchLosses    int              // watches that began before the last loss are never answered
+	mu                 sync.Mutex
+	version            int
+	entries            []map[string]any // the entries of the endpoint list
+	changed            chan struct{}    // closed and replaced when the list or the agent's behaviour changes
+	listUnavailable    bool             // requests for the list are answered with 503
+	noticesUnavailable bool             // notices are answered with 503
+	watchLosses        int              // watches that began before the last loss are never answered
 }
 
 // NewAgent starts an agent whose list has one endpoint for each address. The endpoint at index i belongs to destination
@@ -102,11 +102,12 @@
 	a.changed = make(chan struct{})
 }
 
-// SetDown makes requests for the list fail, including the open watches, or makes them succeed again.
-func (a *Agent) SetDown(down bool) {
+// SetListUnavailable makes the agent answer requests for the list, and the open watches, with 503, or serve the list
+// again.
+func (a *Agent) SetListUnavailable(unavailable bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.down = down
+	a.listUnavailable = unavailable
 	a.wakeWatches()
 }
 
@@ -118,11 +119,11 @@
 	a.wakeWatches()
 }
 
-// RejectNotices makes notices fail, or makes them succeed again.
-func (a *Agent) RejectNotices(rejects bool) {
+// SetNoticesUnavailable makes the agent answer notices with 503, or accept them again.
+func (a *Agent) SetNoticesUnavailable(unavailable bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.rejectsNotices = rejects
+	a.noticesUnavailable = unavailable
 }
 
 // handleList answers a request for the list: a poll at once, a watch when the list has changed or the watch times out.
@@ -137,14 +138,14 @@
 	a.mu.Unlock()
 	for {
 		a.mu.Lock()
-		version, changed, down, lost := a.version, a.changed, a.down, a.watchLosses != lossesAtStart
+		version, changed, unavailable, lost := a.version, a.changed, a.listUnavailable, a.watchLosses != lossesAtStart
 		list, _ := json.Marshal(map[string]any{"version": a.version, "full": true, "servers": a.entries})
 		a.mu.Unlock()
 		switch {
 		case lost:
 			<-r.Context().Done()
 			return
-		case down:
+		case unavailable:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		case isPoll || version > after:
@@ -166,9 +167,9 @@
 // handleNotices accepts a request with any number of notices, one JSON value each.
 func (a *Agent) handleNotices(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	rejects := a.rejectsNotices
+	unavailable := a.noticesUnavailable
 	a.mu.Unlock()
-	if rejects {
+	if unavailable {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
