--- a/internal/endpoint/call_test.go
+++ b/internal/endpoint/call_test.go
@@ -166,7 +166,7 @@
 	})
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	for _, want := range []dispatch.Outcome{dispatch.Served, dispatch.Rejected} {
-		if got := callOnce(p, target, st.Timeout, ""); got.Outcome != want || e.Next(t).Conn != 1 {
+		if got := callOnce(p, target, st.Timeout, ""); got.Outcome != want || e.Next(t).ConnNumber != 1 {
 			t.Errorf("got %+v, want %v", got, want)
 		}
 	}
@@ -178,10 +178,10 @@
 func TestConnectionDroppedWhileIdle(t *testing.T) {
 	both, answer := make(chan struct{}, 2), make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
-		if c.Body == "again" && c.Conn <= 2 {
+		if c.Body == "again" && c.ConnNumber <= 2 {
 			return st.ResetConnection(c, nc)
 		}
-		if c.Conn <= 2 {
+		if c.ConnNumber <= 2 {
 			both <- struct{}{}
 			<-answer // so that the two calls need two connections
 		}
@@ -297,7 +297,7 @@
 			t.Errorf("on a connection that breaks: %+v", got)
 		}
 		e.Next(t)
-		if c := e.Next(t); c.Conn != 1 {
+		if c := e.Next(t); c.ConnNumber != 1 {
 			t.Errorf("the connection was not used again")
 		}
 		if len(e.Calls) != 0 {
@@ -423,8 +423,8 @@
 		if got := callOnce(p, target, st.Timeout, body); got.Outcome != dispatch.Served {
 			t.Errorf("%s: %+v", body, got)
 		}
-		if c := slow.Next(t); c.Conn != 1 {
-			t.Errorf("%s: used connection %d", body, c.Conn)
+		if c := slow.Next(t); c.ConnNumber != 1 {
+			t.Errorf("%s: used connection %d", body, c.ConnNumber)
 		}
 	}
 }
@@ -492,7 +492,7 @@
 	if got := callOnce(p, target, time.Second, "body"); got.Outcome != dispatch.Served {
 		t.Errorf("%+v", got)
 	}
-	if c := e.Next(t); c.Body != "body" || c.Conn != 1 {
+	if c := e.Next(t); c.Body != "body" || c.ConnNumber != 1 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/endpoint/pool_test.go
+++ b/internal/endpoint/pool_test.go
@@ -24,7 +24,7 @@
 		st.AnswerStatus(200)(c, nc)
 		_ = nc.(*net.TCPConn).CloseWrite()
 		close(closed)
-		return c.Conn != 1
+		return c.ConnNumber != 1
 	})
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	if got := callOnce(p, target, st.Timeout, ""); got.Outcome != dispatch.Served {
@@ -57,7 +57,7 @@
 		if got := callOnce(p, target, st.Timeout, "x"); got.Outcome != dispatch.Served {
 			t.Fatalf("%+v", got)
 		}
-		return e.Next(t).Conn
+		return e.Next(t).ConnNumber
 	}
 	if a, b := call(), call(); a != 1 || b != 1 {
 		t.Errorf("connections %d and %d", a, b)
@@ -113,7 +113,7 @@
 	if x.response == nil || x.response.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("response %+v, outcome %v", x.response, x.outcome)
 	}
-	if c := e.Next(t); c.ID != "second" || c.Conn != 2 {
+	if c := e.Next(t); c.ID != "second" || c.ConnNumber != 2 {
 		t.Errorf("the endpoint got %+v", c)
 	}
 }
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -79,10 +79,10 @@
 	arrived := make(chan struct{}, 2)
 	release := make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
-		if c.Conn <= 2 && cut.Load() {
+		if c.ConnNumber <= 2 && cut.Load() {
 			return st.NeverAnswer(c, nc)
 		}
-		if c.Conn <= 2 {
+		if c.ConnNumber <= 2 {
 			arrived <- struct{}{}
 			<-release // keeps both calls in flight, so that each has a connection of its own
 		}
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -191,7 +191,7 @@
 			t.Parallel()
 			releaseFirst, releaseSecond := make(chan struct{}), make(chan struct{})
 			first := st.NewEndpoint(t, func(c st.Call, conn net.Conn) bool {
-				if c.Conn == 1 { // the call that is in flight during the reload may have run
+				if c.ConnNumber == 1 { // the call that is in flight during the reload may have run
 					<-releaseFirst
 					return st.ResetConnection(c, conn)
 				}
--- a/internal/sendertest/endpoint.go
+++ b/internal/sendertest/endpoint.go
@@ -13,12 +13,12 @@
 
 // Call is an HTTP request as an endpoint received it.
 type Call struct {
-	ID     string // the header X-Request-Id
-	Key    string // the header Idempotency-Key
-	Body   string
-	Header http.Header
-	Conn   int // the number of the connection that carried the call, in order of acceptance, from 1
-	Path   string
+	ID         string // the header X-Request-Id
+	Key        string // the header Idempotency-Key
+	Body       string
+	Header     http.Header
+	ConnNumber int // the number of the connection that carried the call, in order of acceptance, from 1
+	Path       string
 }
 
 // batchPath is the path of calls that carry a batch of messages.
@@ -117,12 +117,12 @@
 			return
 		}
 		call := Call{
-			ID:     request.Header.Get("X-Request-Id"),
-			Key:    request.Header.Get("Idempotency-Key"),
-			Body:   string(body),
-			Header: request.Header,
-			Conn:   connNumber,
-			Path:   request.URL.Path,
+			ID:         request.Header.Get("X-Request-Id"),
+			Key:        request.Header.Get("Idempotency-Key"),
+			Body:       string(body),
+			Header:     request.Header,
+			ConnNumber: connNumber,
+			Path:       request.URL.Path,
 		}
 		e.Calls <- call
 		if !handler(call, conn) {
