--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -181,15 +181,15 @@
 	state := t.TempDir()
 	sender := start(t, agent, state)
 	st.Submit(t, sender.addr, "done", "unsafe", 0, 15*time.Second)
-	good.Next(t)
+	good.NextCall(t)
 	st.Submit(t, sender.addr, "keyed", "keyed", 1, 15*time.Second)
-	first := silent.Next(t)
+	first := silent.NextCall(t)
 	st.Submit(t, sender.addr, "unsafe", "unsafe", 2, 15*time.Second)
-	silent.Next(t)
+	silent.NextCall(t)
 	// The test cannot see when the sender has read the response to "done", so it waits for two delivered messages in
 	// the journal: "done" and "done-2".
 	st.Submit(t, sender.addr, "done-2", "unsafe", 0, 15*time.Second)
-	good.Next(t)
+	good.NextCall(t)
 	waitForText(t, filepath.Join(state, "messages.journal"), 2, `"how":"delivered"`)
 	_ = sender.Process.Kill()
 	_ = sender.Wait()
@@ -197,7 +197,7 @@
 	replacement := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent.UpdateList(st.ListEntry("s-1", replacement.Addr, 1, "SERVING"))
 	start(t, agent, state)
-	if c := replacement.Next(t); c.ID != "keyed" || c.Key != first.Key || c.Body != first.Body {
+	if c := replacement.NextCall(t); c.ID != "keyed" || c.Key != first.Key || c.Body != first.Body {
 		t.Errorf("sent again as %+v, first sent as %+v", c, first)
 	}
 	if n := st.Receive(t, agent.Notices); n.Message != "unsafe" || n.Outcome != "given_up" {
@@ -240,7 +240,7 @@
 	state := t.TempDir()
 	sender := start(t, agent, state)
 	st.Submit(t, sender.addr, "slow", "keyed", 1, 15*time.Second)
-	silent.Next(t)
+	silent.NextCall(t)
 	began := time.Now()
 	if err := sender.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -253,7 +253,7 @@
 		if resp.StatusCode != http.StatusAccepted {
 			t.Fatalf("response after SIGTERM: %s %s", resp.Status, body)
 		}
-		good.Next(t)
+		good.NextCall(t)
 		if resp.Close {
 			closes++
 		}
@@ -271,7 +271,7 @@
 	replacement := st.NewEndpoint(t, st.AnswerStatus(200))
 	agent.UpdateList(st.ListEntry("s-1", replacement.Addr, 1, "SERVING"))
 	start(t, agent, state)
-	if c := replacement.Next(t); c.ID != "slow" {
+	if c := replacement.NextCall(t); c.ID != "slow" {
 		t.Errorf("the next process sent %+v, want message slow", c)
 	}
 }
@@ -317,7 +317,7 @@
 		}
 	}()
 	st.Submit(t, addr, "out", "safe", 1, 15*time.Second)
-	silent.Next(t)
+	silent.NextCall(t)
 	second := startOnSocket(t, agent, state, addr, socket)
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -325,7 +325,7 @@
 	if err := first.Wait(); err != nil {
 		t.Errorf("the first process exits with %v", err)
 	}
-	if c := silent.Next(t); c.ID != "out" {
+	if c := silent.NextCall(t); c.ID != "out" {
 		t.Errorf("the second process sent %+v, want message out", c)
 	}
 	startOnSocket(t, agent, state, addr, socket)
@@ -333,13 +333,13 @@
 	_ = second.Process.Kill()
 	_ = second.Wait()
 	requestMutex.Unlock()
-	if c := silent.Next(t); c.ID != "out" {
+	if c := silent.NextCall(t); c.ID != "out" {
 		t.Errorf("the third process sent %+v, want message out", c)
 	}
 	close(stop)
 	<-stopped
 	st.Submit(t, addr, "last", "unsafe", 0, 15*time.Second)
-	if c := good.Next(t); c.ID != "last" {
+	if c := good.NextCall(t); c.ID != "last" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
 }
@@ -354,7 +354,7 @@
 		sender.reload(t, []byte(bad))
 	}
 	st.Submit(t, sender.addr, "a", "keyed", 0, 15*time.Second)
-	if c := oldEndpoint.Next(t); c.ID != "a" {
+	if c := oldEndpoint.NextCall(t); c.ID != "a" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
 	newAgent := st.NewAgent(t, newEndpoint.Addr)
@@ -369,7 +369,7 @@
 	}
 	st.Receive(t, newAgent.ListRequests) // the request for changes
 	st.Submit(t, sender.addr, "b", "keyed", 0, 15*time.Second)
-	if c := newEndpoint.Next(t); c.ID != "b" {
+	if c := newEndpoint.NextCall(t); c.ID != "b" {
 		t.Errorf("the new endpoint got %s", c.ID)
 	}
 	st.Submit(t, sender.addr, "c", "keyed", 9, 100*time.Millisecond) // there is no such destination
@@ -404,7 +404,7 @@
 	}
 	waitAdmin("HEALTH", "ok")
 	st.Submit(t, sender.addr, "out", "unsafe", 0, 1500*time.Millisecond)
-	silent.Next(t)
+	silent.NextCall(t)
 	for range 2 {
 		if err := sender.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
@@ -494,7 +494,7 @@
 				if resp.StatusCode != http.StatusAccepted {
 					t.Fatalf("message %d is answered %s", n, resp.Status)
 				}
-				good.Next(t)
+				good.NextCall(t)
 			}
 		})
 	}
--- a/cmd/sender/release_test.go
+++ b/cmd/sender/release_test.go
@@ -136,7 +136,7 @@
 		}
 		unlisted := 10 + stage // a destination without endpoints yet
 		submit(name+" in flight", 0)
-		if c := slow.Next(t); c.ID != name+" in flight" {
+		if c := slow.NextCall(t); c.ID != name+" in flight" {
 			t.Fatalf("the slow endpoint got %s", c.ID)
 		}
 		submit(name+" waiting", unlisted)
@@ -145,7 +145,7 @@
 		waitReply(t, beforeAdmin, "HEALTH", "fail leaving\n")
 		waitReply(t, afterAdmin, "DUMP", "outstanding=2\n", "forwards=0\n")
 		submit(name+" forwarded", 1) // on the connection to the predecessor
-		if c := quick.Next(t); c.ID != name+" forwarded" || c.Body != "body of "+name+" forwarded" {
+		if c := quick.NextCall(t); c.ID != name+" forwarded" || c.Body != "body of "+name+" forwarded" {
 			t.Errorf("the quick endpoint got %+v", c)
 		}
 		unblocked <- struct{}{}
@@ -159,7 +159,7 @@
 			"forwards=1\n",
 		)
 		agent.UpdateList(st.ListEntry("late-"+name, quick.Addr, unlisted, "SERVING"))
-		if c := quick.Next(t); c.ID != name+" waiting" || c.Body != "body of "+name+" waiting" {
+		if c := quick.NextCall(t); c.ID != name+" waiting" || c.Body != "body of "+name+" waiting" {
 			t.Errorf("the quick endpoint got %+v", c)
 		}
 		waitReply(t, afterAdmin, "DUMP", "outstanding=0\n", "succeeded.unsafe=3\n", "forwards=2\n")
--- a/internal/endpoint/batch_test.go
+++ b/internal/endpoint/batch_test.go
@@ -93,7 +93,7 @@
 			if !slices.Equal(got, c.want) {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
-			entries := e.Next(t).Entries(t)
+			entries := e.NextCall(t).Entries(t)
 			if len(entries) != 3 || entries[0].ID != "a" || entries[0].Key != "k" ||
 				string(entries[0].Body) != "\x00\xff\"" || entries[2].ID != "c" {
 				t.Errorf("the endpoint got %+v", entries)
--- a/internal/endpoint/call_test.go
+++ b/internal/endpoint/call_test.go
@@ -118,7 +118,7 @@
 			if got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
-			call := e.Next(t)
+			call := e.NextCall(t)
 			if call.ID != "id" || call.Key != "key" || call.Body != "body" || deadlineOf(call) > st.Timeout ||
 				deadlineOf(call) < st.Timeout/2 ||
 				call.Header.Get("Accept-Encoding") != "" {
@@ -143,14 +143,14 @@
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-time.After(took); return nil }
 	callOnce(p, target, st.Timeout, "body")
-	if deadline := deadlineOf(e.Next(t)); deadline > st.Timeout-took {
+	if deadline := deadlineOf(e.NextCall(t)); deadline > st.Timeout-took {
 		t.Errorf("deadline %v", deadline)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Timeout)
 	defer cancel()
 	p.CloseIdle(target, 0)
 	p.callBatch(ctx, ctx, target, &batch{metrics: p.metrics}, []*Item{{ID: "a"}}, st.Timeout)
-	if deadline := deadlineOf(e.Next(t)); deadline > st.Timeout-took {
+	if deadline := deadlineOf(e.NextCall(t)); deadline > st.Timeout-took {
 		t.Errorf("deadline %v in a batch call", deadline)
 	}
 }
@@ -166,7 +166,7 @@
 	})
 	p, target := testPool(), &Endpoint{address: e.Addr}
 	for _, want := range []dispatch.Outcome{dispatch.Served, dispatch.Rejected} {
-		if got := callOnce(p, target, st.Timeout, ""); got.Outcome != want || e.Next(t).ConnNumber != 1 {
+		if got := callOnce(p, target, st.Timeout, ""); got.Outcome != want || e.NextCall(t).ConnNumber != 1 {
 			t.Errorf("got %+v, want %v", got, want)
 		}
 	}
@@ -296,8 +296,8 @@
 		if got := callOnce(p, target, st.Timeout, body); got.Outcome != dispatch.ConnectionBroken {
 			t.Errorf("on a connection that breaks: %+v", got)
 		}
-		e.Next(t)
-		if c := e.Next(t); c.ConnNumber != 1 {
+		e.NextCall(t)
+		if c := e.NextCall(t); c.ConnNumber != 1 {
 			t.Errorf("the connection was not used again")
 		}
 		if len(e.Calls) != 0 {
@@ -364,8 +364,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan dispatch.AttemptResult, 1)
 	go func() { ended <- p.callSingle(ctx, ctx, target, &Item{ID: "id"}, st.Timeout) }()
-	e.Next(t)
-	e.Next(t)
+	e.NextCall(t)
+	e.NextCall(t)
 	cancel()
 	if got := st.Receive(t, ended); got.Outcome != dispatch.Cancelled {
 		t.Errorf("cancel: %+v", got)
@@ -423,7 +423,7 @@
 		if got := callOnce(p, target, st.Timeout, body); got.Outcome != dispatch.Served {
 			t.Errorf("%s: %+v", body, got)
 		}
-		if c := slow.Next(t); c.ConnNumber != 1 {
+		if c := slow.NextCall(t); c.ConnNumber != 1 {
 			t.Errorf("%s: used connection %d", body, c.ConnNumber)
 		}
 	}
@@ -473,7 +473,7 @@
 	if got := callOnce(p, target, st.Timeout, "next"); got.Outcome != dispatch.Served {
 		t.Errorf("the next call: %+v", got)
 	}
-	if c := e.Next(t); c.Body != "next" {
+	if c := e.NextCall(t); c.Body != "next" {
 		t.Errorf("the endpoint got %+v", c)
 	}
 }
@@ -492,7 +492,7 @@
 	if got := callOnce(p, target, time.Second, "body"); got.Outcome != dispatch.Served {
 		t.Errorf("%+v", got)
 	}
-	if c := e.Next(t); c.Body != "body" || c.ConnNumber != 1 {
+	if c := e.NextCall(t); c.Body != "body" || c.ConnNumber != 1 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/endpoint/pool_test.go
+++ b/internal/endpoint/pool_test.go
@@ -57,7 +57,7 @@
 		if got := callOnce(p, target, st.Timeout, "x"); got.Outcome != dispatch.Served {
 			t.Fatalf("%+v", got)
 		}
-		return e.Next(t).ConnNumber
+		return e.NextCall(t).ConnNumber
 	}
 	if a, b := call(), call(); a != 1 || b != 1 {
 		t.Errorf("connections %d and %d", a, b)
@@ -97,7 +97,7 @@
 	if got := callOnce(p, target, st.Timeout, ""); got.Outcome != dispatch.Served {
 		t.Fatalf("first call: %+v", got)
 	}
-	e.Next(t)
+	e.NextCall(t)
 	ctx, cancel := context.WithTimeout(context.Background(), st.Timeout)
 	defer cancel()
 	taken := target.idle[0]
@@ -113,7 +113,7 @@
 	if x.response == nil || x.response.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("response %+v, outcome %v", x.response, x.outcome)
 	}
-	if c := e.Next(t); c.ID != "second" || c.ConnNumber != 2 {
+	if c := e.NextCall(t); c.ID != "second" || c.ConnNumber != 2 {
 		t.Errorf("the endpoint got %+v", c)
 	}
 }
--- a/internal/sender/batching_test.go
+++ b/internal/sender/batching_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("the first event is for %s: %+v, want that message a was not sent", end.message.ID, alone)
 	}
 	close(releaseDial)
-	if entries := e.Next(t).Entries(t); len(entries) != 1 || entries[0].ID != "b" {
+	if entries := e.NextCall(t).Entries(t); len(entries) != 1 || entries[0].ID != "b" {
 		t.Errorf("the endpoint got %+v, want only b", entries)
 	}
 	for _, end := range st.Receive(t, s.events).(callEndedEvent).ends {
@@ -121,14 +121,14 @@
 	})
 	addr := startSender(t, st.NewAgent(t, e.Addr), func(c *config.Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
 	st.Submit(t, addr, "m0", "keyed", 0, 15*time.Second)
-	if c := e.Next(t); c.Path != "/hook" || c.ID != "m0" {
+	if c := e.NextCall(t); c.Path != "/hook" || c.ID != "m0" {
 		t.Errorf("a single message is sent to %s with the ID %s", c.Path, c.ID)
 	}
 	for i := range 5 { // they wait: the concurrency window starts at one call
 		st.Submit(t, addr, "m"+strconv.Itoa(i+1), "keyed", 0, 15*time.Second)
 	}
 	close(releaseFirst)
-	entries := e.Next(t).Entries(t)
+	entries := e.NextCall(t).Entries(t)
 	for _, entry := range entries {
 		if entry.Key != "key-"+entry.ID || string(entry.Body) != "body of "+entry.ID {
 			t.Errorf("the endpoint got the batch entry %+v", entry)
@@ -154,12 +154,12 @@
 	})
 	addr := startSender(t, st.NewAgent(t, e.Addr), func(c *config.Config) { c.Settings.Kinds[0].MaxBatchSize = 20 })
 	st.Submit(t, addr, "holds", "unsafe", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	for id, left := range map[string]time.Duration{"short": 16, "long": 20, "middle": 18} {
 		st.Submit(t, addr, id, "unsafe", 0, left*time.Second)
 	}
 	close(release)
-	if entries := e.Next(t).Entries(t); len(entries) != 3 || entries[0].ID != "long" {
+	if entries := e.NextCall(t).Entries(t); len(entries) != 3 || entries[0].ID != "long" {
 		t.Errorf("the batch is %+v, want three messages, long first", entries)
 	}
 }
--- a/internal/sender/calls_test.go
+++ b/internal/sender/calls_test.go
@@ -55,13 +55,13 @@
 	admin := freeAddress(t)
 	s := startSenderIn(t, OperatingSystem(), st.NewAgent(t, e.Addr), func(c *config.Config) { c.Admin = admin })
 	st.Submit(t, s.addr, "first", "unsafe", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	for sentAt.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(150 * time.Millisecond)
 	st.Submit(t, s.addr, "second", "safe", 0, 15*time.Second)
-	c := e.Next(t)
+	c := e.NextCall(t)
 	if after := time.Since(time.Unix(0, sentAt.Load())); c.ID != "second" || after < wait {
 		t.Errorf("message %s is sent %v after a Retry-After of %v was received", c.ID, after, wait)
 	}
@@ -144,7 +144,7 @@
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx, listen) }()
 	st.Submit(t, addr, "m", "keyed", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	first := time.Now()
 	st.Receive(t, retryDialing)
 	<-time.After(time.Until(first.Add(window)))
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -56,7 +56,7 @@
 	if resp, text := do(t, r); resp.StatusCode != http.StatusAccepted {
 		t.Fatalf("m1 is answered %s: %s", resp.Status, text)
 	}
-	if c := e.Next(t); c.ID != "m1" || c.Key != "key-m1" || c.Body != body {
+	if c := e.NextCall(t); c.ID != "m1" || c.Key != "key-m1" || c.Body != body {
 		t.Errorf("the endpoint got ID %s, key %s and a body of %d bytes", c.ID, c.Key, len(c.Body))
 	}
 }
@@ -87,7 +87,7 @@
 	if resp, text := do(t, r); resp.StatusCode != http.StatusAccepted {
 		t.Fatalf("m is answered %s: %s", resp.Status, text)
 	}
-	if c := e.Next(t); c.ID != "m" {
+	if c := e.NextCall(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
 }
@@ -140,7 +140,7 @@
 	}
 	began := time.Now()
 	st.Submit(t, addr, "doubt", "unsafe", 0, 19*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	agent.SetNoticesUnavailable(false)
 	if n := st.Receive(t, agent.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v, want that message doubt is given up", n)
@@ -162,7 +162,7 @@
 	agent := st.NewAgent(t, e.Addr)
 	addr := startSender(t, agent, nil)
 	st.Submit(t, addr, "early", "safe", 0, 20*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	st.Submit(t, addr, "close", "safe", 0, deliveryMargin-10*time.Millisecond)
 	if n := st.Receive(t, agent.Notices); n.Message != "close" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v, want that message close is given up", n)
@@ -211,10 +211,10 @@
 	})
 	addr := startSender(t, st.NewAgent(t, e.Addr), nil)
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	from := st.Receive(t, rejected)
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	if waited := time.Since(from); waited < 700*time.Millisecond {
 		t.Errorf("the next call is sent %v after a Retry-After of 700 ms", waited)
 	}
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -50,7 +50,7 @@
 				st.Submit(t, second.addr, id, "unsafe", 0, 15*time.Second)
 			}
 			st.Submit(t, second.addr, "other", "unsafe", 1, 15*time.Second)
-			kept.Next(t)
+			kept.NextCall(t)
 			for range 3 {
 				select {
 				case call := <-fresh.Calls:
@@ -91,13 +91,13 @@
 	agent := st.NewAgent(t, old.Addr)
 	addr := startSender(t, agent, edit)
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
-	old.Next(t)
+	old.NextCall(t)
 	awaitWatch(t, agent, 1)
 	agent.UpdateList(st.ListEntry("s-0", old.Addr, 0, "DRAINING"))
 	awaitWatch(t, agent, 2)
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
 	agent.UpdateList(st.ListEntry("s-9", other.Addr, 0, "SERVING"))
-	if c := other.Next(t); c.ID != "b" {
+	if c := other.NextCall(t); c.ID != "b" {
 		t.Errorf("the new endpoint got %s, want b", c.ID)
 	}
 	if len(old.Calls) != 0 {
@@ -118,12 +118,12 @@
 	for st.Receive(t, agent.ListRequests) != "" { // until the sender requests the full list, which fails
 	}
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	agent.UpdateList(st.ListEntry("s-0", other.Addr, 0, "SERVING"))
 	agent.SetListUnavailable(false)
 	awaitWatch(t, agent, 2)
 	st.Submit(t, addr, "b", "keyed", 0, 15*time.Second)
-	if c := other.Next(t); c.ID != "b" {
+	if c := other.NextCall(t); c.ID != "b" {
 		t.Errorf("the new address got %s", c.ID)
 	}
 }
@@ -145,7 +145,7 @@
 		t.Errorf("the new list was received after %v", took)
 	}
 	st.Submit(t, addr, "a", "keyed", 0, 15*time.Second)
-	if c := other.Next(t); c.ID != "a" {
+	if c := other.NextCall(t); c.ID != "a" {
 		t.Errorf("the new address got %s", c.ID)
 	}
 }
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 	})
-	if c := other.Next(t); c.ID != "m" {
+	if c := other.NextCall(t); c.ID != "m" {
 		t.Errorf("the new endpoint got %s, want m", c.ID)
 	}
 	if len(old.Calls) != 0 {
--- a/internal/sender/handover_test.go
+++ b/internal/sender/handover_test.go
@@ -34,7 +34,7 @@
 	if resp.StatusCode != 202 || resp.Close {
 		t.Fatalf("before the upgrade: %s, close %v, want 202 on a connection that stays open", resp.Status, resp.Close)
 	}
-	slow.Next(t)
+	slow.NextCall(t)
 
 	newAdmin, _ := startProcess(t, agent, state, listen)
 	awaitHealth(t, oldAdmin, "fail leaving\n")
@@ -44,7 +44,7 @@
 	if resp.StatusCode != 202 || !resp.Close {
 		t.Errorf("after the upgrade: %s, close %v, want 202 on a connection that is closed", resp.Status, resp.Close)
 	}
-	if got := quick.Next(t); got.ID != "late" || got.Body != "y" {
+	if got := quick.NextCall(t); got.ID != "late" || got.Body != "y" {
 		t.Errorf("the endpoint got %+v, want late", got)
 	}
 	close(release)
@@ -52,7 +52,7 @@
 	awaitMetrics(t, oldAdmin, map[string]int{"succeeded.unsafe": 0, "forwards": 1})
 	stopOld()
 	st.Submit(t, addr, "after", "unsafe", 1, 15*time.Second)
-	quick.Next(t)
+	quick.NextCall(t)
 	for _, e := range []*st.Endpoint{slow, quick} {
 		select {
 		case repeat := <-e.Calls:
@@ -72,7 +72,7 @@
 	addr, listen := platformSocket(t)
 	admin, stopOld := startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "done", "unsafe", 0, 15*time.Second)
-	quick.Next(t)
+	quick.NextCall(t)
 	awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": 1, "outstanding": 0})
 	for range 2 { // two hand-overs, one after the other
 		_, stop := startProcess(t, agent, state, listen)
@@ -82,7 +82,7 @@
 	}
 	st.Submit(t, addr, "done", "unsafe", 0, 15*time.Second)
 	st.Submit(t, addr, "new", "unsafe", 0, 15*time.Second)
-	if c := quick.Next(t); c.ID != "new" {
+	if c := quick.NextCall(t); c.ID != "new" {
 		t.Errorf("message %s is sent a second time", c.ID)
 	}
 }
@@ -98,13 +98,13 @@
 	addr, listen := platformSocket(t)
 	_, stopOld := startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "safe", "safe", 0, 15*time.Second)
-	silent.Next(t)
+	silent.NextCall(t)
 	st.Submit(t, addr, "unsafe", "unsafe", 1, 15*time.Second)
-	silent.Next(t)
+	silent.NextCall(t)
 	admin, _ := startProcess(t, agent, state, listen)
 	awaitMetrics(t, admin, map[string]int{"outstanding": 2, "forwards": 0})
 	stopOld()
-	if c := silent.Next(t); c.ID != "safe" {
+	if c := silent.NextCall(t); c.ID != "safe" {
 		t.Errorf("message %s is sent a second time, want only safe", c.ID)
 	}
 	if n := st.Receive(t, agent.Notices); n.Message != "unsafe" || n.Outcome != "given_up" {
@@ -124,7 +124,7 @@
 	admin, _ := startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "m", "safe", 0, 15*time.Second)
 	for range 3 {
-		e.Next(t)
+		e.NextCall(t)
 	}
 	var backoffUntil time.Time
 	for recorded := false; !recorded; { // until the last response is recorded; before that, its call is in flight
@@ -138,7 +138,7 @@
 		awaitHealth(t, admin, "ok\n")
 	}
 	startProcess(t, agent, state, listen) // the predecessor has become the owner again, and hands over the backoff
-	if e.Next(t); time.Now().Before(backoffUntil) {
+	if e.NextCall(t); time.Now().Before(backoffUntil) {
 		t.Errorf("the message was sent %v before the end of its backoff", time.Until(backoffUntil))
 	}
 }
@@ -194,7 +194,7 @@
 	_, stop := startProcess(t, agent, state, listen)
 	startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "m", "unsafe", 0, 15*time.Second)
-	quick.Next(t)
+	quick.NextCall(t)
 	stop()
 	if err := handover.WithSocket(state, func(path string) error { _, err := os.Stat(path); return err }); err != nil {
 		t.Errorf("the new process has no socket: %v", err)
@@ -216,7 +216,7 @@
 	addr, listen := platformSocket(t)
 	startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "m", "unsafe", 0, 15*time.Second)
-	if c := quick.Next(t); c.ID != "m" {
+	if c := quick.NextCall(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s, want m", c.ID)
 	}
 }
@@ -242,16 +242,16 @@
 	startProcess(t, agent, state, listen)
 	for n := range 5 { // the concurrency window grows until it allows a second call
 		st.Submit(t, addr, "before"+strconv.Itoa(n), "safe", 0, 15*time.Second)
-		e.Next(t)
+		e.NextCall(t)
 	}
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	startProcess(t, agent, state, listen)
 	close(release)
 	at := st.Receive(t, answered)
 	time.Sleep(100 * time.Millisecond)
 	st.Submit(t, addr, "after", "safe", 0, 15*time.Second)
-	if c := e.Next(t); c.ID != "after" || time.Since(at) < wait {
+	if c := e.NextCall(t); c.ID != "after" || time.Since(at) < wait {
 		t.Errorf("message %s is sent %v after a Retry-After of %v", c.ID, time.Since(at), wait)
 	}
 }
--- a/internal/sender/journalfailure_test.go
+++ b/internal/sender/journalfailure_test.go
@@ -47,7 +47,7 @@
 				conf.Settings.MaxPendingMessages = 2
 			})
 			st.Submit(t, s.addr, "out", "unsafe", 0, 15*time.Second)
-			hung.Next(t)
+			hung.NextCall(t)
 			resp, _ := do(t, st.Request(t, s.addr, "refused", "unsafe", 5, 15*time.Second, "body"))
 			if resp.StatusCode != c.want {
 				t.Errorf("the message is answered %s, want %d", resp.Status, c.want)
@@ -126,7 +126,7 @@
 	agent.UpdateList(st.ListEntry("s-1", slow.Addr, 1, "SERVING"))
 	first := startSenderIn(t, env, agent, func(c *config.Config) { c.State, c.Admin = state, admin })
 	st.Submit(t, first.addr, "m", "unsafe", 1, 15*time.Second)
-	slow.Next(t)
+	slow.NextCall(t)
 	failing.Store(true)
 	close(release) // m is delivered, and its end cannot be written
 	awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": 1, "outstanding": 0})
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -205,9 +205,9 @@
 			state := t.TempDir()
 			r := startReloadable(t, agent, state, nil)
 			st.Submit(t, r.addr, "old", "safe", 0, 15*time.Second)
-			first.Next(t)
+			first.NextCall(t)
 			st.Submit(t, r.addr, "dropped", "unsafe", 1, 15*time.Second)
-			second.Next(t)
+			second.NextCall(t)
 			change := func(text map[string]any) {
 				set := text["settings"].(map[string]any)
 				set["services"] = []any{classEntry("safe", "non_idempotent"), classEntry("keyed", "idempotency_key")}
@@ -227,7 +227,7 @@
 				close(releaseFirst)
 			}
 			close(releaseSecond)
-			if c := first.Next(t); c.ID != "old" {
+			if c := first.NextCall(t); c.ID != "old" {
 				t.Errorf("the endpoint got %s, want old a second time", c.ID)
 			}
 			if n := st.Receive(t, agent.Notices); n.Message != "dropped" || n.Outcome != "given_up" {
@@ -239,7 +239,7 @@
 				t.Errorf("a message of a removed class is answered %s, want 400", resp.Status)
 			}
 			st.Submit(t, r.addr, "new", "safe", 1, 15*time.Second)
-			second.Next(t)
+			second.NextCall(t)
 			if n := st.Receive(t, agent.Notices); n.Message != "new" || n.Outcome != "given_up" {
 				t.Errorf("notice %+v, want that message new is given up after one attempt under the new rules", n)
 			}
--- a/internal/sender/requests_test.go
+++ b/internal/sender/requests_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	st.Submit(t, addr, "good", "keyed", 0, 5*time.Second)
-	if c := e.Next(t); c.ID != "good" {
+	if c := e.NextCall(t); c.ID != "good" {
 		t.Errorf("the endpoint got %s, want good", c.ID)
 	}
 }
@@ -160,7 +160,7 @@
 		}
 	}
 	st.Submit(t, addr, "good", "safe", 0, 9*time.Second)
-	if c := e.Next(t); c.ID != "good" || c.Body != "body of good" {
+	if c := e.NextCall(t); c.ID != "good" || c.Body != "body of good" {
 		t.Errorf("the endpoint got %s with the body %q, want good", c.ID, c.Body)
 	}
 }
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -94,7 +94,7 @@
 			first := startSenderIn(t, OperatingSystem(), agent, edit)
 			st.Submit(t, first.addr, "m", c.class, 0, c.deadline)
 			if c.tried {
-				silent.Next(t)
+				silent.NextCall(t)
 			}
 			first.stop()
 			time.Sleep(c.pause)
@@ -147,7 +147,7 @@
 			s := startSenderIn(t, OperatingSystem(), agent, edit)
 			for n := range int(3 * usualRate) {
 				st.Submit(t, s.addr, "usual"+strconv.Itoa(n), "safe", 0, 15*time.Second)
-				e.Next(t)
+				e.NextCall(t)
 				time.Sleep(time.Duration(float64(time.Second) / usualRate))
 			}
 			down.Store(true)
@@ -239,8 +239,8 @@
 		st.Submit(t, addr, "done", "unsafe", 1, 3*time.Second)
 	}
 	submitBoth(s.addr)
-	hung.Next(t)
-	quick.Next(t)
+	hung.NextCall(t)
+	quick.NextCall(t)
 	submitBoth(s.addr)
 	s.stop()
 	if err := st.Receive(t, s.done); err != nil {
@@ -294,7 +294,7 @@
 	go func() { done <- s.Run(ctx, func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }) }()
 	seen := map[string]bool{}
 	for range messageCount {
-		seen[e.Next(t).ID] = true
+		seen[e.NextCall(t).ID] = true
 	}
 	if took := time.Since(began); len(seen) != messageCount || took > 5*time.Second {
 		t.Errorf("%d of the messages were sent, in %v", len(seen), took)
--- a/internal/sender/scale_test.go
+++ b/internal/sender/scale_test.go
@@ -83,7 +83,7 @@
 	deliver := func(id string, dest int, to *st.Endpoint) {
 		t.Helper()
 		st.Submit(t, addr, id, "safe", dest, 20*time.Second)
-		if c := to.Next(t); c.ID != id {
+		if c := to.NextCall(t); c.ID != id {
 			t.Errorf("the endpoint got %s, not %s", c.ID, id)
 		}
 	}
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -65,7 +65,7 @@
 			}
 		}()
 	}
-	hung.Next(t)
+	hung.NextCall(t)
 	s.stop()
 	pending := s.awaitEnd(t)
 	clients.Wait()
@@ -95,7 +95,7 @@
 	})
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 5*time.Second
 	st.Submit(t, s.addr, "out", "unsafe", 0, 15*time.Second) // keeps the shutdown from ending at once
-	e.Next(t)
+	e.NextCall(t)
 	var conns []net.Conn
 	for i := range 10 {
 		c, err := net.Dial("tcp", s.addr)
@@ -132,7 +132,7 @@
 	s := startStoppable(t, st.NewAgent(t, e.Addr), nil)
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 2*time.Second
 	st.Submit(t, s.addr, "pending", "safe", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	s.stop()
 	for n, status := 0, 0; status != http.StatusServiceUnavailable; n++ {
 		resp, _ := do(t, st.Request(t, s.addr, strconv.Itoa(n), "safe", 0, 15*time.Second, "body"))
@@ -164,7 +164,7 @@
 		_, _ = io.WriteString(c, text)
 	}
 	st.Submit(t, s.addr, "out", "unsafe", 0, 15*time.Second)
-	hung.Next(t)
+	hung.NextCall(t)
 	s.stop()
 	began := time.Now()
 	pending := s.awaitEnd(t)
@@ -185,7 +185,7 @@
 	s := startStoppable(t, st.NewAgent(t, e.Addr), nil)
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 2*time.Second, 2*time.Second
 	st.Submit(t, s.addr, "out", "safe", 0, 15*time.Second)
-	e.Next(t)
+	e.NextCall(t)
 	s.stop()
 	for { // until a response closes its connection
 		if resp, _ := do(t, st.Request(t, s.addr, "out", "safe", 0, 15*time.Second, "body")); resp.Close {
@@ -216,7 +216,7 @@
 	s := startStoppable(t, st.NewAgent(t, hung.Addr), nil)
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 5*time.Second
 	st.Submit(t, s.addr, "out", "unsafe", 0, 15*time.Second)
-	hung.Next(t)
+	hung.NextCall(t)
 	type client struct {
 		net.Conn
 		name, rest string
@@ -306,7 +306,7 @@
 				return
 			}
 			startSender(t, agent, func(c *config.Config) { c.State = s.upgrade.stateDir })
-			if c := e.Next(t); c.ID != "m" {
+			if c := e.NextCall(t); c.ID != "m" {
 				t.Errorf("the endpoint got %s, want m", c.ID)
 			}
 		})
--- a/internal/sender/start_test.go
+++ b/internal/sender/start_test.go
@@ -43,7 +43,7 @@
 			return failing()
 		}}
 		startSenderIn(t, env, agent, func(c *config.Config) { c.State = state })
-		if c := e.Next(t); c.ID != "m" {
+		if c := e.NextCall(t); c.ID != "m" {
 			t.Errorf("the endpoint got %+v, want m", c)
 		}
 	})
@@ -83,7 +83,7 @@
 			t.Fatalf("Run returned %v", err)
 		case at := <-addr:
 			st.Submit(t, at, "m", "safe", 0, 5*time.Second)
-			e.Next(t)
+			e.NextCall(t)
 		}
 		cancel()
 		if err := st.Receive(t, done); err != nil {
@@ -132,11 +132,11 @@
 	first := startSenderIn(t, OperatingSystem(), agent, edit)
 	for _, id := range []string{"safe", "unsafe"} {
 		st.Submit(t, first.addr, id, id, 0, 15*time.Second)
-		good.Next(t)
+		good.NextCall(t)
 		awaitMetrics(t, admin, map[string]int{"outstanding": 0}) // the limit allows one at a time
 	}
 	st.Submit(t, first.addr, "out", "unsafe", 1, 15*time.Second)
-	hung.Next(t)
+	hung.NextCall(t)
 	resp, _ := do(t, st.Request(t, first.addr, "refused", "unsafe", 5, 15*time.Second, "x"))
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		t.Fatal(resp.Status)
@@ -199,7 +199,7 @@
 	}
 	_ = j.Close()
 	startSender(t, agent, func(c *config.Config) { c.State = s.upgrade.stateDir })
-	if c := e.Next(t); c.ID != "m" {
+	if c := e.NextCall(t); c.ID != "m" {
 		t.Errorf("the endpoint got %s, want m", c.ID)
 	}
 }
--- a/internal/sender/successorloss_test.go
+++ b/internal/sender/successorloss_test.go
@@ -24,7 +24,7 @@
 	addr, listen := platformSocket(t)
 	admin, _ := startProcess(t, agent, state, listen)
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
-	slow.Next(t)
+	slow.NextCall(t)
 	for n := range 2 {
 		link, snapshot := requestSnapshot(t, state)
 		if len(snapshot.InFlight) != 1 || snapshot.InFlight[0].ID != (handover.AttemptID{Message: "out", Attempt: 0}) {
@@ -35,7 +35,7 @@
 		awaitHealth(t, admin, "ok\n")
 		id := "again" + strconv.Itoa(n)
 		st.Submit(t, addr, id, "unsafe", 1, 15*time.Second)
-		if c := quick.Next(t); c.ID != id {
+		if c := quick.NextCall(t); c.ID != id {
 			t.Errorf("after the successor's death the endpoint got %s", c.ID)
 		}
 		awaitMetrics(t, admin, map[string]int{"succeeded.unsafe": n + 1}) // until then its call is in flight, too
@@ -76,7 +76,7 @@
 					admin, _ = startProcess(t, agent, state, listen)
 					if n == 0 {
 						st.Submit(t, addr, "m", "unsafe", 0, 15*time.Second)
-						e.Next(t)
+						e.NextCall(t)
 					}
 				}
 				link, snapshot := requestSnapshot(t, state)
@@ -92,7 +92,7 @@
 				awaitHealth(t, admin, "ok\n")
 				awaitMetrics(t, admin, c.want)
 				if c.resent {
-					e.Next(t)
+					e.NextCall(t)
 				} else if len(e.Calls) > 0 {
 					t.Error("the message is sent a second time")
 				}
@@ -111,7 +111,7 @@
 	s.shutdown.gracePeriod, s.shutdown.drainTimeout = 0, 2*time.Second
 	s.run(listen)
 	st.Submit(t, addr, "out", "unsafe", 0, 15*time.Second)
-	hung.Next(t)
+	hung.NextCall(t)
 	var incomplete []net.Conn // the shutdown does not close connections with an incomplete request
 	for i := range 20 {
 		c, err := net.Dial("tcp", addr)
@@ -162,7 +162,7 @@
 	if accepted.StatusCode != http.StatusAccepted {
 		t.Fatal(accepted.Status)
 	}
-	hung.Next(t)
+	hung.NextCall(t)
 	successor, _ := requestSnapshot(t, s.upgrade.stateDir)
 	_, _ = io.WriteString(c, renderRequest(t, st.Request(t, addr, "forwarded", "unsafe", 0, 15*time.Second, "x")))
 	for {
--- a/internal/sendertest/endpoint.go
+++ b/internal/sendertest/endpoint.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Next returns the next call that the endpoint receives. It fails the test if none arrives within Timeout.
-func (e *Endpoint) Next(t testing.TB) Call {
+// NextCall returns the next call that the endpoint receives. It fails the test if none arrives within Timeout.
+func (e *Endpoint) NextCall(t testing.TB) Call {
 	t.Helper()
 	return Receive(t, e.Calls)
 }
