--- a/cmd/sender/main_test.go
+++ b/cmd/sender/main_test.go
@@ -249,7 +249,7 @@
 	closes := 0
 	for n := 0; time.Since(began) < time.Second; n++ {
 		r := st.Request(t, sender.addr, "late"+strconv.Itoa(n), "keyed", 0, 15*time.Second, "late")
-		resp, body := st.Do(t, r)
+		resp, body := st.SendRequest(t, r)
 		if resp.StatusCode != http.StatusAccepted {
 			t.Fatalf("response after SIGTERM: %s %s", resp.Status, body)
 		}
--- a/internal/sender/helpers_test.go
+++ b/internal/sender/helpers_test.go
@@ -212,7 +212,7 @@
 // do sends a request and returns the response and its body.
 func do(t *testing.T, r *http.Request) (reply, string) {
 	t.Helper()
-	resp, body := st.Do(t, r)
+	resp, body := st.SendRequest(t, r)
 	return reply(*resp), body
 }
 
--- a/internal/sendertest/client.go
+++ b/internal/sendertest/client.go
@@ -30,7 +30,7 @@
 	return request
 }
 
-// Response is a sender's response to a client. The body has been read already, and Do returns it separately.
+// Response is a sender's response to a client. The body has been read already, and SendRequest returns it separately.
 type Response struct {
 	Status     string
 	StatusCode int
@@ -42,8 +42,9 @@
 // transport, including a connection that another request has just picked for reuse. That request would fail.
 var client = &http.Client{Transport: &http.Transport{}}
 
-// Do sends a request and returns the response and its body. It fails the test if there is no complete response.
-func Do(t testing.TB, request *http.Request) (*Response, string) {
+// SendRequest sends a request and returns the response and its body. It fails the test if there is no complete
+// response.
+func SendRequest(t testing.TB, request *http.Request) (*Response, string) {
 	t.Helper()
 	response, err := client.Do(request)
 	if err != nil {
@@ -66,7 +67,7 @@
 func Submit(t testing.TB, addr, id, class string, destination int, deadline time.Duration) {
 	t.Helper()
 	request := Request(t, addr, id, class, destination, deadline, "body of "+id)
-	if response, body := Do(t, request); response.StatusCode != http.StatusAccepted {
+	if response, body := SendRequest(t, request); response.StatusCode != http.StatusAccepted {
 		t.Fatalf("message %s was not accepted: %s: %s", id, response.Status, body)
 	}
 }
--- a/internal/sendertest/doc.go
+++ b/internal/sendertest/doc.go
@@ -1,7 +1,7 @@
 // Package sendertest provides stand-ins for the peers of a sender, for tests that run a single sender: Agent stands in
 // for the platform's agent, which serves the endpoint list and accepts notices; Endpoint stands in for an endpoint and
-// answers calls by a handler that the test passes; Request, Do and Submit submit messages as a client does. Config
-// returns a configuration for the sender itself. The stand-ins listen on loopback addresses, on ports that the
+// answers calls by a handler that the test passes; Request, SendRequest and Submit submit messages as a client does.
+// Config returns a configuration for the sender itself. The stand-ins listen on loopback addresses, on ports that the
 // operating system chooses, and are shut down when the test ends.
 //
 // Tests of several packages use it, among them those of internal/sender and cmd/sender. The package emulator has
