--- a/internal/sendertest/endpoint.go
+++ b/internal/sendertest/endpoint.go
@@ -24,17 +24,17 @@
 // batchPath is the path of calls that carry a batch of messages.
 const batchPath = "/hook/batch"
 
-// Entry is one message of a batch.
-type Entry struct {
+// BatchEntry is one message of a batch.
+type BatchEntry struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Body []byte `json:"body"`
 }
 
 // Entries returns the messages of a batch. It fails the test if the call does not carry a batch.
-func (c Call) Entries(t testing.TB) []Entry {
+func (c Call) Entries(t testing.TB) []BatchEntry {
 	t.Helper()
-	var entries []Entry
+	var entries []BatchEntry
 	if err := json.Unmarshal([]byte(c.Body), &entries); c.Path != batchPath || err != nil {
 		t.Fatalf("call to %s does not carry a batch: %v, body %q", c.Path, err, c.Body)
 	}
