--- a/internal/sender/admin_test.go
+++ b/internal/sender/admin_test.go
@@ -40,6 +40,7 @@
 	t.Parallel()
 	addr := freeAddress(t)
 	startSender(t, st.NewAgent(t), func(c *config.Config) { c.Admin = addr })
+	awaitHealth(t, addr, "ok\n") // it listens shortly before it is ready
 	for command, want := range map[string]string{
 		"HEALTH\r\n":    "ok\n",
 		"health\n":      "fail ",
